--- a/frontend/src/main/java/quincespar/membership/Backoff.java
+++ b/frontend/src/main/java/quincespar/membership/Backoff.java
@@ -5,12 +5,12 @@
     /** Pauses and times to connect double this often at the most. */
     private static final int MOST_DOUBLINGS = 5;
 
-    private final Pace pace;
+    private final PollTiming pace;
     private int calls;
     private int unreached;
     private int slowConnects;
 
-    Backoff(Pace pace) {
+    Backoff(PollTiming pace) {
         this.pace = pace;
     }
 
@@ -27,22 +27,22 @@
     }
 
     /** The pause after a failed question, in milliseconds. */
-    double pauseMs(Failure how) {
-        if (how == Failure.UNANSWERED) {
+    double pauseMs(PollFailure how) {
+        if (how == PollFailure.NO_ANSWER) {
             return afterCallMs();
         }
-        slowConnects += how == Failure.SLOW_CONNECT ? 1 : 0;
-        return Math.min(pace.unreachedPauseMs(), doubled(pace.pauseMs(), unreached++));
+        slowConnects += how == PollFailure.CONNECT_TIMEOUT ? 1 : 0;
+        return Math.min(pace.maxUnreachablePauseMs(), doubled(pace.firstPauseMs(), unreached++));
     }
 
     /** The pause after a question that the change log has worked on: these add up over a whole fleet. */
     double afterCallMs() {
-        return Math.min(pace.longestPauseMs(), doubled(pace.pauseMs(), calls++));
+        return Math.min(pace.maxPauseMs(), doubled(pace.firstPauseMs(), calls++));
     }
 
     /** How long the next connection may take to come up. */
     double connectMs() {
-        return doubled(pace.connectMs(), slowConnects);
+        return doubled(pace.connectTimeoutMs(), slowConnects);
     }
 
     private static double doubled(double ms, int times) {
--- a/frontend/src/main/java/quincespar/membership/DrainGrace.java
+++ b/frontend/src/main/java/quincespar/membership/DrainGrace.java
@@ -9,14 +9,14 @@
     /** What is on its way to a server when a hold begins has so long to go out within the grace. */
     private static final double MARGIN_MS = 200;
 
-    private final Pace pace;
+    private final PollTiming pace;
     /** How long a server that has been told to drain may still be sent work; 0 where there is no such rule. */
     private double graceMs;
     private double lostAt;
     private boolean failedHere;
     private boolean held;
 
-    DrainGrace(Pace pace) {
+    DrainGrace(PollTiming pace) {
         this.pace = pace;
     }
 
@@ -29,8 +29,8 @@
         lostAt = now;
     }
 
-    void failed(Failure how) {
-        failedHere = how == Failure.FAILED_HERE;
+    void failed(PollFailure how) {
+        failedHere = how == PollFailure.LOCAL_ERROR;
     }
 
     void answered() {
@@ -49,7 +49,7 @@
     /** Holds or ends the hold as it ought to be now, a pause ahead; true where that is a change. */
     boolean changes(double now) {
         double ends = lostAt + graceMs;
-        boolean hold = graceMs > 0 && failedHere && now + pace.unreachedPauseMs() + MARGIN_MS >= ends && now < ends + pace.holdMs();
+        boolean hold = graceMs > 0 && failedHere && now + pace.maxUnreachablePauseMs() + MARGIN_MS >= ends && now < ends + pace.maxHoldMs();
         boolean change = hold != held;
         held = hold;
         return change;
--- a/frontend/src/main/java/quincespar/membership/Members.java
+++ b/frontend/src/main/java/quincespar/membership/MemberList.java
@@ -12,7 +12,7 @@
 import quincespar.protocol.FleetEvent.Phase;
 
 /** The engines as told, by id; those that are removed are not kept. */
-final class Members {
+final class MemberList {
     private final Map<String, Member> all = new LinkedHashMap<>();
 
     /** Takes one event; answers those that it leaves out of a complete list, as removed. */
--- a/frontend/src/main/java/quincespar/membership/Membership.java
+++ b/frontend/src/main/java/quincespar/membership/Membership.java
@@ -14,45 +14,45 @@
  * from what is awaited. Times are milliseconds on one clock that never runs backwards.
  *
  * <p>Losing the change log does not stop the service: the list stays as it was last told, its age is known
- * ({@link #age}), and it is said once when that passes {@link Pace#staleMs}.
+ * ({@link #ageMs}), and it is said once when that passes {@link PollTiming#staleAfterMs}.
  */
 public final class Membership {
     /** What is to be done. */
-    public sealed interface Act { }
+    public sealed interface Action { }
 
     /**
      * Ask the change log at an address for what came after an event; it may wait for so long before it answers, and a new
      * connection may take so long to come up.
      */
-    public record Ask(long question, String address, long since, long waitMs, double connectMs) implements Act { }
+    public record Poll(long pollId, String address, long afterEvent, long waitMs, double connectTimeoutMs) implements Action { }
 
     /** Give up what is asked, and the connection with it. */
-    public record Drop() implements Act { }
+    public record CancelPoll() implements Action { }
 
-    /** Say {@link #due} with this number after a delay. */
-    public record Await(long serial, double delayMs) implements Act { }
+    /** Say {@link #timerFired} with this number after a delay. */
+    public record StartTimer(long timerId, double delayMs) implements Action { }
 
     /** Say no more of this wait. It may have been said already and be on its way. */
-    public record Forget(long serial) implements Act { }
+    public record StopTimer(long timerId) implements Action { }
 
     /** An event was told that had not been told before; {@code removed} are those that a complete list left out. */
-    public record Learned(FleetEvent event, List<Member> removed) implements Act { }
+    public record EventReceived(FleetEvent event, List<Member> removed) implements Action { }
 
     /**
      * Nothing new may be sent to any server from now on, or may again: servers may have been told to drain that this machine's
      * own failing calls keep it from hearing of, and their grace is over.
      */
-    public record Hold(boolean on) implements Act { }
+    public record HoldSends(boolean held) implements Action { }
 
     /** Tell the operators. */
-    public record Say(String line) implements Act { }
+    public record Log(String line) implements Action { }
 
     /** Where it stands. */
     public enum Phase {
         /** Nothing was asked yet. */
         NEW,
         /** A question is out. */
-        ASKING,
+        POLLING,
         /** The last question failed, and the next one waits. */
         PAUSING
     }
@@ -60,11 +60,11 @@
     /** The wait of the questions of the start: the list of the start may be old, and nothing is served before an answer. */
     private static final long FIRST_WAIT_MS = 100;
 
-    private final Pace pace;
+    private final PollTiming pace;
     private final Backoff backoff;
     private final DrainGrace grace;
-    private final Members members = new Members();
-    private List<Act> acts = new ArrayList<>();
+    private final MemberList members = new MemberList();
+    private List<Action> acts = new ArrayList<>();
     private Phase phase = Phase.NEW;
     private double now;
     private String address;
@@ -85,14 +85,14 @@
     private boolean toldStale;
 
     /** Follows at this pace; nothing is asked before {@link #start}. */
-    public Membership(Pace pace) {
+    public Membership(PollTiming pace) {
         this.pace = pace;
         backoff = new Backoff(pace);
         grace = new DrainGrace(pace);
     }
 
     /** Begins with what is known at the start; asks at once. */
-    public List<Act> start(double time, String at, List<FleetEvent> known) {
+    public List<Action> start(double time, String at, List<FleetEvent> known) {
         now = time;
         answeredAt = time;
         grace.lost(time);
@@ -107,14 +107,14 @@
      * the number runs ahead of the events, they are asked for again at once, and from then on after pauses: such a
      * change log would answer at once each time. So would one that answers with nothing new before it had to.
      */
-    public List<Act> answered(double time, long asked, long seq, List<FleetEvent> events) {
+    public List<Action> answered(double time, long asked, long seq, List<FleetEvent> events) {
         now = Math.max(now, time);
-        if (phase == Phase.ASKING && asked == question) {
+        if (phase == Phase.POLLING && asked == question) {
             boolean early = now - askedAt < askedWaitMs / 2;
             long before = taken;
             if (failuresInARow > 0) {
-                acts.add(new Say("the change log answers again after " + failuresInARow + " failures and "
-                        + Math.round(age(now)) + " ms; the list holds " + members.all().size() + " engines"));
+                acts.add(new Log("the change log answers again after " + failuresInARow + " failures and "
+                        + Math.round(ageMs(now)) + " ms; the list holds " + members.all().size() + " engines"));
             }
             failuresInARow = 0;
             backoff.reached();
@@ -122,7 +122,7 @@
             toldStale = false;
             answeredOnce = true;
             answeredAt = now;
-            acts.add(new Forget(wait));
+            acts.add(new StopTimer(wait));
             learn(events);
             boolean empty = seq > taken ? seq == claimed : early && taken == before;
             if (!empty) {
@@ -140,9 +140,9 @@
     }
 
     /** A question failed, or its connection did. */
-    public List<Act> failed(double time, long asked, Failure how, String cause) {
+    public List<Action> failed(double time, long asked, PollFailure how, String cause) {
         now = Math.max(now, time);
-        if (phase == Phase.ASKING && asked == question) {
+        if (phase == Phase.POLLING && asked == question) {
             failed(how, cause);
             review();
         }
@@ -150,11 +150,11 @@
     }
 
     /** A wait is over. */
-    public List<Act> due(double time, long which) {
+    public List<Action> timerFired(double time, long which) {
         now = Math.max(now, time);
         if (which == wait) { // else it was stopped when it had fired already
-            if (phase == Phase.ASKING) {
-                failed(Failure.UNANSWERED, "no answer in time");
+            if (phase == Phase.POLLING) {
+                failed(PollFailure.NO_ANSWER, "no answer in time");
             } else if (phase == Phase.PAUSING) {
                 ask();
             }
@@ -167,19 +167,19 @@
      * The change log is at another address from now on: asked there at once, from the same event. Guards against
      * going on with the old one, which tells nothing more and closes: drains would not be heard of.
      */
-    public List<Act> moved(double time, String to) {
+    public List<Action> addressChanged(double time, String to) {
         now = Math.max(now, time);
-        acts.add(new Say("change log at " + to + " from event " + taken));
+        acts.add(new Log("change log at " + to + " from event " + taken));
         address = to;
         backoff.reset();
-        acts.add(new Forget(wait));
-        acts.add(new Drop());
+        acts.add(new StopTimer(wait));
+        acts.add(new CancelPoll());
         ask();
         return taken();
     }
 
     /** The rule's grace from now on: how long a server that has been told to drain may still be sent work. */
-    public void grace(double ms) {
+    public void drainGraceMs(double ms) {
         grace.graceMs(ms);
     }
 
@@ -189,17 +189,17 @@
     }
 
     /** Milliseconds since the change log last answered whole. */
-    public double age(double time) {
+    public double ageMs(double time) {
         return Math.max(0, time - answeredAt);
     }
 
     /** The number of the last event taken. */
-    public long seq() {
+    public long lastEvent() {
         return taken;
     }
 
     /** Questions that have failed since the start. */
-    public long failures() {
+    public long failureCount() {
         return failuresInAll;
     }
 
@@ -213,8 +213,8 @@
         return members.all();
     }
 
-    private List<Act> taken() {
-        List<Act> out = acts;
+    private List<Action> taken() {
+        List<Action> out = acts;
         acts = new ArrayList<>();
         return out;
     }
@@ -227,36 +227,36 @@
             if (e.seq() > taken) { // else told before
                 taken = e.seq();
                 if (e.complete() || !e.members().isEmpty()) {
-                    acts.add(new Learned(e, members.take(e)));
+                    acts.add(new EventReceived(e, members.take(e)));
                 }
             }
         }
     }
 
     private void ask() {
-        phase = Phase.ASKING;
+        phase = Phase.POLLING;
         askedAt = now;
         question = ++serial;
         long waitMs = answeredOnce ? pace.waitMs() : Math.min(FIRST_WAIT_MS, pace.waitMs());
         askedWaitMs = waitMs;
-        acts.add(new Ask(question, address, taken, waitMs, backoff.connectMs()));
-        await(waitMs + pace.slackMs());
+        acts.add(new Poll(question, address, taken, waitMs, backoff.connectMs()));
+        await(waitMs + pace.answerSlackMs());
     }
 
-    private void failed(Failure how, String cause) {
+    private void failed(PollFailure how, String cause) {
         if (failuresInARow == 0) {
             grace.lost(now);
         }
         grace.failed(how);
         failuresInARow++;
         failuresInAll++;
-        acts.add(new Say("change log: question " + question + " from event " + taken + " failed after "
+        acts.add(new Log("change log: question " + question + " from event " + taken + " failed after "
                 + Math.round(now - askedAt) + " ms, failure " + failuresInARow + " in a row: " + cause));
-        acts.add(new Forget(wait));
-        acts.add(new Drop());
-        if (age(now) > pace.staleMs() && !toldStale) {
+        acts.add(new StopTimer(wait));
+        acts.add(new CancelPoll());
+        if (ageMs(now) > pace.staleAfterMs() && !toldStale) {
             toldStale = true;
-            acts.add(new Say("the change log has not answered for " + Math.round(age(now) / 1000)
+            acts.add(new Log("the change log has not answered for " + Math.round(ageMs(now) / 1000)
                     + " s; the list stays as it was told, with " + members.all().size() + " engines"));
         }
         pause(backoff.pauseMs(how));
@@ -269,14 +269,14 @@
 
     private void review() {
         if (grace.changes(now)) {
-            acts.add(new Say(grace.held() ? "nothing new is sent: this machine could not ask the change log for "
+            acts.add(new Log(grace.held() ? "nothing new is sent: this machine could not ask the change log for "
                     + Math.round(grace.lostMs(now)) + " ms" : "what waits is sent again"));
-            acts.add(new Hold(grace.held()));
+            acts.add(new HoldSends(grace.held()));
         }
     }
 
     private void await(double delay) {
         wait = ++serial;
-        acts.add(new Await(wait, delay));
+        acts.add(new StartTimer(wait, delay));
     }
 }
--- a/frontend/src/main/java/quincespar/membership/Pace.java
+++ b/frontend/src/main/java/quincespar/membership/PollTiming.java
@@ -12,5 +12,5 @@
  * @param holdMs how long nothing is sent, at the most, while this machine's own failing calls keep it from asking
  * @param staleMs the age of the last whole answer from which the list is called stale
  */
-public record Pace(long waitMs, double slackMs, double pauseMs, double longestPauseMs, double unreachedPauseMs, double connectMs,
-        double holdMs, double staleMs) { }
+public record PollTiming(long waitMs, double answerSlackMs, double firstPauseMs, double maxPauseMs, double maxUnreachablePauseMs, double connectTimeoutMs,
+        double maxHoldMs, double staleAfterMs) { }
--- a/frontend/src/main/java/quincespar/metrics/Ledger.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
@@ -8,15 +8,15 @@
 
 /**
  * Counts since the start, each at the one place where its thing happens. Written by one thread; others read the
- * {@link Figures}. Nothing here ever falls: a class that is dropped from the settings keeps its counts.
+ * {@link MetricsSnapshot}. Nothing here ever falls: a class that is dropped from the settings keeps its counts.
  */
-public final class Ledger {
+public final class MetricsRecorder {
     /** How a request ended, as its client was told. */
-    public enum End { ANSWERED, DEFERRED, ERRORED }
+    public enum FinalAnswer { ANSWERED, DEFERRED, ERRORED }
 
     private final List<String> names = new ArrayList<>();
     private final List<long[]> ends = new ArrayList<>();
-    private Map<String, Figures.Row> rows = Map.of();
+    private Map<String, MetricsSnapshot.AnswerCounts> rows = Map.of();
     private boolean changed;
     private long sends;
     private long loaded;
@@ -26,14 +26,14 @@
     public void classes(List<String> all) {
         for (String name : all.subList(names.size(), all.size())) {
             names.add(name);
-            ends.add(new long[End.values().length]);
+            ends.add(new long[FinalAnswer.values().length]);
         }
         changed = true;
     }
 
     /** A request of a class got its final answer. */
-    public void ended(int cls, End end) {
-        ends.get(cls)[end.ordinal()]++;
+    public void ended(int cls, FinalAnswer answer) {
+        ends.get(cls)[answer.ordinal()]++;
         changed = true;
     }
 
@@ -53,16 +53,16 @@
     }
 
     /** All as it stands, with what is not counted but seen: requests open, engines listed, engines avoided, the watch. */
-    public Figures figures(int current, int engines, int avoided, Figures.Watch watch) {
+    public MetricsSnapshot snapshot(int current, int engines, int avoided, MetricsSnapshot.ChangeLogStatus watch) {
         if (changed) {
-            Map<String, Figures.Row> out = new LinkedHashMap<>();
+            Map<String, MetricsSnapshot.AnswerCounts> out = new LinkedHashMap<>();
             for (int i = 0; i < names.size(); i++) {
                 long[] e = ends.get(i);
-                out.put(names.get(i), new Figures.Row(e[0], e[1], e[2]));
+                out.put(names.get(i), new MetricsSnapshot.AnswerCounts(e[0], e[1], e[2]));
             }
             rows = Collections.unmodifiableMap(out);
             changed = false;
         }
-        return new Figures(rows, sends, current, engines, avoided, loaded, invalid, watch);
+        return new MetricsSnapshot(rows, sends, current, engines, avoided, loaded, invalid, watch);
     }
 }
--- a/frontend/src/main/java/quincespar/metrics/Figures.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsSnapshot.java
@@ -14,15 +14,15 @@
  * @param confInvalid  configurations turned down at SIGHUP
  * @param watch        how the change log is followed
  */
-public record Figures(Map<String, Row> transactions, long sends, int current, int engines, int avoided,
-        long confLoaded, long confInvalid, Watch watch) {
+public record MetricsSnapshot(Map<String, AnswerCounts> transactions, long sends, int openRequests, int listedEngines, int avoidedEngines,
+        long configurationsLoaded, long configurationsRejected, ChangeLogStatus changeLog) {
 
     /** Before anything has been counted. */
-    public static final Figures NONE = new Figures(Map.of(), 0, 0, 0, 0, 0, 0, new Watch(0, 0, 0));
+    public static final MetricsSnapshot NONE = new MetricsSnapshot(Map.of(), 0, 0, 0, 0, 0, 0, new ChangeLogStatus(0, 0, 0));
 
     /** Following the change log: the last event taken, milliseconds since the last whole answer, questions that failed. */
-    public record Watch(long event, long ageMs, long failures) { }
+    public record ChangeLogStatus(long lastEvent, long ageMs, long failures) { }
 
     /** Final answers to one class's requests: served, refused and failed. */
-    public record Row(long answered, long deferred, long errored) { }
+    public record AnswerCounts(long answered, long deferred, long errored) { }
 }
--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -7,18 +7,18 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.Map;
-import quincespar.membership.Pace;
+import quincespar.membership.PollTiming;
 import quincespar.protocol.ChangeLogCodec;
 import quincespar.program.runtime.Addresses;
 import quincespar.protocol.Json;
 import quincespar.routing.Bounds;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 
 /** What the front end is told at its start; {@code admin} is the second address, null where there is none. */
 record Configuration(String name, InetSocketAddress listen, InetSocketAddress admin, String changeLog, long seed, int sockets,
-        int memoryMb, Site site, ChangeLogCodec.Changes known) {
+        int memoryMb, RoutingSettings site, ChangeLogCodec.Changes known) {
 
     private static final int SOCKETS = 256;
     private static final int MEMORY_MB = 128;
@@ -26,9 +26,9 @@
     /** The bounds that fit these limits and the operators' settings. */
     Bounds bounds(Settings s) {
         return new Bounds(Math.max(1, (int) (sockets * s.number(Keyword.CLIENTS_SHARE) / 100)),
-                Bounds.requestsIn(memoryMb), s.number(Keyword.CLIENTS_FIRST_WORD), s.number(Keyword.CLIENTS_IDLE),
+                Bounds.maxRequestsFor(memoryMb), s.number(Keyword.CLIENTS_FIRST_WORD), s.number(Keyword.CLIENTS_IDLE),
                 s.count(Keyword.LINKS_PER_ENGINE), s.count(Keyword.LINKS_SHARED), s.number(Keyword.LINKS_MIDWAY),
-                new Pace((long) s.number(Keyword.CHANGES_WAIT), s.number(Keyword.CHANGES_SLACK),
+                new PollTiming((long) s.number(Keyword.CHANGES_WAIT), s.number(Keyword.CHANGES_SLACK),
                         s.number(Keyword.CHANGES_PAUSE), s.number(Keyword.CHANGES_LONGEST_PAUSE),
                         s.number(Keyword.CHANGES_UNREACHED_PAUSE), s.number(Keyword.CHANGES_CONNECT), s.number(Keyword.CHANGES_HOLD),
                         s.number(Keyword.CHANGES_STALE)));
@@ -59,7 +59,7 @@
     }
 
     /** Of a document whose settings and known events have been read; throws {@link IllegalArgumentException}. */
-    static Configuration of(Map<String, Object> all, Map<String, String> environment, Site site,
+    static Configuration of(Map<String, Object> all, Map<String, String> environment, RoutingSettings site,
             ChangeLogCodec.Changes known) {
         Map<String, Object> limits = all.get("limits") == null ? Map.of() : Json.object(all.get("limits"), "limits");
         String listen = environment.getOrDefault("GW_LISTEN", String.valueOf(all.get("listen")));
--- a/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
@@ -9,7 +9,7 @@
 import quincespar.protocol.ChangeLogCodec;
 import quincespar.protocol.Json;
 import quincespar.protocol.MalformedException;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 
 /**
  * Looks a configuration's text over: it can be used as it stands, or here is all that is wrong with it. Pure: reading
@@ -76,7 +76,7 @@
             return null; // what follows would only say the same in other words
         }
         try {
-            return Configuration.of(all, environment, Site.of(Json.pairs(Json.object(all.get("settings"), "settings"))),
+            return Configuration.of(all, environment, RoutingSettings.of(Json.pairs(Json.object(all.get("settings"), "settings"))),
                     ChangeLogCodec.read(all.get("known")));
         } catch (MalformedException | IllegalArgumentException e) {
             faults.add(plain(e));
--- a/frontend/src/main/java/quincespar/program/ConfigurationReader.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationReader.java
@@ -39,17 +39,17 @@
         Threads.daemon("configuration", () -> {
             try {
                 ConfigurationCheck.Good read = Configuration.read(environment, inForce);
-                post.accept(new Input.Reconfigured(serial, read.configuration().changeLog(), read.configuration().site(),
+                post.accept(new Input.ConfigurationLoaded(serial, read.configuration().changeLog(), read.configuration().site(),
                         read.document()));
             } catch (UnreadableException e) {
                 if (clock.now() < end) {
                     log.warn("configuration: tried again in {} ms: {}", RETRY_MS, e.getMessage());
                     timers.after(RETRY_MS, () -> tryUntil(end, serial, inForce));
                 } else {
-                    post.accept(new Input.ReconfigureFailed(serial, e.getMessage()));
+                    post.accept(new Input.ConfigurationRejected(serial, e.getMessage()));
                 }
             } catch (RuntimeException e) { // whatever is wrong with the new file, the old one stays in force
-                post.accept(new Input.ReconfigureFailed(serial, e.getMessage()));
+                post.accept(new Input.ConfigurationRejected(serial, e.getMessage()));
             }
         }).start();
     }
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 import quincespar.decision.Brain;
 import quincespar.fleet.Standing;
-import quincespar.metrics.Exposition;
-import quincespar.metrics.Figures;
+import quincespar.metrics.PrometheusText;
+import quincespar.metrics.MetricsSnapshot;
 import quincespar.program.Lifecycle.Phase;
 import quincespar.program.captures.Capturing;
 import quincespar.program.clients.ThriftFront;
@@ -35,7 +35,7 @@
 import quincespar.routing.Input;
 import quincespar.recovery.Recovery;
 import quincespar.routing.Reducer;
-import quincespar.routing.Returned;
+import quincespar.routing.RecoveryReport;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 import quincespar.transport.EventLoop;
@@ -101,9 +101,9 @@
     private final FleetLink fellows;
     /** Null where no return from a loss of power is looked for. */
     private final KeptFolder kept;
-    private volatile Returned returned;
+    private volatile RecoveryReport returned;
     /** The last that the reducer's thread has published, for whoever reads it. */
-    private volatile Figures figures = Figures.NONE;
+    private volatile MetricsSnapshot figures = MetricsSnapshot.NONE;
     private final ThriftFront front;
     private final EngineLinks engines;
     private final ChangeLog changes;
@@ -129,25 +129,25 @@
         bounds = c.bounds(settings);
         String folder = settings.word(Keyword.CAPTURE_FOLDER);
         capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
-                c.site().module(), clock, line -> log.info("{}: {}", c.name(), line));
-        reducer = new Reducer(c.site(), bounds, capturing == null ? new Brain(c.site().module(), c.seed())
+                c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
+        reducer = new Reducer(c.site(), bounds, capturing == null ? new Brain(c.site().decision(), c.seed())
                 : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
-                Reducer.terms(c.site())), recovery != null && recovery.notesLoads());
+                Reducer.recoveryTerms(c.site())), recovery != null && recovery.notesLoads());
         kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that its "not ready" is heard while the rest starts
             status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
-                    () -> Exposition.text(figures) + fleetFigures() + recoveryFigures());
+                    () -> PrometheusText.text(figures) + fleetFigures() + recoveryFigures());
             status.start();
         } else {
             status = null;
         }
         listener = new Listener(clientLoop, c.listen(), true);
-        front = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstWordMs(),
+        front = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
                 clock, counters, inputs::addFromPeer, this::report);
         fellows = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
-                view -> inputs.add(new Input.FleetNews(view, c.name(), fleet.plan().holdMs())));
+                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().holdMs())));
         if (status != null && (fellows != null || kept != null)) {
             FleetPages pages = fellows == null ? null : new FleetPages(fellows);
             RecoveryPages more = kept == null ? null : recoveryPages();
@@ -185,7 +185,7 @@
             start();
             while (lifecycle.phase() != Phase.STOPPED) {
                 step(inputs.take());
-                if (lifecycle.phase() == Phase.FINISHING && reducer.open() == 0 && inputs.size() == 0) {
+                if (lifecycle.phase() == Phase.FINISHING && reducer.openRequests() == 0 && inputs.size() == 0) {
                     stop();
                 }
             }
@@ -215,7 +215,7 @@
 
     private void start() throws IOException, InterruptedException {
         if (siblings.beside()) {
-            inputs.add(new Input.Places(Math.min(bounds.callers(), (int) (configuration.sockets() * BESIDE_REVIEW))));
+            inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * BESIDE_REVIEW))));
             front.places((int) (configuration.sockets() * BESIDE_SHARE));
             untilAlone();
         }
@@ -272,7 +272,7 @@
             if (siblings.beside()) {
                 untilAlone();
             } else if (lifecycle.phase().compareTo(Phase.SERVING) <= 0) {
-                inputs.add(new Input.Places(bounds.callers()));
+                inputs.add(new Input.CallerLimitChanged(bounds.maxCallers()));
                 front.places((int) (configuration.sockets() * CLIENT_SHARE));
             }
         });
@@ -281,10 +281,10 @@
     private void publish() {
         lifecycle.listed(reducer.canServe());
         if (status != null) {
-            figures = reducer.figures();
+            figures = reducer.metrics();
         }
         if (kept != null) {
-            returned = reducer.returned();
+            returned = reducer.recoveryReport();
         }
     }
 
@@ -299,7 +299,7 @@
         if (lifecycle.phase() == Phase.YIELDING) {
             log.info("{}: another process serves at this address, clients are moved to it", configuration.name());
             double endsAt = killedAt(LONGEST_YIELD_MS) - YIELD_MARGIN_MS;
-            inputs.add(new Input.EndsAt(endsAt));
+            inputs.add(new Input.ShutdownScheduled(endsAt));
             listener.close(() -> moveSome(endsAt + LAST_LOOKS_MS));
         } else if (lifecycle.phase() == Phase.LEAVING) {
             double until = killedAt(LONGEST_LEAVE_MS);
@@ -308,7 +308,7 @@
                 listener.close(() -> {
                     lifecycle.enter(Phase.SETTLING);
                     timers.after(SETTLE_MS, () -> {
-                        inputs.add(new Input.TurnsAway());
+                        inputs.add(new Input.RefuseNewRequests());
                         clientLoop.afterPass(() -> moveSome(until));
                     });
                 });
@@ -320,7 +320,7 @@
 
     /** The system's own end may follow from that time on. */
     private double killedAt(double longestMs) {
-        double longest = configuration.site().module().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
+        double longest = configuration.site().decision().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
         return clock.now() - standstill.lateness(clock.now()) + Math.min(longest, longestMs) + END_MS;
     }
 
@@ -342,21 +342,21 @@
 
     private void finishing() {
         lifecycle.enter(Phase.FINISHING);
-        inputs.add(new Input.CallerGone(0)); // wakes the loop, which may have nothing open
+        inputs.add(new Input.CallerDisconnected(0)); // wakes the loop, which may have nothing open
     }
 
     /** Writes the counters to the log every so often, from now on. */
     void reportEvery(long everyMs) {
         timers.after(everyMs, () -> {
             log.info("{}: counters: {}", configuration.name(), report());
-            log.info("{}: engines: {}", configuration.name(), reducer.engines());
+            log.info("{}: engines: {}", configuration.name(), reducer.engineCounters());
             reportEvery(everyMs);
         });
     }
 
     /** The configuration has been replaced; called from another thread, at any time from the start on. */
     void hangup() {
-        inputs.add(new Input.Hangup());
+        inputs.add(new Input.ReloadRequested());
     }
 
     private void stop() throws InterruptedException {
@@ -422,24 +422,24 @@
             front.health(e.caller(), lifecycle.ready());
         } else if (effect instanceof Effect.Probe e) {
             engines.probe(e);
-        } else if (effect instanceof Effect.Poll e) {
+        } else if (effect instanceof Effect.PollChangeLog e) {
             changes.poll(e);
         } else if (effect instanceof Effect.CloseCaller e) {
             front.close(e);
-        } else if (effect instanceof Effect.Uncaught e) {
-            uncaught(e.where(), e.error());
-        } else if (effect instanceof Effect.Reread e) {
-            configurations.read(e.serial(), inForce);
-        } else if (effect instanceof Effect.InForce e) {
+        } else if (effect instanceof Effect.UnexpectedError e) {
+            uncaught(e.activity(), e.error());
+        } else if (effect instanceof Effect.ReloadConfiguration e) {
+            configurations.read(e.reloadId(), inForce);
+        } else if (effect instanceof Effect.ConfigurationAccepted e) {
             inForce = e.document();
-        } else if (effect instanceof Effect.Adopt e) {
-            front.adopt(e.site());
-            engines.adopt(e.site());
-        } else if (effect instanceof Effect.Keep e) {
+        } else if (effect instanceof Effect.ApplySettings e) {
+            front.adopt(e.settings());
+            engines.adopt(e.settings());
+        } else if (effect instanceof Effect.PersistEntry e) {
             kept.add(e.entry(), e.request());
-        } else if (effect instanceof Effect.AskFleet) {
+        } else if (effect instanceof Effect.FetchFleetState) {
             askFleet();
-        } else if (effect instanceof Effect.DropPoll) {
+        } else if (effect instanceof Effect.CancelPoll) {
             changes.drop();
         } else if (effect instanceof Effect.Log e) {
             log.info("{}: {}", configuration.name(), e.line());
@@ -450,15 +450,15 @@
 
     /** What is agreed now, or nothing where nobody says so; not at once, as the next question may follow on the answer. */
     private void askFleet() {
-        timers.after(ASK_FLEET_MS, () -> fellows.read().whenComplete((state, e) -> inputs.add(new Input.Agreed(e == null ? state : null))));
+        timers.after(ASK_FLEET_MS, () -> fellows.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
     }
 
     private Map<String, String> report() {
         Map<String, String> all = new LinkedHashMap<>(counters.all());
         all.put("phase", lifecycle.phase().name().toLowerCase(java.util.Locale.ROOT));
-        reducer.held().forEach((name, n) -> all.put(name, n.toString()));
-        all.put("changes.age_ms", Long.toString(Math.round(reducer.listAge(clock.now()))));
-        reducer.tally().forEach((name, n) -> all.put(name, n.toString()));
+        reducer.retainedCounts().forEach((name, n) -> all.put(name, n.toString()));
+        all.put("changes.age_ms", Long.toString(Math.round(reducer.listAgeMs(clock.now()))));
+        reducer.attemptCounters().forEach((name, n) -> all.put(name, n.toString()));
         if (capturing != null) {
             capturing.counts().forEach((name, n) -> all.put(name, n.toString()));
         }
@@ -468,7 +468,7 @@
         all.put("log.dropped", Long.toString(logs.dropped()));
         all.put("held.timers", Integer.toString(timers.size()));
         all.put("held.inputs", Integer.toString(inputs.size()));
-        all.put("requests.open", Integer.toString(reducer.open()));
+        all.put("requests.open", Integer.toString(reducer.openRequests()));
         all.put("clients.connected", Integer.toString(front.connections()));
         all.put("engines.connected", Integer.toString(engines.size()));
         return all;
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -16,7 +16,7 @@
 import quincespar.routing.Bounds;
 import quincespar.routing.Caller;
 import quincespar.routing.Effect;
-import quincespar.routing.EngineNews;
+import quincespar.routing.EngineMessage;
 import quincespar.routing.Input;
 import quincespar.routing.Query;
 import quincespar.routing.Reducer;
@@ -53,14 +53,14 @@
 
     void run() {
         Reducer scratch = new Reducer(configuration.site(), bounds,
-                new Brain(configuration.site().module(), configuration.seed()));
+                new Brain(configuration.site().decision(), configuration.seed()));
         long until = System.nanoTime() + (long) (BUDGET_MS * 1e6);
         now = System.currentTimeMillis();
         follow(scratch.start(now, configuration.changeLog(), configuration.known().events()));
-        List<ClassSpec> classes = configuration.site().module().classes();
+        List<ClassSpec> classes = configuration.site().decision().classes();
         for (int i = 0; i < MOST && (i < LEAST || System.nanoTime() < until); i++) {
             now++;
-            inputs.add(new Input.Asked(new Caller(1, i), query(i, classes.get(i % classes.size())), now));
+            inputs.add(new Input.RequestReceived(new Caller(1, i), query(i, classes.get(i % classes.size())), now));
             while (!answers.isEmpty() && answers.peek().at() <= now) {
                 inputs.add(answers.poll().input());
             }
@@ -73,7 +73,7 @@
     }
 
     private Query query(int i, ClassSpec spec) {
-        String tenant = configuration.site().module().tenants().stream().findFirst().map(t -> t.name()).orElse("");
+        String tenant = configuration.site().decision().tenants().stream().findFirst().map(t -> t.name()).orElse("");
         byte[] frame = FrontCodec.call(i, Map.of("verb", spec.name(), "txn", String.format("%016x", i), "limit",
                 Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.aim() / 4),
                 "heap_mb", "64"), STATEMENT);
@@ -87,15 +87,15 @@
             } else if (effect instanceof Effect.Send e) {
                 byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
                 new RespDecoder().feed(command, command.length, EngineCodec::answer);
-                answers.add(new Due(now + SERVICE_MS, new Input.Said(e.link(), new EngineNews.Done(e.txn(), 2,
+                answers.add(new Due(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), new EngineMessage.Done(e.txn(), 2,
                         STATEMENT, List.of()))));
             } else if (effect instanceof Effect.ReadPage e) {
-                inputs.add(new Input.Said(e.link(), new EngineNews.Page(e.txn(), e.page(), STATEMENT)));
+                inputs.add(new Input.EngineMessageReceived(e.link(), new EngineMessage.Page(e.txn(), e.page(), STATEMENT)));
             } else if (effect instanceof Effect.Cancel e) {
                 inputs.add(new Input.CancelWritten(e.key()));
             } else if (effect instanceof Effect.StartTimer e
-                    && (e.key() instanceof TimerKey.Module
-                    || e.key() instanceof TimerKey.Tick)) {
+                    && (e.key() instanceof TimerKey.Gateway
+                    || e.key() instanceof TimerKey.DecisionTick)) {
                 timers.add(new Due(now + e.delayMs(), new Input.TimerFired(e.key())));
             }
         }
--- a/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
@@ -23,18 +23,18 @@
 import quincespar.protocol.thrift.Message;
 import quincespar.routing.Caller;
 import quincespar.routing.Effect;
-import quincespar.routing.Front;
+import quincespar.routing.ClientProtocol;
 import quincespar.routing.Input;
 import quincespar.routing.Query;
 import quincespar.routing.Reply;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
 import quincespar.transport.OutboxBound;
 
 /** The clients' protocol: Thrift in frames. One session for each connection reads it and words the replies. */
-public final class ThriftFront implements Front, Listener.Taker {
+public final class ThriftFront implements ClientProtocol, Listener.Taker {
     private final Logger log = LoggerFactory.getLogger(ThriftFront.class);
     private static final Pattern TXN = Pattern.compile("[0-9a-f]{16}");
     /** Up to ten million: more milliseconds or megabytes no request has. */
@@ -54,7 +54,7 @@
     private final OutboxBound bound = new OutboxBound(OUTBOX, OUTBOXES);
     private final AtomicLong numbers = new AtomicLong();
     /** What requests are read by; replaced whole. */
-    private volatile Site site;
+    private volatile RoutingSettings site;
     private final Clock clock;
     private final Counters counters;
     /** Takes what was found in one look, to be decided on together. */
@@ -67,7 +67,7 @@
     private volatile int places;
     private volatile boolean yielding;
 
-    public ThriftFront(EventLoop loop, Listener listener, Site site, int mostConnections, double wholeMs, Clock clock,
+    public ThriftFront(EventLoop loop, Listener listener, RoutingSettings site, int mostConnections, double wholeMs, Clock clock,
             Counters counters, Consumer<List<Input>> post, Supplier<Map<String, String>> report) {
         this.wholeMs = wholeMs;
         this.loop = loop;
@@ -81,7 +81,7 @@
     }
 
     /** Requests that come whole from now on are read by these settings. */
-    public void adopt(Site next) {
+    public void adopt(RoutingSettings next) {
         site = next;
     }
 
@@ -103,7 +103,7 @@
         long number = numbers.incrementAndGet();
         Session s = new Session(number, Connection.accepted(loop, channel, "client-" + number, bound));
         sessions.put(number, s);
-        post.accept(List.of(new Input.CallerUp(number)));
+        post.accept(List.of(new Input.CallerConnected(number)));
         s.connection.start(s);
     }
 
@@ -122,7 +122,7 @@
     public void close(Effect.CloseCaller e) {
         Session s = sessions.get(e.connection());
         if (s != null) {
-            s.connection.closeIfQuiet(e.why());
+            s.connection.closeIfQuiet(e.cause());
         }
     }
 
@@ -154,8 +154,8 @@
         if (reply instanceof Reply.Served r) {
             frame = FrontCodec.answer("call", caller.call(), r.result(), Map.of(), true);
         } else if (reply instanceof Reply.Refused r) {
-            frame = FrontCodec.busy(caller.call(), r.comeBackMs() > 0
-                    ? Map.of("later", Long.toString(Math.round(r.comeBackMs()))) : Map.of());
+            frame = FrontCodec.busy(caller.call(), r.retryAfterMs() > 0
+                    ? Map.of("later", Long.toString(Math.round(r.retryAfterMs()))) : Map.of());
         } else {
             frame = FrontCodec.failed(caller.call(), Map.of());
         }
@@ -251,7 +251,7 @@
 
         @Override
         public void notQuiet() {
-            post.accept(List.of(new Input.CallerStays(number)));
+            post.accept(List.of(new Input.CallerNotClosed(number)));
         }
 
         @Override
@@ -264,7 +264,7 @@
             }
             sessions.remove(number);
             listener.resume();
-            post.accept(List.of(new Input.CallerGone(number)));
+            post.accept(List.of(new Input.CallerDisconnected(number)));
         }
 
         /**
@@ -290,9 +290,9 @@
                 call(caller, c, at);
             } else if (m instanceof Message.Cancel c) {
                 open.remove(c.cancelled());
-                found.add(new Input.Withdrawn(new Caller(number, c.cancelled())));
+                found.add(new Input.RequestCancelled(new Caller(number, c.cancelled())));
             } else if (m instanceof Message.Health) {
-                found.add(new Input.HealthAsked(caller));
+                found.add(new Input.HealthRequested(caller));
             } else if (m instanceof Message.Wrong w) {
                 end(w.seqid(), w.type(), w.why());
             }
@@ -316,7 +316,7 @@
                 return;
             }
             open.add(c.seqid());
-            found.add(new Input.Asked(caller, query, at));
+            found.add(new Input.RequestReceived(caller, query, at));
         }
     }
 
@@ -327,22 +327,22 @@
 
     /** A call's fields as a query; throws {@link MalformedException} by the name of a field that can't be used. */
     private Query query(Message.Call c) {
-        Site by = site; // one and the same to the end of this request
+        RoutingSettings by = site; // one and the same to the end of this request
         Map<String, String> f = c.fields();
         String txn = f.getOrDefault("txn", "");
         if (!TXN.matcher(txn).matches()) {
             throw new MalformedException("field txn is not 16 hex digits");
         }
-        Integer cls = by.classes().get(f.getOrDefault("verb", ""));
+        Integer cls = by.classNumbers().get(f.getOrDefault("verb", ""));
         if (cls == null) {
             throw new MalformedException("no class '" + f.get("verb") + "'");
         }
-        Integer tenant = by.tenants().isEmpty() ? Integer.valueOf(0) : by.tenants().get(f.getOrDefault("team", ""));
+        Integer tenant = by.tenantNumbers().isEmpty() ? Integer.valueOf(0) : by.tenantNumbers().get(f.getOrDefault("team", ""));
         if (tenant == null) {
             throw new MalformedException("no tenant '" + f.get("team") + "'");
         }
         double limit = number(f, "limit");
-        if (limit <= 0 || limit > LONGEST * by.module().classes().get(cls).deadline()) {
+        if (limit <= 0 || limit > LONGEST * by.decision().classes().get(cls).deadline()) {
             throw new MalformedException("field limit is out of bounds");
         }
         String second = f.get("second");
--- a/frontend/src/main/java/quincespar/program/engines/ChangeLog.java
+++ b/frontend/src/main/java/quincespar/program/engines/ChangeLog.java
@@ -5,7 +5,7 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
-import quincespar.membership.Failure;
+import quincespar.membership.PollFailure;
 import quincespar.program.runtime.Addresses;
 import quincespar.protocol.ChangeLogCodec;
 import quincespar.protocol.MalformedException;
@@ -31,9 +31,9 @@
         this.post = post;
     }
 
-    public void poll(Effect.Poll e) {
+    public void poll(Effect.PollChangeLog e) {
         if (current == null || !current.ask(e)) {
-            current = new Exchange(Addresses.of(e.address()), e.serial(), e.connectMs());
+            current = new Exchange(Addresses.of(e.address()), e.pollId(), e.connectTimeoutMs());
             current.ask(e);
         }
     }
@@ -63,10 +63,10 @@
             connection.dial(address, this, Math.round(connectMs));
         }
 
-        boolean ask(Effect.Poll e) {
-            last = e.serial();
+        boolean ask(Effect.PollChangeLog e) {
+            last = e.pollId();
             asked.add(last);
-            String request = "GET /changes?since=" + e.since() + "&timeout=" + e.waitMs() + " HTTP/1.1\r\nHost: "
+            String request = "GET /changes?since=" + e.afterEvent() + "&timeout=" + e.waitMs() + " HTTP/1.1\r\nHost: "
                     + address.getHostString() + ":" + address.getPort() + "\r\nAccept: application/json\r\n\r\n";
             return connection.send(request.getBytes(StandardCharsets.US_ASCII));
         }
@@ -81,7 +81,7 @@
             try {
                 decoder.feed(bytes, count, this::answered);
             } catch (MalformedException e) { // asked again after a pause; the list that we have is kept
-                post.accept(new Input.ChangesFailed(last, Failure.UNANSWERED, e.getMessage()));
+                post.accept(new Input.PollFailed(last, PollFailure.NO_ANSWER, e.getMessage()));
                 connection.close("malformed");
             }
         }
@@ -95,22 +95,22 @@
             if (question == null) {
                 throw new MalformedException("an answer to no question");
             }
-            post.accept(new Input.Changes(question, c.seq(), c.events()));
+            post.accept(new Input.ChangesReceived(question, c.seq(), c.events()));
         }
 
         @Override
         public void closed(String cause) {
-            post.accept(new Input.ChangesFailed(last, how(cause), cause));
+            post.accept(new Input.PollFailed(last, how(cause), cause));
         }
 
-        private Failure how(String cause) {
+        private PollFailure how(String cause) {
             if (up) {
-                return Failure.UNANSWERED;
+                return PollFailure.NO_ANSWER;
             }
             if (connection.failedHere()) {
-                return Failure.FAILED_HERE;
+                return PollFailure.LOCAL_ERROR;
             }
-            return cause.equals(Connection.NOT_UP_IN_TIME) ? Failure.SLOW_CONNECT : Failure.UNREACHED;
+            return cause.equals(Connection.NOT_UP_IN_TIME) ? PollFailure.CONNECT_TIMEOUT : PollFailure.UNREACHABLE;
         }
     }
 }
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -15,9 +15,9 @@
 import quincespar.protocol.resp.EngineCodec;
 import quincespar.protocol.resp.RespDecoder;
 import quincespar.routing.Effect;
-import quincespar.routing.EngineNews;
+import quincespar.routing.EngineMessage;
 import quincespar.routing.Input;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
 import quincespar.transport.OutboxBound;
@@ -39,14 +39,14 @@
     private volatile List<String> reportFields;
     private final Consumer<Input> post;
 
-    public EngineLinks(EventLoop loop, Site site, Consumer<Input> post) {
+    public EngineLinks(EventLoop loop, RoutingSettings site, Consumer<Input> post) {
         this.loop = loop;
         this.post = post;
         adopt(site);
     }
 
-    public void adopt(Site site) {
-        reportFields = site.module().fleet().reportFields();
+    public void adopt(RoutingSettings site) {
+        reportFields = site.decision().fleet().reportFields();
     }
 
     public void open(Effect.OpenLink e) {
@@ -63,7 +63,7 @@
     public void close(Effect.CloseLink e) {
         Connection c = connections.remove(e.link());
         if (c != null) {
-            c.close(e.why());
+            c.close(e.cause());
         }
     }
 
@@ -120,14 +120,14 @@
                 whole = false;
                 decoder.feed(bytes, count, items -> {
                     whole = true;
-                    EngineNews news = said(items);
+                    EngineMessage news = said(items);
                     if (news != null) {
-                        post.accept(new Input.Said(link, news));
+                        post.accept(new Input.EngineMessageReceived(link, news));
                     }
                 });
                 if (decoder.midway() != midway || midway && whole) { // each message has its own time to come whole
                     midway = decoder.midway();
-                    post.accept(new Input.Midway(link, midway));
+                    post.accept(new Input.PartialMessage(link, midway));
                 }
             } catch (MalformedException e) {
                 Connection c = connections.get(link);
@@ -149,16 +149,16 @@
      * Its frame is right, so what follows it can be read whatever it holds. Whether it matters that it makes no
      * sense depends on its id: one that nothing is open under may come ahead of a good answer.
      */
-    private EngineNews said(List<byte[]> items) {
+    private EngineMessage said(List<byte[]> items) {
         String id = Utf8.text(items.get(0));
         try {
             return news(EngineCodec.answer(items));
         } catch (MalformedException e) {
-            return new EngineNews.Unreadable(id, e.getMessage());
+            return new EngineMessage.Malformed(id, e.getMessage());
         }
     }
 
-    private EngineNews news(EngineCodec.Answer a) {
+    private EngineMessage news(EngineCodec.Answer a) {
         return switch (a.word()) {
             case "DONE" -> {
                 int pages = a.number("count");
@@ -166,29 +166,29 @@
                     throw new MalformedException("a result of " + pages + " pages");
                 }
                 EngineCodec.requirePage(a.body());
-                yield new EngineNews.Done(a.id(), pages, a.body(), load(a));
+                yield new EngineMessage.Done(a.id(), pages, a.body(), load(a));
             }
             case "MORE" -> {
                 EngineCodec.requirePage(a.body());
-                yield new EngineNews.Page(a.id(), a.number("pos"), a.body());
+                yield new EngineMessage.Page(a.id(), a.number("pos"), a.body());
             }
-            case "WAIT" -> new EngineNews.Full(a.id(), load(a));
-            case "BROKE" -> new EngineNews.Broke(a.id(), load(a));
-            case "PAST" -> new EngineNews.Past(a.id(), load(a));
-            case "FIT", "UNFIT" -> new EngineNews.Health(a.id(), a.word().equals("FIT"), load(a));
+            case "WAIT" -> new EngineMessage.Full(a.id(), load(a));
+            case "BROKE" -> new EngineMessage.Failed(a.id(), load(a));
+            case "PAST" -> new EngineMessage.Expired(a.id(), load(a));
+            case "FIT", "UNFIT" -> new EngineMessage.Health(a.id(), a.word().equals("FIT"), load(a));
             case "TELL" -> note(a);
             default -> throw new MalformedException("no answer '" + a.word() + "'");
         };
     }
 
-    private static EngineNews note(EngineCodec.Answer a) {
+    private static EngineMessage note(EngineCodec.Answer a) {
         NoteKind kind = switch (a.fields().getOrDefault("detail", "")) {
             case "share" -> NoteKind.PROGRESS;
             case "short" -> NoteKind.SPILL;
             case "held" -> NoteKind.WAIT;
             default -> null;
         };
-        return kind == null ? null : new EngineNews.Note(a.id(), kind, number(a.fields().get("reading")));
+        return kind == null ? null : new EngineMessage.Note(a.id(), kind, number(a.fields().get("reading")));
     }
 
     /** The load report in the settings' order; none where a field is missing, as a wrong place would mislead. */
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -82,7 +82,7 @@
         thread.start();
     }
 
-    /** Keeps an entry; the request, where that is not 0, is told of by {@link Input.Noted}. */
+    /** Keeps an entry; the request, where that is not 0, is told of by {@link Input.PersistFinished}. */
     public void add(Entry e, long request) {
         if (jobs.size() < MOST) {
             jobs.add(new Job.Add(e, request));
@@ -145,7 +145,7 @@
             found(f.state(), entries);
             return true;
         } catch (MalformedRecord e) { // whole, and yet not what this program writes
-            to.accept(new Input.KeptRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
+            to.accept(new Input.RecoveryLogRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
             refused(e);
@@ -183,7 +183,7 @@
         }
         Trust.Finding found = foreign ? Trust.Finding.ANOTHERS : state == Journal.State.SPOILT ? Trust.Finding.CORRUPT
                 : state == Journal.State.NONE ? Trust.Finding.LOST : Trust.Finding.WHOLE;
-        to.accept(new Input.KeptRead(found, entries, switch (found) {
+        to.accept(new Input.RecoveryLogRead(found, entries, switch (found) {
             case ANOTHERS -> "it is that of " + other + ", and nothing is kept";
             case CORRUPT -> "what stands behind " + entries.size() + " entries is not what was written, and was set aside";
             case LOST -> "there is no file";
@@ -266,7 +266,7 @@
 
     private void tell(long request, boolean kept) {
         if (request != 0) {
-            to.accept(new Input.Noted(request, kept));
+            to.accept(new Input.PersistFinished(request, kept));
         }
     }
 }
--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
@@ -13,7 +13,7 @@
 import quincespar.recovery.Kept;
 import quincespar.recovery.Recovery;
 import quincespar.routing.Input;
-import quincespar.routing.Returned;
+import quincespar.routing.RecoveryReport;
 
 /**
  * What the second address tells of a return from a loss of power. {@code GET /fleet/recovery} is where it stands, with the loads in doubt; {@code
@@ -25,12 +25,12 @@
             "/fleet/doubtful/", ALLOWED = "/fleet/allowed/";
     private static final int OK = 200, NOT_FOUND = 404;
 
-    private final Supplier<Returned> stands;
+    private final Supplier<RecoveryReport> stands;
     private final Supplier<KeptFolder.Counts> counts;
     private final Consumer<Input> to;
 
     /** Pages of what was published last. */
-    public RecoveryPages(Supplier<Returned> stands, Supplier<KeptFolder.Counts> counts, Consumer<Input> to) {
+    public RecoveryPages(Supplier<RecoveryReport> stands, Supplier<KeptFolder.Counts> counts, Consumer<Input> to) {
         this.stands = stands;
         this.counts = counts;
         this.to = to;
@@ -38,26 +38,26 @@
 
     /** A page of these, null where it is none. */
     public Page page(String method, String path) {
-        Returned r = stands.get();
+        RecoveryReport r = stands.get();
         if (r == null) {
             return null;
         } else if (path.equals(WHERE) && method.equals("GET")) {
             return new Page(OK, JSON, json(r));
         } else if (path.startsWith(DOUBTFUL) && method.equals("PUT")) {
             String txn = path.substring(DOUBTFUL.length());
-            if (r.doubtful().stream().noneMatch(l -> l.begun().txn().equals(txn))) {
+            if (r.doubtfulLoads().stream().noneMatch(l -> l.begun().txn().equals(txn))) {
                 return new Page(NOT_FOUND, TEXT, "no load " + txn + " is in doubt\n");
             }
-            to.accept(new Input.Acknowledged(txn));
+            to.accept(new Input.LoadAcknowledged(txn));
             return new Page(OK, TEXT, txn + " is taken off the list\n");
         } else if (path.startsWith(ALLOWED) && method.equals("PUT")) {
-            to.accept(new Input.Allowed(path.substring(ALLOWED.length())));
+            to.accept(new Input.EngineAllowed(path.substring(ALLOWED.length())));
             return new Page(OK, TEXT, path.substring(ALLOWED.length()) + " may take work\n");
         }
         return null;
     }
 
-    private static String json(Returned r) {
+    private static String json(RecoveryReport r) {
         StringWriter out = new StringWriter();
         Recovery.View v = r.view();
         try (JsonGenerator to = new JsonFactory().createGenerator(out)) {
@@ -69,9 +69,9 @@
             to.writeBooleanField("cold", v.coldFrom() > 0);
             to.writeNumberField("withheldEngines", v.withheld());
             to.writeNumberField("doubtfulLoads", v.doubtful());
-            to.writeNumberField("unkeptLoads", r.unkept());
+            to.writeNumberField("unkeptLoads", r.unpersistedLoads());
             to.writeArrayFieldStart("doubtful");
-            for (Kept.Load l : r.doubtful()) {
+            for (Kept.Load l : r.doubtfulLoads()) {
                 to.writeStartObject();
                 to.writeStringField("txn", l.begun().txn());
                 to.writeStringField("class", l.begun().cls());
@@ -92,7 +92,7 @@
 
     /** Figures in the text format that Prometheus reads. */
     public String figures() {
-        Returned r = stands.get();
+        RecoveryReport r = stands.get();
         if (r == null) {
             return "";
         }
@@ -106,7 +106,7 @@
         for (Figure f : List.of(new Figure("gw_recovery_alone", "gauge", "Whether it returns without a majority.", r.view().alone() ? 1 : 0),
                 new Figure("gw_recovery_withheld_engines", "gauge", "Listed engines that take nothing since the loss.", r.view().withheld()),
                 new Figure("gw_recovery_doubtful_loads", "gauge", "Loads that may have run before the loss.", r.view().doubtful()),
-                new Figure("gw_recovery_unkept_loads_total", "counter", "Loads that went out though the disk refused.", r.unkept()),
+                new Figure("gw_recovery_unkept_loads_total", "counter", "Loads that went out though the disk refused.", r.unpersistedLoads()),
                 new Figure("gw_recovery_forces_total", "counter", "Groups of entries forced to disk.", c.forces()),
                 new Figure("gw_recovery_entries_total", "counter", "Entries in them.", c.entries()),
                 new Figure("gw_recovery_failures_total", "counter", "Groups that the disk refused.", c.failures()))) {
--- a/frontend/src/main/java/quincespar/program/runtime/Counters.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Counters.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 import quincespar.routing.Effect;
-import quincespar.routing.EngineNews;
+import quincespar.routing.EngineMessage;
 import quincespar.routing.Input;
 import quincespar.routing.Reply;
 
@@ -58,39 +58,39 @@
     }
 
     public void taken(Input i) {
-        if (i instanceof Input.Asked) {
+        if (i instanceof Input.RequestReceived) {
             count(Count.REQUESTS_TAKEN);
-        } else if (i instanceof Input.CallerUp) {
+        } else if (i instanceof Input.CallerConnected) {
             count(Count.CALLERS_TAKEN);
-        } else if (i instanceof Input.Withdrawn) {
+        } else if (i instanceof Input.RequestCancelled) {
             count(Count.REQUESTS_CANCELLED);
-        } else if (i instanceof Input.Said s) {
-            count(said(s.news()));
+        } else if (i instanceof Input.EngineMessageReceived s) {
+            count(said(s.message()));
         } else if (i instanceof Input.LinkDown d) {
             count(Count.LINKS_CLOSED);
             failed("servers", d.cause());
         } else if (i instanceof Input.LinkUp) {
             count(Count.LINKS_OPENED);
-        } else if (i instanceof Input.Changes c) {
+        } else if (i instanceof Input.ChangesReceived c) {
             count(c.events().isEmpty() ? Count.CHANGES_QUIET : Count.CHANGES_NEWS);
-        } else if (i instanceof Input.ChangesFailed f) {
+        } else if (i instanceof Input.PollFailed f) {
             count(Count.CHANGES_FAILED);
             failed("changelog", f.cause());
-        } else if (i instanceof Input.Reconfigured) {
+        } else if (i instanceof Input.ConfigurationLoaded) {
             count(Count.CONFIGURATIONS_TAKEN);
-        } else if (i instanceof Input.ReconfigureFailed) {
+        } else if (i instanceof Input.ConfigurationRejected) {
             count(Count.CONFIGURATIONS_REFUSED);
         }
     }
 
-    private static Count said(EngineNews news) {
-        return news instanceof EngineNews.Done ? Count.ENGINES_DONE
-                : news instanceof EngineNews.Page ? Count.ENGINES_PAGE
-                : news instanceof EngineNews.Note ? Count.ENGINES_NOTE
-                : news instanceof EngineNews.Full ? Count.ENGINES_FULL
-                : news instanceof EngineNews.Broke ? Count.ENGINES_BROKE
-                : news instanceof EngineNews.Unreadable ? Count.ENGINES_UNREADABLE
-                : news instanceof EngineNews.Past ? Count.ENGINES_PAST : Count.PROBES_ANSWERED;
+    private static Count said(EngineMessage news) {
+        return news instanceof EngineMessage.Done ? Count.ENGINES_DONE
+                : news instanceof EngineMessage.Page ? Count.ENGINES_PAGE
+                : news instanceof EngineMessage.Note ? Count.ENGINES_NOTE
+                : news instanceof EngineMessage.Full ? Count.ENGINES_FULL
+                : news instanceof EngineMessage.Failed ? Count.ENGINES_BROKE
+                : news instanceof EngineMessage.Malformed ? Count.ENGINES_UNREADABLE
+                : news instanceof EngineMessage.Expired ? Count.ENGINES_PAST : Count.PROBES_ANSWERED;
     }
 
     public void done(Effect e) {
--- a/frontend/src/main/java/quincespar/program/status/StatusAddress.java
+++ b/frontend/src/main/java/quincespar/program/status/StatusAddress.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Future;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import quincespar.metrics.Exposition;
+import quincespar.metrics.PrometheusText;
 import quincespar.program.fleet.FleetPages;
 import quincespar.program.runtime.Timers;
 import quincespar.protocol.http.RequestDecoder.Request;
@@ -122,7 +122,7 @@
             return plain(405, false);
         }
         if (r.path().equals("/status/metrics")) {
-            return answer(200, Exposition.CONTENT_TYPE, metrics.get(), head);
+            return answer(200, PrometheusText.CONTENT_TYPE, metrics.get(), head);
         }
         boolean yes = ready.getAsBoolean();
         return answer(yes ? 200 : 503, "text/plain; charset=utf-8", yes ? "ready\n" : "not ready\n", head);
--- a/frontend/src/main/java/quincespar/routing/Tally.java
+++ b/frontend/src/main/java/quincespar/routing/AttemptCounters.java
@@ -10,7 +10,7 @@
  * Counts what becomes of attempts and answers, by cause and class: which class loses how many attempts to what.
  * Names are few by construction: a fixed word, a cause from an enum, a class from the settings.
  */
-final class Tally {
+final class AttemptCounters {
     /** Engines come and go for as long as the program runs; beyond so many they are counted together. */
     static final int MOST_ENGINES = 256;
 
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -10,14 +10,14 @@
     private static final double CANCEL = 1000;
     private static final int MOST_BYTES = 48_000;
 
-    private final Turn turn;
+    private final StepContext turn;
     private final Requests requests;
-    private final Fleet fleet;
-    private final Tally tally;
-    private final Returning returning;
+    private final EngineRegistry fleet;
+    private final AttemptCounters tally;
+    private final RecoveryCoordinator returning;
     private Links links;
 
-    Attempts(Turn turn, Requests requests, Fleet fleet, Tally tally, Returning returning) {
+    Attempts(StepContext turn, Requests requests, EngineRegistry fleet, AttemptCounters tally, RecoveryCoordinator returning) {
         this.returning = returning;
         this.turn = turn;
         this.requests = requests;
@@ -71,23 +71,23 @@
 
     void send(OpenRequest r, Gateway.Send s) {
         boolean twice = r != null && (r.unsafe() && r.mayHaveRun()
-                || r.running() && !turn.site.module().limits().secondCopies());
+                || r.running() && !turn.site.decision().limits().secondCopies());
         if (r == null || r.over || twice) { // a load never twice, and never two at once
             turn.effect(new Effect.Log("the module's " + s + " was not carried out"));
             return;
         }
         double until = s.timeout() > 0 ? Math.min(r.until, turn.now + s.timeout()) : r.until;
         Attempt a = new Attempt(r, r.attempts.size(), s.engine(), turn.now, until,
-                r.beginBy() - turn.site.module().tick());
+                r.beginBy() - turn.site.decision().tick());
         r.attempts.add(a);
-        Fleet.Engine e = fleet.get(s.engine());
+        EngineRegistry.Engine e = fleet.get(s.engine());
         if (e == null || !e.ready() || turn.now >= a.beginBy) {
             end(a, Outcome.CONNECT_FAILED);
             return;
         }
-        turn.timer(new TimerKey.Attempt(a.key), until - turn.now);
+        turn.timer(new TimerKey.AttemptTimeout(a.key), until - turn.now);
         if (a.beginBy < until) {
-            turn.timer(new TimerKey.Begin(a.key), a.beginBy - turn.now);
+            turn.timer(new TimerKey.StartDeadline(a.key), a.beginBy - turn.now);
         }
         a.link = links.link(e, r.query.txn(), r.unsafe());
         if (a.link == null) {
@@ -166,12 +166,12 @@
         if (a.link != null) {
             tally.engine(a.link.engine.listed.id(), outcome.name());
         }
-        turn.stop(new TimerKey.Attempt(a.key));
+        turn.stop(new TimerKey.AttemptTimeout(a.key));
         if (a.beginBy < a.until) {
-            turn.stop(new TimerKey.Begin(a.key));
+            turn.stop(new TimerKey.StartDeadline(a.key));
         }
         if (a.givenUp != null) {
-            turn.stop(new TimerKey.GiveUp(a.key));
+            turn.stop(new TimerKey.CancelTimeout(a.key));
         }
         if (a.link != null && a.link.open.remove(a.txn(), a)) {
             // silent since before it was sent: what is sent next tries a new connection, which proves more
@@ -183,46 +183,46 @@
         requests.forget(a.request);
     }
 
-    void said(Input.Said x) {
+    void said(Input.EngineMessageReceived x) {
         Link l = links.get(x.link());
         if (l == null) {
             return;
         }
         l.heardAt = turn.now;
-        EngineNews news = x.news();
-        if (news instanceof EngineNews.Unreadable u) {
+        EngineMessage news = x.message();
+        if (news instanceof EngineMessage.Malformed u) {
             if (l.open.containsKey(u.id())) { // under an id that is not open it is no news, readable or not
-                links.drop(l, Links.MALFORMED + u.why());
+                links.drop(l, Links.MALFORMED + u.reason());
             }
             return;
         }
-        if (news instanceof EngineNews.Health h) {
-            links.probed(h.id(), h.fit(), h.load());
+        if (news instanceof EngineMessage.Health h) {
+            links.probed(h.id(), h.healthy(), h.load());
             return;
         }
         Attempt a = l.open.get(news.id());
         if (a == null) {
             return; // late: its attempt has ended, and nothing of it may pass for another's
         }
-        if (news instanceof EngineNews.Note n) {
+        if (news instanceof EngineMessage.Note n) {
             turn.event(new Gateway.Note(a.key.request(), a.key.attempt(), a.engine, n.kind(), n.value()));
-        } else if (news instanceof EngineNews.Done d) {
+        } else if (news instanceof EngineMessage.Done d) {
             done(a, d);
-        } else if (news instanceof EngineNews.Page p && a.done()) {
-            if (a.add(p.number(), p.page())) {
+        } else if (news instanceof EngineMessage.Page p && a.done()) {
+            if (a.add(p.number(), p.content())) {
                 serveIfWhole(a);
             } else {
                 links.drop(l, Links.MALFORMED + "page " + p.number() + " of " + a.pageCount());
             }
-        } else if (news instanceof EngineNews.Full f && !a.done()) { // said after DONE it proves nothing
+        } else if (news instanceof EngineMessage.Full f && !a.done()) { // said after DONE it proves nothing
             a.load = f.load();
             l.answered.add(a.txn());
             end(a, Outcome.FULL);
-        } else if (news instanceof EngineNews.Past p && !a.done()) {
+        } else if (news instanceof EngineMessage.Expired p && !a.done()) {
             a.load = p.load();
             l.answered.add(a.txn());
             end(a, Outcome.MOOT);
-        } else if (news instanceof EngineNews.Broke b) {
+        } else if (news instanceof EngineMessage.Failed b) {
             a.load = b.load().isEmpty() ? a.load : b.load();
             if (a.done()) {
                 turn.effect(new Effect.Release(l.id, news.id()));
@@ -247,17 +247,17 @@
     void cancel(Attempt a, Outcome as) {
         a.givenUp = as;
         a.link.abandoned.add(a.txn());
-        turn.timer(new TimerKey.GiveUp(a.key), CANCEL);
+        turn.timer(new TimerKey.CancelTimeout(a.key), CANCEL);
         turn.effect(new Effect.Cancel(a.link.id, a.key, a.txn()));
     }
 
-    void done(Attempt a, EngineNews.Done d) {
-        if (a.done() || a.givenUp != null && d.pages() > 1) {
+    void done(Attempt a, EngineMessage.Done d) {
+        if (a.done() || a.givenUp != null && d.pageCount() > 1) {
             return; // said twice; or given up meanwhile, and its further pages with it
         }
         a.load = d.load();
-        a.begin(d.pages(), d.page());
-        for (int p = 1; p < d.pages(); p++) {
+        a.begin(d.pageCount(), d.firstPage());
+        for (int p = 1; p < d.pageCount(); p++) {
             turn.effect(new Effect.ReadPage(a.link.id, d.id(), p));
         }
         serveIfWhole(a);
--- a/frontend/src/main/java/quincespar/routing/Fronts.java
+++ b/frontend/src/main/java/quincespar/routing/CallerConnections.java
@@ -7,38 +7,38 @@
 import java.util.Set;
 
 /** The clients' connections as the reducer sees them: what is open on each, and which could be spared. */
-final class Fronts {
+final class CallerConnections {
     /** A client's connection. */
-    static final class FrontLink {
+    static final class CallerConnection {
         final long id;
         final Set<OpenRequest> open = new LinkedHashSet<>();
 
-        FrontLink(long id) {
+        CallerConnection(long id) {
             this.id = id;
         }
     }
 
-    private final Map<Long, FrontLink> all = new HashMap<>();
+    private final Map<Long, CallerConnection> all = new HashMap<>();
     /** Those that have not asked anything yet, and those with nothing open: the longest so come first. */
-    private final Set<FrontLink> silent = new LinkedHashSet<>(), idle = new LinkedHashSet<>();
+    private final Set<CallerConnection> silent = new LinkedHashSet<>(), idle = new LinkedHashSet<>();
 
     int size() {
         return all.size();
     }
 
-    FrontLink get(long id) {
+    CallerConnection get(long id) {
         return all.get(id);
     }
 
     void up(long id) {
-        FrontLink f = new FrontLink(id);
+        CallerConnection f = new CallerConnection(id);
         if (all.putIfAbsent(id, f) == null) {
             silent.add(f);
         }
     }
 
     void opened(OpenRequest r) {
-        FrontLink f = all.computeIfAbsent(r.caller.connection(), FrontLink::new);
+        CallerConnection f = all.computeIfAbsent(r.caller.connection(), CallerConnection::new);
         silent.remove(f);
         idle.remove(f);
         f.open.add(r);
@@ -46,7 +46,7 @@
 
     /** True where this was the last one open on its connection. */
     boolean closed(OpenRequest r) {
-        FrontLink f = all.get(r.caller.connection());
+        CallerConnection f = all.get(r.caller.connection());
         if (f == null || !f.open.remove(r) || !f.open.isEmpty()) {
             return false;
         }
@@ -54,8 +54,8 @@
         return true;
     }
 
-    FrontLink remove(long id) {
-        FrontLink f = all.remove(id);
+    CallerConnection remove(long id) {
+        CallerConnection f = all.remove(id);
         silent.remove(f);
         idle.remove(f);
         return f;
@@ -66,8 +66,8 @@
      * longest so first; the newest itself only where all others have requests open.
      */
     long spare(long newest) {
-        for (Set<FrontLink> some : List.of(silent, idle)) {
-            for (FrontLink f : some) {
+        for (Set<CallerConnection> some : List.of(silent, idle)) {
+            for (CallerConnection f : some) {
                 if (f.id != newest) {
                     return f.id;
                 }
--- a/frontend/src/main/java/quincespar/routing/Front.java
+++ b/frontend/src/main/java/quincespar/routing/ClientProtocol.java
@@ -1,7 +1,7 @@
 package quincespar.routing;
 
 /** A protocol that clients speak. It posts what they ask as inputs and words the replies; it decides nothing. */
-public interface Front {
+public interface ClientProtocol {
     /** Words and queues the final answer; a caller that has gone is passed over. */
     void reply(Caller caller, Reply reply);
 
--- a/frontend/src/main/java/quincespar/routing/Roster.java
+++ b/frontend/src/main/java/quincespar/routing/ClusterState.java
@@ -4,32 +4,32 @@
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Outcome;
 import quincespar.membership.Membership;
-import quincespar.metrics.Figures;
-import quincespar.metrics.Ledger;
+import quincespar.metrics.MetricsSnapshot;
+import quincespar.metrics.MetricsRecorder;
 import quincespar.protocol.FleetEvent;
 
 /** Who there is and by which settings: the list of engines as the change log tells it, the other front ends, the settings. */
-final class Roster {
-    private final Turn turn;
-    private final Fleet fleet;
+final class ClusterState {
+    private final StepContext turn;
+    private final EngineRegistry fleet;
     private final Links links;
     private final Attempts attempts;
-    private final Ledger ledger;
+    private final MetricsRecorder ledger;
     private final Membership membership;
-    private final Fellows fellows;
-    private final Returning returning;
+    private final PeerShares fellows;
+    private final RecoveryCoordinator returning;
     private long reread;
 
-    Roster(Turn turn, Bounds bounds, Fleet fleet, Links links, Attempts attempts, Ledger ledger, Returning returning) {
+    ClusterState(StepContext turn, Bounds bounds, EngineRegistry fleet, Links links, Attempts attempts, MetricsRecorder ledger, RecoveryCoordinator returning) {
         this.returning = returning;
         this.turn = turn;
         this.fleet = fleet;
         this.links = links;
         this.attempts = attempts;
         this.ledger = ledger;
-        membership = new Membership(bounds.changes());
-        membership.grace(turn.site.module().rules().drainGrace());
-        fellows = new Fellows(turn.site);
+        membership = new Membership(bounds.polling());
+        membership.drainGraceMs(turn.site.decision().rules().drainGrace());
+        fellows = new PeerShares(turn.site);
     }
 
     void start(String changeLogAt, List<FleetEvent> known) {
@@ -41,23 +41,23 @@
     }
 
     double age(double time) {
-        return membership.age(time);
+        return membership.ageMs(time);
     }
 
-    void answered(Input.Changes x) {
-        follow(membership.answered(turn.now, x.serial(), x.seq(), x.events()));
+    void answered(Input.ChangesReceived x) {
+        follow(membership.answered(turn.now, x.pollId(), x.seq(), x.events()));
         returning.answered();
     }
 
-    void failed(Input.ChangesFailed x) {
-        follow(membership.failed(turn.now, x.serial(), x.how(), x.cause()));
+    void failed(Input.PollFailed x) {
+        follow(membership.failed(turn.now, x.pollId(), x.failure(), x.cause()));
     }
 
     void due(long changes) {
-        follow(membership.due(turn.now, changes));
+        follow(membership.timerFired(turn.now, changes));
     }
 
-    void news(Input.FleetNews x) {
+    void news(Input.FleetChanged x) {
         fellows.take(turn.now, x);
         returning.fleet(x.view());
         share();
@@ -72,48 +72,48 @@
     /** The configuration has been replaced; of several words at once the last counts. */
     void hangup() {
         reread = turn.number();
-        turn.effect(new Effect.Reread(reread));
+        turn.effect(new Effect.ReloadConfiguration(reread));
     }
 
-    void reconfigured(Input.Reconfigured x) {
-        if (x.serial() == reread) {
+    void reconfigured(Input.ConfigurationLoaded x) {
+        if (x.reloadId() == reread) {
             ledger.loaded();
-            turn.effect(new Effect.InForce(x.document()));
+            turn.effect(new Effect.ConfigurationAccepted(x.document()));
             // requests, links and the fleet stay as they are; the file may be replaced again soon, the last one counts
-            fellows.configured(x.site().following(turn.site));
+            fellows.configured(x.settings().keepingNumbersOf(turn.site));
             adopt(fellows.site());
-            follow(membership.moved(turn.now, x.changeLog()));
+            follow(membership.addressChanged(turn.now, x.changeLogAddress()));
         }
     }
 
-    void reconfigureFailed(Input.ReconfigureFailed x) {
-        if (x.serial() == reread) {
+    void reconfigureFailed(Input.ConfigurationRejected x) {
+        if (x.reloadId() == reread) {
             ledger.invalid();
             turn.effect(new Effect.Log("the configuration stays as it was: " + x.cause()));
         }
     }
 
     /** Carries out what following the change log takes, and passes on what it has told. */
-    private void follow(List<Membership.Act> acts) {
+    private void follow(List<Membership.Action> acts) {
         boolean news = false;
-        for (Membership.Act act : acts) {
-            if (act instanceof Membership.Ask a) {
-                turn.effect(new Effect.Poll(a.question(), a.address(), a.since(), a.waitMs(), a.connectMs()));
-            } else if (act instanceof Membership.Drop) {
-                turn.effect(new Effect.DropPoll());
-            } else if (act instanceof Membership.Await a) {
-                turn.timer(new TimerKey.Changes(a.serial()), a.delayMs());
-            } else if (act instanceof Membership.Forget a) {
-                turn.stop(new TimerKey.Changes(a.serial()));
-            } else if (act instanceof Membership.Learned a) {
+        for (Membership.Action act : acts) {
+            if (act instanceof Membership.Poll a) {
+                turn.effect(new Effect.PollChangeLog(a.pollId(), a.address(), a.afterEvent(), a.waitMs(), a.connectTimeoutMs()));
+            } else if (act instanceof Membership.CancelPoll) {
+                turn.effect(new Effect.CancelPoll());
+            } else if (act instanceof Membership.StartTimer a) {
+                turn.timer(new TimerKey.ChangeLogTimer(a.timerId()), a.delayMs());
+            } else if (act instanceof Membership.StopTimer a) {
+                turn.stop(new TimerKey.ChangeLogTimer(a.timerId()));
+            } else if (act instanceof Membership.EventReceived a) {
                 sayWhoLeaves(a);
                 turn.event(fleet.take(a.event(), a.removed(), turn.now));
                 news = true;
-            } else if (act instanceof Membership.Hold a) {
-                fleet.hold(a.on());
+            } else if (act instanceof Membership.HoldSends a) {
+                fleet.hold(a.held());
                 turn.event(fleet.adopt(turn.site));
                 news = true;
-            } else if (act instanceof Membership.Say a) {
+            } else if (act instanceof Membership.Log a) {
                 turn.effect(new Effect.Log(a.line()));
             }
         }
@@ -124,7 +124,7 @@
     }
 
     /** Engines that take nothing new from now on, with what is out there, before the event is taken. */
-    private void sayWhoLeaves(Membership.Learned a) {
+    private void sayWhoLeaves(Membership.EventReceived a) {
         for (FleetEvent.Member m : a.event().members()) {
             if (m.phase() != FleetEvent.Phase.UP) {
                 sayWhoLeaves(m, a.event().seq());
@@ -134,7 +134,7 @@
     }
 
     private void sayWhoLeaves(FleetEvent.Member m, long event) {
-        Fleet.Engine e = fleet.named(m.id());
+        EngineRegistry.Engine e = fleet.named(m.id());
         if (e != null && e.listed.phase() != m.phase()) {
             int open = e.links.stream().mapToInt(l -> l.open.size()).sum();
             turn.effect(new Effect.Log("server " + m.id() + ": " + e.listed.phase() + " -> " + m.phase() + " by event "
@@ -143,12 +143,12 @@
     }
 
     /** How the change log is followed, for what is reported. */
-    Figures.Watch watch() {
-        return new Figures.Watch(membership.seq(), Math.round(membership.age(turn.now)), membership.failures());
+    MetricsSnapshot.ChangeLogStatus watch() {
+        return new MetricsSnapshot.ChangeLogStatus(membership.lastEvent(), Math.round(membership.ageMs(turn.now)), membership.failureCount());
     }
 
     /** After news of an engine: nothing goes out to one that is not ready, and old processes' links end. */
-    private void review(Fleet.Engine e) {
+    private void review(EngineRegistry.Engine e) {
         for (Link l : List.copyOf(e.links)) {
             if (e.ready() && l.dialledAt < e.startedAt) {
                 links.drop(l, "to a process that has ended");
@@ -166,9 +166,9 @@
         adopt(fellows.site());
         double wait = fellows.dueMs(turn.now);
         if (wait < Double.POSITIVE_INFINITY) {
-            turn.timer(new TimerKey.Shares(), wait);
+            turn.timer(new TimerKey.ShareGrowth(), wait);
         } else {
-            turn.stop(new TimerKey.Shares());
+            turn.stop(new TimerKey.ShareGrowth());
         }
     }
 
@@ -181,14 +181,14 @@
     }
 
     /** New settings bind whole, in one step; where nothing in them is new, the module hears nothing. */
-    private void adopt(Site next) {
+    private void adopt(RoutingSettings next) {
         if (!next.equals(turn.site)) {
             turn.site = next;
-            membership.grace(next.module().rules().drainGrace());
+            membership.drainGraceMs(next.decision().rules().drainGrace());
             ledger.classes(turn.site.classNames());
             returning.classes(turn.site);
-            turn.effect(new Effect.Adopt(turn.site));
-            turn.event(new Gateway.Configured(turn.site.module(), turn.site.dropped()));
+            turn.effect(new Effect.ApplySettings(turn.site));
+            turn.event(new Gateway.Configured(turn.site.decision(), turn.site.droppedClasses()));
             turn.event(fleet.adopt(turn.site));
         }
     }
--- a/frontend/src/main/java/quincespar/routing/Effect.java
+++ b/frontend/src/main/java/quincespar/routing/Effect.java
@@ -14,13 +14,13 @@
     record AnswerHealth(Caller caller) implements Effect { }
 
     /** Close a client's connection, unless something has come on it that the reducer has not seen yet. */
-    record CloseCaller(long connection, String why) implements Effect { }
+    record CloseCaller(long connection, String cause) implements Effect { }
 
     /** Connect to an engine. */
     record OpenLink(long link, String address) implements Effect { }
 
     /** Close a link at once. */
-    record CloseLink(long link, String why) implements Effect { }
+    record CloseLink(long link, String cause) implements Effect { }
 
     /** Send an attempt, if {@code write} was not withdrawn when its first byte would go out. */
     record Send(long link, AttemptKey key, String txn, String queue, String idempotencyKey, long budgetMs, byte[] statement,
@@ -45,28 +45,28 @@
     record StopTimer(TimerKey key) implements Effect { }
 
     /** Ask the change log at an address for what came after an event; a new connection may take so long to come up. */
-    record Poll(long serial, String address, long since, long waitMs, double connectMs) implements Effect { }
+    record PollChangeLog(long pollId, String address, long afterEvent, long waitMs, double connectTimeoutMs) implements Effect { }
 
     /** Read the configuration again. */
-    record Reread(long serial) implements Effect { }
+    record ReloadConfiguration(long reloadId) implements Effect { }
 
     /** This document is the one in force: the next is held against it. */
-    record InForce(Map<String, Object> document) implements Effect { }
+    record ConfigurationAccepted(Map<String, Object> document) implements Effect { }
 
     /** New settings bind: requests are read by them from now on. */
-    record Adopt(Site site) implements Effect { }
+    record ApplySettings(RoutingSettings settings) implements Effect { }
 
     /** Give up what is asked of the change log. */
-    record DropPoll() implements Effect { }
+    record CancelPoll() implements Effect { }
 
-    /** Keep this on disk, in order; the request, where that is not 0, waits for {@link Input.Noted}. */
-    record Keep(Entry entry, long request) implements Effect { }
+    /** Keep this on disk, in order; the request, where that is not 0, waits for {@link Input.PersistFinished}. */
+    record PersistEntry(Entry entry, long request) implements Effect { }
 
-    /** Ask the fleet for what is agreed now; {@link Input.Agreed} is the answer. */
-    record AskFleet() implements Effect { }
+    /** Ask the fleet for what is agreed now; {@link Input.FleetStateReceived} is the answer. */
+    record FetchFleetState() implements Effect { }
 
     /** Something went wrong in here that ought not to: tell the operators, and go on. */
-    record Uncaught(String where, RuntimeException error) implements Effect { }
+    record UnexpectedError(String activity, RuntimeException error) implements Effect { }
 
     /** Tell the operators. */
     record Log(String line) implements Effect { }
--- a/frontend/src/main/java/quincespar/routing/Fleet.java
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -14,7 +14,7 @@
  * The engines by their id. Never by address: a new engine may take the address of one that has gone, and what
  * was sent to the old one must not be taken for the new one's.
  */
-final class Fleet {
+final class EngineRegistry {
     /** An engine, and the links to it. */
     static final class Engine {
         final long number;
@@ -39,14 +39,14 @@
     /** News of a start that comes later than this tells of an engine that is warm, or of clocks that differ. */
     private static final double LATEST_NEWS_MS = 30_000;
 
-    private final Returning returning;
-    private Site site;
+    private final RecoveryCoordinator returning;
+    private RoutingSettings site;
     private long revision;
     private final Map<Long, Engine> engines = new LinkedHashMap<>();
     private boolean listed;
     private boolean held;
 
-    Fleet(Site site, Returning returning) {
+    EngineRegistry(RoutingSettings site, RecoveryCoordinator returning) {
         this.returning = returning;
         this.site = site;
     }
@@ -105,7 +105,7 @@
     }
 
     /** The whole list again, as the names of these settings number zones and kinds. */
-    Gateway.Listed adopt(Site next) {
+    Gateway.Listed adopt(RoutingSettings next) {
         site = next;
         engines.values().forEach(e -> e.withheld = held || returning.withholds(e.listed));
         return new Gateway.Listed(Gateway.ListKind.FULL, revision, engines.values().stream()
--- a/frontend/src/main/java/quincespar/routing/Link.java
+++ b/frontend/src/main/java/quincespar/routing/Link.java
@@ -8,7 +8,7 @@
 /** A connection to an engine as the reducer sees it: what is open on it, by the engine's name for it. */
 final class Link {
     final long id;
-    final Fleet.Engine engine;
+    final EngineRegistry.Engine engine;
     final double dialledAt;
     final Map<String, Attempt> open = new LinkedHashMap<>();
     final Set<String> probes = new HashSet<>();
@@ -20,7 +20,7 @@
     boolean suspect;
     double heardAt;
 
-    Link(long id, Fleet.Engine engine, double now) {
+    Link(long id, EngineRegistry.Engine engine, double now) {
         this.id = id;
         this.engine = engine;
         dialledAt = now;
--- a/frontend/src/main/java/quincespar/routing/Links.java
+++ b/frontend/src/main/java/quincespar/routing/Links.java
@@ -18,15 +18,15 @@
 
     private final Map<Long, Link> byId = new LinkedHashMap<>();
     private final Map<String, Link> probes = new LinkedHashMap<>();
-    private final Turn turn;
+    private final StepContext turn;
     private final Bounds bounds;
     private final Attempts attempts;
-    private final Fleet fleet;
-    private final Tally tally;
+    private final EngineRegistry fleet;
+    private final AttemptCounters tally;
     /** Whether an engine's answer has ever come spoilt: it may again. */
     private boolean spoilt;
 
-    Links(Turn turn, Bounds bounds, Attempts attempts, Fleet fleet, Tally tally) {
+    Links(StepContext turn, Bounds bounds, Attempts attempts, EngineRegistry fleet, AttemptCounters tally) {
         this.turn = turn;
         this.bounds = bounds;
         this.attempts = attempts;
@@ -59,9 +59,9 @@
     /** An engine's message on it has begun and not ended, or has ended. */
     void midway(long id, boolean unfinished) {
         if (byId.containsKey(id) && unfinished) {
-            turn.timer(new TimerKey.Midway(id), bounds.midwayMs());
+            turn.timer(new TimerKey.PartialMessage(id), bounds.partialMessageMs());
         } else if (byId.containsKey(id)) {
-            turn.stop(new TimerKey.Midway(id));
+            turn.stop(new TimerKey.PartialMessage(id));
         }
     }
 
@@ -98,10 +98,10 @@
      * one while others are to be had, and what may not run twice goes alone, as it would be lost; but only once an
      * answer has come spoilt: over a large fleet that is nearly twice the links, and each costs a handshake.
      */
-    Link link(Fleet.Engine e, String txn, boolean alone) {
+    Link link(EngineRegistry.Engine e, String txn, boolean alone) {
         Link best = null;
         for (Link l : e.links) {
-            boolean usable = l.open.size() < turn.site.streams() && !l.open.containsKey(txn);
+            boolean usable = l.open.size() < turn.site.maxStreamsPerLink() && !l.open.containsKey(txn);
             if (usable && l.abandoned.contains(txn)) {
                 return l;
             }
@@ -109,18 +109,18 @@
                 best = l;
             }
         }
-        if ((best == null || shared(best) >= (alone && spoilt ? 1 : bounds.sharedPerLink()))
-                && e.links.size() < bounds.linksPerEngine()) {
+        if ((best == null || shared(best) >= (alone && spoilt ? 1 : bounds.maxSharedPerLink()))
+                && e.links.size() < bounds.maxLinksPerEngine()) {
             best = new Link(turn.number(), e, turn.now);
             e.links.add(best);
             byId.put(best.id, best);
             tally.engine(e.listed.id(), "links");
             turn.effect(new Effect.OpenLink(best.id, e.listed.address()));
-            turn.timer(new TimerKey.Connect(best.id), Math.max(LEAST_CONNECT,
-                    turn.site.module().limits().connectTimeout()));
+            turn.timer(new TimerKey.ConnectTimeout(best.id), Math.max(LEAST_CONNECT,
+                    turn.site.decision().limits().connectTimeout()));
         }
         if (best != null) {
-            turn.stop(new TimerKey.Idle(best.id));
+            turn.stop(new TimerKey.LinkIdle(best.id));
         }
         return best;
     }
@@ -128,7 +128,7 @@
     /** How much is lost if the link ends; one that carries what may not run twice is full. */
     private int shared(Link l) {
         boolean dear = spoilt && l.open.values().stream().anyMatch(a -> a.request.unsafe());
-        return l.open.size() + (dear ? bounds.sharedPerLink() : 0);
+        return l.open.size() + (dear ? bounds.maxSharedPerLink() : 0);
     }
 
     private void up(Link l) {
@@ -136,7 +136,7 @@
             l.up = true;
             l.heardAt = turn.now;
             fleet.met(l.engine);
-            turn.stop(new TimerKey.Connect(l.id));
+            turn.stop(new TimerKey.ConnectTimeout(l.id));
             List.copyOf(l.open.values()).forEach(attempts::write);
             l.probes.forEach(tag -> turn.effect(new Effect.Probe(l.id, tag)));
             rest(l);
@@ -151,9 +151,9 @@
         }
         byId.remove(l.id);
         l.engine.links.remove(l);
-        turn.stop(new TimerKey.Connect(l.id));
-        turn.stop(new TimerKey.Idle(l.id));
-        turn.stop(new TimerKey.Midway(l.id));
+        turn.stop(new TimerKey.ConnectTimeout(l.id));
+        turn.stop(new TimerKey.LinkIdle(l.id));
+        turn.stop(new TimerKey.PartialMessage(l.id));
         for (Attempt a : List.copyOf(l.open.values())) {
             if (!attempts.withdraw(a, Outcome.CONNECT_FAILED)) {
                 attempts.end(a, a.givenUp != null ? a.givenUp : a.done() ? Outcome.ERROR : Outcome.RESET);
@@ -177,10 +177,10 @@
             return;
         }
         // a suspect one stays for a retry of what was cancelled there, which must come in behind its cancel
-        turn.timer(new TimerKey.Idle(l.id), l.suspect ? SUSPECT : IDLE_SHARE * turn.site.idleMs());
+        turn.timer(new TimerKey.LinkIdle(l.id), l.suspect ? SUSPECT : IDLE_SHARE * turn.site.linkIdleMs());
     }
 
-    void probe(Fleet.Engine e) {
+    void probe(EngineRegistry.Engine e) {
         Link l = e == null ? null : link(e, "", false);
         String tag = "p" + turn.number();
         if (l == null) {
@@ -188,7 +188,7 @@
         }
         l.probes.add(tag);
         probes.put(tag, l);
-        turn.timer(new TimerKey.Probe(tag), PROBE);
+        turn.timer(new TimerKey.ProbeTimeout(tag), PROBE);
         if (l.up) {
             turn.effect(new Effect.Probe(l.id, tag));
         }
@@ -198,7 +198,7 @@
         Link l = probes.remove(tag);
         if (l != null) {
             l.probes.remove(tag);
-            turn.stop(new TimerKey.Probe(tag));
+            turn.stop(new TimerKey.ProbeTimeout(tag));
             turn.event(new Gateway.Probed(l.engine.number, fit, 0, load));
             rest(l);
         }
--- a/frontend/src/main/java/quincespar/routing/Fellows.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -4,37 +4,37 @@
 import quincespar.fleet.Shares;
 
 /** What is known of the other front ends, and among how many of them the engines are shared; nothing while there is no fleet. */
-final class Fellows {
+final class PeerShares {
     private Shares shares;
-    private Site configured;
+    private RoutingSettings configured;
     private FleetView view = FleetView.NONE;
     private String self = "";
 
-    Fellows(Site site) {
+    PeerShares(RoutingSettings site) {
         configured = site;
     }
 
     /** These settings are configured from now on. */
-    void configured(Site next) {
-        if (shares != null && (next.module().routers() != configured.module().routers()
-                || next.module().me() != configured.module().me())) {
-            shares = new Shares(next.module().routers(), next.module().me(), shares.holdMs());
+    void configured(RoutingSettings next) {
+        if (shares != null && (next.decision().routers() != configured.decision().routers()
+                || next.decision().me() != configured.decision().me())) {
+            shares = new Shares(next.decision().routers(), next.decision().me(), shares.holdMs());
         }
         configured = next;
     }
 
     /** The configured settings, among as many as are known to be there. */
-    Site site() {
+    RoutingSettings site() {
         return shares == null ? configured : configured.among(shares.share().among(), shares.share().place());
     }
 
     /** News of the fleet. */
-    void take(double now, Input.FleetNews news) {
+    void take(double now, Input.FleetChanged news) {
         if (shares == null) {
-            shares = new Shares(configured.module().routers(), configured.module().me(), news.holdMs());
+            shares = new Shares(configured.decision().routers(), configured.decision().me(), news.shareHoldMs());
         }
         view = news.view();
-        self = news.self();
+        self = news.instanceName();
         shares.step(now, view, self);
     }
 
--- a/frontend/src/main/java/quincespar/routing/Returning.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
@@ -14,10 +14,10 @@
 import quincespar.recovery.Terms;
 
 /** The reducer's holder of a return from a loss of power: carries out what {@link Recovery} wants. Where there is none, nothing is held back. */
-final class Returning {
+final class RecoveryCoordinator {
     private static final int DIGEST_BYTES = 8;
 
-    private final Turn turn;
+    private final StepContext turn;
     /** Null where nothing of this is on. */
     private final Recovery recovery;
     private final boolean notesLoads;
@@ -25,17 +25,17 @@
     private boolean relist;
     private boolean news = true;
     private long unkept;
-    private Returned report;
+    private RecoveryReport report;
 
-    Returning(Turn turn, Recovery recovery, boolean notesLoads) {
+    RecoveryCoordinator(StepContext turn, Recovery recovery, boolean notesLoads) {
         this.turn = turn;
         this.recovery = recovery;
         this.notesLoads = notesLoads;
     }
 
     /** Classes as a return needs them. */
-    static List<Terms> terms(Site site) {
-        return site.module().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(),
+    static List<Terms> terms(RoutingSettings site) {
+        return site.decision().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(),
                 c.aim())).toList();
     }
 
@@ -50,9 +50,9 @@
             if (act instanceof Act.Await a) {
                 turn.timer(new TimerKey.Recovery(a.number()), a.ms());
             } else if (act instanceof Act.AskFleet) {
-                turn.effect(new Effect.AskFleet());
+                turn.effect(new Effect.FetchFleetState());
             } else if (act instanceof Act.Keep a) {
-                turn.effect(new Effect.Keep(a.entry(), 0));
+                turn.effect(new Effect.PersistEntry(a.entry(), 0));
             } else if (act instanceof Act.Say a) {
                 turn.effect(new Effect.Log("recovery: " + a.line()));
             } else if (act instanceof Act.Relist) {
@@ -67,11 +67,11 @@
         }
     }
 
-    void read(Input.KeptRead x) {
-        perform(recovery.read(turn.now, x.found(), x.entries(), x.why()));
+    void read(Input.RecoveryLogRead x) {
+        perform(recovery.read(turn.now, x.finding(), x.entries(), x.reason()));
     }
 
-    void agreed(Input.Agreed x) {
+    void agreed(Input.FleetStateReceived x) {
         perform(recovery.agreed(turn.now, x.state()));
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    void classes(Site site) {
+    void classes(RoutingSettings site) {
         if (on()) {
             recovery.classes(terms(site));
             news = true;
@@ -136,11 +136,11 @@
 
     /** What a request that may not go yet is told: when to come back, as far as the settings let a client be told; NaN where it may go. */
     double turnsAway(Query q) {
-        double wait = on() ? recovery.waitMs(turn.now, q.cls(), q.tables()) : 0;
+        double wait = on() ? recovery.waitMs(turn.now, q.classNumber(), q.tables()) : 0;
         if (wait <= 0) {
             return Double.NaN;
         }
-        Gateway.Limits l = turn.site.module().limits();
+        Gateway.Limits l = turn.site.decision().limits();
         double back = recovery.comeBackMs(wait, q.txn());
         return !l.retryAfter() ? 0 : l.maxRetryAfter() > 0 ? Math.min(back, l.maxRetryAfter()) : back;
     }
@@ -150,13 +150,13 @@
         return on() && notesLoads && r.unsafe();
     }
 
-    /** It may run once {@link Input.Noted} has come for it. */
+    /** It may run once {@link Input.PersistFinished} has come for it. */
     void begins(OpenRequest r) {
         Query q = r.query;
-        Entry.Begun e = recovery.begun(q.txn(), q.cls(), turn.site.module().tenants().get(q.tenant()).name(), digest(q.statement()), q.tables(),
-                q.limitMs(), Math.round(turn.now));
+        Entry.Begun e = recovery.begun(q.txn(), q.classNumber(), turn.site.decision().tenants().get(q.tenantNumber()).name(), digest(q.statement()), q.tables(),
+                q.timeoutMs(), Math.round(turn.now));
         recovery.note(e); // the effect below carries it, with who waits for it
-        turn.effect(new Effect.Keep(e, r.id));
+        turn.effect(new Effect.PersistEntry(e, r.id));
     }
 
     private static String digest(byte[] statement) {
@@ -167,7 +167,7 @@
         }
     }
 
-    void sent(OpenRequest r, Fleet.Engine e) {
+    void sent(OpenRequest r, EngineRegistry.Engine e) {
         if (notes(r)) {
             perform(recovery.note(new Entry.SentTo(r.query.txn(), e.listed.id())));
         }
@@ -202,10 +202,10 @@
     }
 
     /** As it stands; the same object while nothing has changed. Null where nothing of this is on. */
-    Returned report() {
+    RecoveryReport report() {
         if (on() && news) {
             news = false;
-            report = new Returned(recovery.view(turn.now), List.copyOf(recovery.kept().doubtful()), unkept);
+            report = new RecoveryReport(recovery.view(turn.now), List.copyOf(recovery.kept().doubtful()), unkept);
         }
         return report;
     }
--- a/frontend/src/main/java/quincespar/routing/Returned.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryReport.java
@@ -10,4 +10,4 @@
  * @param doubtful loads that may have run before the loss
  * @param unkept loads that went out though the disk did not take that they may run
  */
-public record Returned(Recovery.View view, List<Kept.Load> doubtful, long unkept) { }
+public record RecoveryReport(Recovery.View view, List<Kept.Load> doubtfulLoads, long unpersistedLoads) { }
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -5,54 +5,54 @@
 import java.util.Map;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Action;
-import quincespar.metrics.Figures;
-import quincespar.metrics.Ledger;
+import quincespar.metrics.MetricsSnapshot;
+import quincespar.metrics.MetricsRecorder;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.Recovery;
 import quincespar.recovery.Terms;
 
 /**
  * The one place where inputs are handed on to who holds the state that they change ({@link Requests}, {@link Attempts},
- * {@link Links}, {@link Roster}): tells the module of them as its events, turns the module's actions into effects. It
+ * {@link Links}, {@link ClusterState}): tells the module of them as its events, turns the module's actions into effects. It
  * decides nothing that the module decides; it keeps the rules that need sockets to be seen. One thread calls it, and it
  * does no reading or writing itself.
  */
 public final class Reducer {
-    private final Turn turn;
+    private final StepContext turn;
     private final Gateway gateway;
-    private final Fleet fleet;
+    private final EngineRegistry fleet;
     private final Requests requests;
     private final Attempts attempts;
     private final Links links;
-    private final Roster roster;
-    private final Returning returning;
-    private final Tally tally = new Tally();
-    private final Ledger ledger = new Ledger();
+    private final ClusterState roster;
+    private final RecoveryCoordinator returning;
+    private final AttemptCounters tally = new AttemptCounters();
+    private final MetricsRecorder ledger = new MetricsRecorder();
     private double decidedAt;
     private boolean tickAsked;
 
     /** A reducer round one module. */
-    public Reducer(Site site, Bounds bounds, Gateway gateway) {
+    public Reducer(RoutingSettings site, Bounds bounds, Gateway gateway) {
         this(site, bounds, gateway, null, false);
     }
 
     /** One that returns from a loss of power, null where none is looked for; {@code notesLoads} where loads wait for the disk. */
-    public Reducer(Site site, Bounds bounds, Gateway gateway, Recovery recovery, boolean notesLoads) {
+    public Reducer(RoutingSettings site, Bounds bounds, Gateway gateway, Recovery recovery, boolean notesLoads) {
         this.gateway = gateway;
-        turn = new Turn(site);
-        returning = new Returning(turn, recovery, notesLoads);
-        fleet = new Fleet(site, returning);
+        turn = new StepContext(site);
+        returning = new RecoveryCoordinator(turn, recovery, notesLoads);
+        fleet = new EngineRegistry(site, returning);
         ledger.classes(site.classNames());
         requests = new Requests(turn, bounds, ledger, returning);
         attempts = new Attempts(turn, requests, fleet, tally, returning);
         links = new Links(turn, bounds, attempts, fleet, tally);
         attempts.over(links);
-        roster = new Roster(turn, bounds, fleet, links, attempts, ledger, returning);
+        roster = new ClusterState(turn, bounds, fleet, links, attempts, ledger, returning);
     }
 
     /** A site's classes as a return from a loss of power needs them. */
-    public static List<Terms> terms(Site site) {
-        return Returning.terms(site);
+    public static List<Terms> recoveryTerms(RoutingSettings site) {
+        return RecoveryCoordinator.terms(site);
     }
 
     /** The first step: the events of the start, and the first question to the change log. */
@@ -75,7 +75,7 @@
             try {
                 take(i);
             } catch (RuntimeException e) { // one input that fails must not lose the rest of its batch
-                turn.effect(new Effect.Uncaught("taking " + i.getClass().getSimpleName(), e));
+                turn.effect(new Effect.UnexpectedError("taking " + i.getClass().getSimpleName(), e));
             }
         }
         roster.relist();
@@ -83,7 +83,7 @@
     }
 
     /** Requests that are owed an answer. */
-    public int open() {
+    public int openRequests() {
         return requests.open();
     }
 
@@ -93,8 +93,8 @@
     }
 
     /** What is reported of the front end, as it stands after the last step. */
-    public Figures figures() {
-        return ledger.figures(requests.open(), fleet.listed(), gateway.avoided(), roster.watch());
+    public MetricsSnapshot metrics() {
+        return ledger.snapshot(requests.open(), fleet.listed(), gateway.avoided(), roster.watch());
     }
 
     /** Whether the change log has answered whole since the start: until then the list may be an old one. */
@@ -103,12 +103,12 @@
     }
 
     /** Milliseconds since the change log last answered whole. */
-    public double listAge(double time) {
+    public double listAgeMs(double time) {
         return roster.age(time);
     }
 
     /** What became of attempts and requests, by cause and class, for the counters. */
-    public Map<String, Long> tally() {
+    public Map<String, Long> attemptCounters() {
         return tally.all();
     }
 
@@ -116,17 +116,17 @@
      * What was sent and how it ended by engine, and links: {@code links} opened, {@code refused}, and
      * {@code unreached} in time. Counts since the start, as {@code id.what}; may be asked for on any thread.
      */
-    public Map<String, Long> engines() {
+    public Map<String, Long> engineCounters() {
         return tally.engines();
     }
 
     /** Where a return from a loss of power stands, null where none is looked for; the same while nothing has changed. */
-    public Returned returned() {
+    public RecoveryReport recoveryReport() {
         return returning.report();
     }
 
     /** What is held, by name, for the counters. */
-    public Map<String, Integer> held() {
+    public Map<String, Integer> retainedCounts() {
         Map<String, Integer> out = new LinkedHashMap<>();
         requests.held(out);
         links.held(out);
@@ -139,11 +139,11 @@
      * and asked at each input it would fill the one core, so that answers come late.
      */
     private List<Effect> decide() {
-        double wait = decidedAt + turn.site.module().tick() - turn.now;
+        double wait = decidedAt + turn.site.decision().tick() - turn.now;
         if (turn.eventful() && wait > 0) {
             if (!tickAsked) {
                 tickAsked = true;
-                turn.timer(new TimerKey.Tick(), wait);
+                turn.timer(new TimerKey.DecisionTick(), wait);
             }
             return turn.effects();
         }
@@ -152,16 +152,16 @@
             try {
                 gateway.decide(turn.now, turn.events()).forEach(this::carryOut);
             } catch (RuntimeException e) { // what is open then still has its timers
-                turn.effect(new Effect.Uncaught("deciding", e));
+                turn.effect(new Effect.UnexpectedError("deciding", e));
             }
         }
         return turn.effects();
     }
 
     private void take(Input i) {
-        if (i instanceof Input.Asked x) {
+        if (i instanceof Input.RequestReceived x) {
             requests.asked(x);
-        } else if (i instanceof Input.Said x) {
+        } else if (i instanceof Input.EngineMessageReceived x) {
             attempts.said(x);
         } else if (i instanceof Input.TimerFired x) {
             fired(x.key());
@@ -173,46 +173,46 @@
             links.up(x.link());
         } else if (i instanceof Input.LinkDown x) {
             links.down(x.link(), x.cause());
-        } else if (i instanceof Input.Midway x) {
-            links.midway(x.link(), x.unfinished());
-        } else if (i instanceof Input.Withdrawn x) {
+        } else if (i instanceof Input.PartialMessage x) {
+            links.midway(x.link(), x.pending());
+        } else if (i instanceof Input.RequestCancelled x) {
             requests.left(x.caller());
-        } else if (i instanceof Input.CallerGone x) {
+        } else if (i instanceof Input.CallerDisconnected x) {
             requests.gone(x.connection());
-        } else if (i instanceof Input.CallerUp x) {
+        } else if (i instanceof Input.CallerConnected x) {
             requests.callerUp(x.connection());
-        } else if (i instanceof Input.CallerStays x) {
+        } else if (i instanceof Input.CallerNotClosed x) {
             requests.callerStays(x.connection());
-        } else if (i instanceof Input.HealthAsked x) {
+        } else if (i instanceof Input.HealthRequested x) {
             turn.effect(new Effect.AnswerHealth(x.caller()));
-        } else if (i instanceof Input.Changes x) {
+        } else if (i instanceof Input.ChangesReceived x) {
             roster.answered(x);
-        } else if (i instanceof Input.ChangesFailed x) {
+        } else if (i instanceof Input.PollFailed x) {
             roster.failed(x);
-        } else if (i instanceof Input.FleetNews x) {
+        } else if (i instanceof Input.FleetChanged x) {
             roster.news(x);
-        } else if (i instanceof Input.Places x) {
-            requests.places(x.callers());
-        } else if (i instanceof Input.EndsAt x) {
+        } else if (i instanceof Input.CallerLimitChanged x) {
+            requests.places(x.maxCallers());
+        } else if (i instanceof Input.ShutdownScheduled x) {
             requests.endsAt(x.time());
-        } else if (i instanceof Input.TurnsAway) {
+        } else if (i instanceof Input.RefuseNewRequests) {
             requests.turnsAway();
-        } else if (i instanceof Input.Hangup) {
+        } else if (i instanceof Input.ReloadRequested) {
             roster.hangup();
-        } else if (i instanceof Input.Reconfigured x) {
+        } else if (i instanceof Input.ConfigurationLoaded x) {
             roster.reconfigured(x);
-        } else if (i instanceof Input.Noted x) {
-            returning.noted(x.kept());
+        } else if (i instanceof Input.PersistFinished x) {
+            returning.noted(x.durable());
             requests.noted(requests.get(x.request()));
-        } else if (i instanceof Input.KeptRead x) {
+        } else if (i instanceof Input.RecoveryLogRead x) {
             returning.read(x);
-        } else if (i instanceof Input.Agreed x) {
+        } else if (i instanceof Input.FleetStateReceived x) {
             returning.agreed(x);
-        } else if (i instanceof Input.Acknowledged x) {
+        } else if (i instanceof Input.LoadAcknowledged x) {
             returning.acknowledged(x.txn());
-        } else if (i instanceof Input.Allowed x) {
+        } else if (i instanceof Input.EngineAllowed x) {
             returning.allowed(x.engine());
-        } else if (i instanceof Input.ReconfigureFailed x) {
+        } else if (i instanceof Input.ConfigurationRejected x) {
             roster.reconfigureFailed(x);
         }
     }
@@ -227,7 +227,7 @@
         } else if (action instanceof Gateway.Cancel a) {
             attempts.cut(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.why());
         } else if (action instanceof Gateway.SetTimer a) {
-            turn.timer(new TimerKey.Module(a.token(), turn.number()), a.delay());
+            turn.timer(new TimerKey.Gateway(a.token(), turn.number()), a.delay());
         } else if (action instanceof Gateway.Probe a) {
             links.probe(fleet.get(a.engine()));
         } else if (!(action instanceof Gateway.Watch || action instanceof Gateway.Fetch)) {
@@ -237,33 +237,33 @@
     }
 
     private void fired(TimerKey key) {
-        if (key instanceof TimerKey.Tick) {
+        if (key instanceof TimerKey.DecisionTick) {
             tickAsked = false;
-        } else if (key instanceof TimerKey.Module k) {
+        } else if (key instanceof TimerKey.Gateway k) {
             turn.event(new Gateway.Timer(k.token()));
-        } else if (key instanceof TimerKey.Attempt k) {
+        } else if (key instanceof TimerKey.AttemptTimeout k) {
             attempts.due(requests.attempt(k.key()));
-        } else if (key instanceof TimerKey.Begin k) {
+        } else if (key instanceof TimerKey.StartDeadline k) {
             attempts.beginDue(requests.attempt(k.key()));
-        } else if (key instanceof TimerKey.GiveUp k) {
+        } else if (key instanceof TimerKey.CancelTimeout k) {
             attempts.cancelDue(requests.attempt(k.key()));
-        } else if (key instanceof TimerKey.Request k) {
+        } else if (key instanceof TimerKey.RequestDeadline k) {
             requests.due(requests.get(k.id()));
-        } else if (key instanceof TimerKey.Connect k) {
+        } else if (key instanceof TimerKey.ConnectTimeout k) {
             links.connectDue(k.link());
-        } else if (key instanceof TimerKey.Idle k) {
+        } else if (key instanceof TimerKey.LinkIdle k) {
             links.idleDue(k.link());
-        } else if (key instanceof TimerKey.Midway k) {
+        } else if (key instanceof TimerKey.PartialMessage k) {
             links.midwayDue(k.link());
-        } else if (key instanceof TimerKey.Front k) {
+        } else if (key instanceof TimerKey.CallerIdle k) {
             requests.frontDue(k.connection());
-        } else if (key instanceof TimerKey.Probe k) {
+        } else if (key instanceof TimerKey.ProbeTimeout k) {
             links.probed(k.tag(), false, List.of());
-        } else if (key instanceof TimerKey.Changes k) {
-            roster.due(k.serial());
+        } else if (key instanceof TimerKey.ChangeLogTimer k) {
+            roster.due(k.timerId());
         } else if (key instanceof TimerKey.Recovery k) {
             returning.due(k.number());
-        } else if (key instanceof TimerKey.Shares) {
+        } else if (key instanceof TimerKey.ShareGrowth) {
             roster.sharesDue();
         }
     }
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import quincespar.decision.Gateway;
-import quincespar.metrics.Ledger;
+import quincespar.metrics.MetricsRecorder;
 
 /** Requests from when they are taken until they are answered and nothing of them is out, and the clients that they are from. */
 final class Requests {
@@ -18,23 +18,23 @@
     private final Map<Caller, OpenRequest> callers = new LinkedHashMap<>();
     /** By the client's name for it, until nothing of it is out: an engine knows it by that name only. */
     private final Map<String, OpenRequest> names = new HashMap<>();
-    private final Fronts fronts = new Fronts();
-    private final Turn turn;
+    private final CallerConnections fronts = new CallerConnections();
+    private final StepContext turn;
     private final Bounds bounds;
-    private final Ledger ledger;
-    private final Returning returning;
+    private final MetricsRecorder ledger;
+    private final RecoveryCoordinator returning;
     private Attempts attempts;
     private int places;
     private boolean turnsAway;
     /** When this process ends, whatever is open then. */
     private double endsAt = Double.POSITIVE_INFINITY;
 
-    Requests(Turn turn, Bounds bounds, Ledger ledger, Returning returning) {
+    Requests(StepContext turn, Bounds bounds, MetricsRecorder ledger, RecoveryCoordinator returning) {
         this.returning = returning;
         this.turn = turn;
         this.bounds = bounds;
         this.ledger = ledger;
-        places = bounds.callers();
+        places = bounds.maxCallers();
     }
 
     void with(Attempts ofThese) {
@@ -65,7 +65,7 @@
 
     void endsAt(double time) {
         endsAt = time;
-        callers.values().forEach(r -> turn.timer(new TimerKey.Request(r.id), Math.min(r.last, endsAt) - turn.now));
+        callers.values().forEach(r -> turn.timer(new TimerKey.RequestDeadline(r.id), Math.min(r.last, endsAt) - turn.now));
     }
 
     void held(Map<String, Integer> out) {
@@ -91,7 +91,7 @@
 
     /** A client's connection has had nothing open for a while, or has not yet said anything. */
     void frontDue(long connection) {
-        Fronts.FrontLink f = fronts.get(connection);
+        CallerConnections.CallerConnection f = fronts.get(connection);
         if (f != null && f.open.isEmpty()) {
             closeCaller(connection, "nothing open");
         }
@@ -99,7 +99,7 @@
 
     void callerUp(long connection) {
         fronts.up(connection);
-        turn.timer(new TimerKey.Front(connection), bounds.firstWordMs());
+        turn.timer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
         if (fronts.size() > places) {
             long spare = fronts.spare(connection);
             closeCaller(spare, spare == connection ? "too many connections" : "its place is needed");
@@ -109,7 +109,7 @@
     /** It was to be closed and was not: taken anew, with its time for a first word; the place is another's to make. */
     void callerStays(long connection) {
         fronts.up(connection);
-        turn.timer(new TimerKey.Front(connection), bounds.firstWordMs());
+        turn.timer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
     }
 
     void closeCaller(long connection, String why) {
@@ -118,39 +118,39 @@
     }
 
     void gone(long connection) {
-        turn.stop(new TimerKey.Front(connection));
-        Fronts.FrontLink f = fronts.remove(connection);
+        turn.stop(new TimerKey.CallerIdle(connection));
+        CallerConnections.CallerConnection f = fronts.remove(connection);
         if (f != null) {
             List.copyOf(f.open).forEach(r -> left(r.caller));
         }
     }
 
-    void asked(Input.Asked x) {
+    void asked(Input.RequestReceived x) {
         Query q = x.query();
         if (callers.containsKey(x.caller()) || names.containsKey(q.txn())) {
             // an engine would take the one for the other, and so might we take its answer
-            tell(x.caller(), q.cls(), new Reply.Failed());
+            tell(x.caller(), q.classNumber(), new Reply.Failed());
             return;
         }
-        if (turnsAway || callers.size() >= bounds.requests()) { // before it is known to anyone: it never ran
-            tell(x.caller(), q.cls(), new Reply.Refused(0));
+        if (turnsAway || callers.size() >= bounds.maxRequests()) { // before it is known to anyone: it never ran
+            tell(x.caller(), q.classNumber(), new Reply.Refused(0));
             return;
         }
         double back = returning.turnsAway(q);
         if (!Double.isNaN(back)) { // it never ran either
-            tell(x.caller(), q.cls(), new Reply.Refused(back));
+            tell(x.caller(), q.classNumber(), new Reply.Refused(back));
             return;
         }
-        double margin = Math.min(MARGIN, q.limitMs() / 10);
-        double last = Math.min(x.at() + q.limitMs() - Math.min(LAST, margin / 4), endsAt);
-        OpenRequest r = new OpenRequest(turn.number(), x.caller(), q, turn.site.module().classes().get(q.cls()),
-                Math.min(x.at() + q.limitMs(), endsAt) - margin, last);
+        double margin = Math.min(MARGIN, q.timeoutMs() / 10);
+        double last = Math.min(x.receivedAt() + q.timeoutMs() - Math.min(LAST, margin / 4), endsAt);
+        OpenRequest r = new OpenRequest(turn.number(), x.caller(), q, turn.site.decision().classes().get(q.classNumber()),
+                Math.min(x.receivedAt() + q.timeoutMs(), endsAt) - margin, last);
         byId.put(r.id, r);
         callers.put(r.caller, r);
         names.put(q.txn(), r);
         fronts.opened(r);
-        turn.stop(new TimerKey.Front(r.caller.connection()));
-        turn.timer(new TimerKey.Request(r.id), last - turn.now);
+        turn.stop(new TimerKey.CallerIdle(r.caller.connection()));
+        turn.timer(new TimerKey.RequestDeadline(r.id), last - turn.now);
         r.parked = returning.notes(r);
         if (r.parked) {
             returning.begins(r);
@@ -161,8 +161,8 @@
 
     private void tellModule(OpenRequest r) {
         Query q = r.query;
-        turn.event(new Gateway.Request(r.id, q.cls(), q.tenant(), Math.max(0, r.until - turn.now), q.work(),
-                q.memory(), q.tables(), 0, q.repeat(), r.spec.loads()));
+        turn.event(new Gateway.Request(r.id, q.classNumber(), q.tenantNumber(), Math.max(0, r.until - turn.now), q.work(),
+                q.memory(), q.tables(), 0, q.retry(), r.spec.loads()));
     }
 
     /** It is on disk now that this request may run; the module may send it. */
@@ -187,15 +187,15 @@
         if (r != null && !r.over) {
             turn.trace(() -> "request " + r.query.txn() + " of " + r.spec.name() + ": " + reply.getClass().getSimpleName()
                     + " after " + r.attempts.size() + " attempts" + r.attempts.stream().map(a -> " " + a.outcome).toList());
-            tell(r.caller, r.query.cls(), reply);
+            tell(r.caller, r.query.classNumber(), reply);
             close(r);
         }
     }
 
     /** The one place where a request gets its final answer. */
     void tell(Caller caller, int cls, Reply reply) {
-        ledger.ended(cls, reply instanceof Reply.Served ? Ledger.End.ANSWERED
-                : reply instanceof Reply.Refused ? Ledger.End.DEFERRED : Ledger.End.ERRORED);
+        ledger.ended(cls, reply instanceof Reply.Served ? MetricsRecorder.FinalAnswer.ANSWERED
+                : reply instanceof Reply.Refused ? MetricsRecorder.FinalAnswer.DEFERRED : MetricsRecorder.FinalAnswer.ERRORED);
         turn.effect(new Effect.Answer(caller, reply));
     }
 
@@ -203,9 +203,9 @@
         r.over = true;
         callers.remove(r.caller);
         if (fronts.closed(r)) {
-            turn.timer(new TimerKey.Front(r.caller.connection()), bounds.idleClientMs());
+            turn.timer(new TimerKey.CallerIdle(r.caller.connection()), bounds.callerIdleMs());
         }
-        turn.stop(new TimerKey.Request(r.id));
+        turn.stop(new TimerKey.RequestDeadline(r.id));
         attempts.withdraw(r);
         forget(r);
     }
--- a/frontend/src/main/java/quincespar/routing/Site.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -15,8 +15,8 @@
  * @param classes the numbers of the classes that a request may name; the module's list may hold more, which were dropped
  * @param tenants the numbers of the tenants, alike
  */
-public record Site(Gateway.Settings module, List<String> zones, List<String> kinds, double idleMs, int streams,
-        Map<String, Integer> classes, Map<String, Integer> tenants) {
+public record RoutingSettings(Gateway.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs, int maxStreamsPerLink,
+        Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
     private static final double IDLE = 15_000;
     private static final int STREAMS = 100;
 
@@ -24,10 +24,10 @@
      * Reads pairs of path and value, as the adapter does; throws {@link IllegalArgumentException}. The protocol has no words
      * between front ends: a module that may use them would count on what nobody has told it.
      */
-    public static Site of(Map<String, String> pairs) {
+    public static RoutingSettings of(Map<String, String> pairs) {
         SettingsParser settings = new SettingsParser(pairs);
         Gateway.Settings module = settings.settings().unheard();
-        return new Site(module, settings.words("localities"), settings.words("kinds"),
+        return new RoutingSettings(module, settings.words("localities"), settings.words("kinds"),
                 aboveZero(settings.number("limits.connIdle", IDLE), IDLE),
                 (int) aboveZero(settings.number("limits.maxStreams", STREAMS), STREAMS),
                 numbers(module.classes(), Gateway.ClassSpec::name), numbers(module.tenants(), Gateway.Tenant::name));
@@ -46,20 +46,20 @@
      * These settings after those of {@code before}: what both know keeps the number that it has there, what is new comes
      * behind, and what was dropped keeps its place with its last terms, for the requests that are still open.
      */
-    public Site following(Site before) {
-        List<Gateway.ClassSpec> specs = merged(before.module.classes(), module.classes(), Gateway.ClassSpec::name);
-        List<Gateway.Tenant> shops = merged(before.module.tenants(), module.tenants(), Gateway.Tenant::name);
+    public RoutingSettings keepingNumbersOf(RoutingSettings before) {
+        List<Gateway.ClassSpec> specs = merged(before.decision.classes(), decision.classes(), Gateway.ClassSpec::name);
+        List<Gateway.Tenant> shops = merged(before.decision.tenants(), decision.tenants(), Gateway.Tenant::name);
         Map<String, Integer> named = new HashMap<>(numbers(specs, Gateway.ClassSpec::name));
-        named.keySet().retainAll(classes.keySet());
+        named.keySet().retainAll(classNumbers.keySet());
         Map<String, Integer> known = new HashMap<>(numbers(shops, Gateway.Tenant::name));
-        known.keySet().retainAll(tenants.keySet());
-        return new Site(module.with(specs, shops), zones, kinds, idleMs, streams, Map.copyOf(named), Map.copyOf(known));
+        known.keySet().retainAll(tenantNumbers.keySet());
+        return new RoutingSettings(decision.with(specs, shops), zones, kinds, linkIdleMs, maxStreamsPerLink, Map.copyOf(named), Map.copyOf(known));
     }
 
     /** The same among so many front ends, as the one with this number. */
-    Site among(int howMany, int number) {
-        Gateway.Settings m = module.among(howMany, number);
-        return m == module ? this : new Site(m, zones, kinds, idleMs, streams, classes, tenants);
+    RoutingSettings among(int howMany, int number) {
+        Gateway.Settings m = decision.among(howMany, number);
+        return m == decision ? this : new RoutingSettings(m, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
     }
 
     private static <T> List<T> merged(List<T> before, List<T> next, Function<T, String> name) {
@@ -72,10 +72,10 @@
     }
 
     /** The numbers of the classes that were dropped. */
-    public List<Integer> dropped() {
+    public List<Integer> droppedClasses() {
         List<Integer> out = new ArrayList<>();
-        for (int i = 0; i < module.classes().size(); i++) {
-            if (!classes.containsKey(module.classes().get(i).name())) {
+        for (int i = 0; i < decision.classes().size(); i++) {
+            if (!classNumbers.containsKey(decision.classes().get(i).name())) {
                 out.add(i);
             }
         }
@@ -84,7 +84,7 @@
 
     /** The names of all classes by number, dropped ones too. */
     public List<String> classNames() {
-        return module.classes().stream().map(Gateway.ClassSpec::name).toList();
+        return decision.classes().stream().map(Gateway.ClassSpec::name).toList();
     }
 
     private static double aboveZero(double n, double absent) {
--- a/frontend/src/main/java/quincespar/routing/Turn.java
+++ b/frontend/src/main/java/quincespar/routing/StepContext.java
@@ -6,14 +6,14 @@
 import quincespar.decision.Gateway.Event;
 
 /** What all holders of state share: the time of the step, the settings in force, and what the step has brought about so far. */
-final class Turn {
+final class StepContext {
     double now;
-    Site site;
+    RoutingSettings site;
     private List<Effect> effects = new ArrayList<>();
     private List<Event> events = new ArrayList<>();
     private long serial;
 
-    Turn(Site site) {
+    StepContext(RoutingSettings site) {
         this.site = site;
     }
 
--- a/frontend/src/test/java/quincespar/membership/MembershipModelTest.java
+++ b/frontend/src/test/java/quincespar/membership/MembershipModelTest.java
@@ -27,7 +27,7 @@
 class MembershipModelTest {
     /** What the change log has to tell counts as told no later than this afterwards. */
     private static final double TOLD = 7000;
-    private static final Pace PACE = new Pace(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
+    private static final PollTiming PACE = new PollTiming(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
 
     /** What may happen; the number beside it in a step chooses which engine, question or timer. */
     private enum Op {
@@ -71,19 +71,19 @@
             return history.stream().filter(e -> e.seq() > from).toList();
         }
 
-        void perform(List<Membership.Act> acts) {
-            for (Membership.Act act : acts) {
-                if (act instanceof Membership.Ask a) {
-                    open.add(new Question(a.question(), a.address(), a.since()));
-                } else if (act instanceof Membership.Drop) {
+        void perform(List<Membership.Action> acts) {
+            for (Membership.Action act : acts) {
+                if (act instanceof Membership.Poll a) {
+                    open.add(new Question(a.pollId(), a.address(), a.afterEvent()));
+                } else if (act instanceof Membership.CancelPoll) {
                     old.addAll(open);
                     open.clear();
-                } else if (act instanceof Membership.Await a) {
-                    timers.put(a.serial(), now + a.delayMs());
-                } else if (act instanceof Membership.Forget a) {
-                    timers.remove(a.serial());
-                    stopped.add(a.serial());
-                } else if (act instanceof Membership.Learned a) {
+                } else if (act instanceof Membership.StartTimer a) {
+                    timers.put(a.timerId(), now + a.delayMs());
+                } else if (act instanceof Membership.StopTimer a) {
+                    timers.remove(a.timerId());
+                    stopped.add(a.timerId());
+                } else if (act instanceof Membership.EventReceived a) {
                     assertThat(learned.add(a.event().seq())).as("event " + a.event().seq() + " told twice").isTrue();
                 }
             }
@@ -94,7 +94,7 @@
             Map.Entry<Long, Double> first = timers.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow();
             timers.remove(first.getKey());
             now = Math.max(now, first.getValue());
-            perform(membership.due(now, first.getKey()));
+            perform(membership.timerFired(now, first.getKey()));
         }
 
         /** Takes the question that is out, which is then answered or fails; its number may be an old one's. */
@@ -121,11 +121,11 @@
                     List<FleetEvent> all = since(q.since());
                     answer(q, seq, all.subList(0, Math.min(all.size(), s.pick() % 3)));
                 }
-                case HALF_ANSWER -> perform(membership.failed(now, take().number(), Failure.UNANSWERED, "half an answer"));
+                case HALF_ANSWER -> perform(membership.failed(now, take().number(), PollFailure.NO_ANSWER, "half an answer"));
                 case RESET -> {
                     Question q = take();
-                    perform(membership.failed(now, q.number(), Failure.values()[s.pick() % 4], "reset"));
-                    perform(membership.failed(now, q.number(), Failure.UNANSWERED, "closed")); // and the end of the connection besides
+                    perform(membership.failed(now, q.number(), PollFailure.values()[s.pick() % 4], "reset"));
+                    perform(membership.failed(now, q.number(), PollFailure.NO_ANSWER, "closed")); // and the end of the connection besides
                 }
                 case SILENCE -> nextTimer();
                 case MOVE -> move(s.pick());
@@ -137,12 +137,12 @@
                     if (!old.isEmpty()) { // what the old address knew then, which may be less
                         Question q = old.get(s.pick() % old.size());
                         noNews(membership.answered(now, q.number(), seq, since(q.since()).stream().limit(1).toList()));
-                        noNews(membership.failed(now, q.number(), Failure.UNANSWERED, "closed by the peer"));
+                        noNews(membership.failed(now, q.number(), PollFailure.NO_ANSWER, "closed by the peer"));
                     }
                 }
                 case STALE_TIMER -> {
                     if (!stopped.isEmpty()) { // it had fired when it was stopped
-                        noNews(membership.due(now, stopped.get(s.pick() % stopped.size())));
+                        noNews(membership.timerFired(now, stopped.get(s.pick() % stopped.size())));
                     }
                 }
                 case TIME -> now += s.pick();
@@ -152,13 +152,13 @@
         }
 
         /** What comes late of an earlier question or wait changes nothing. */
-        private static void noNews(List<Membership.Act> acts) {
+        private static void noNews(List<Membership.Action> acts) {
             assertThat(acts).isEmpty();
         }
 
         void move(int pick) {
             address = "a:" + (1 + pick % 3);
-            perform(membership.moved(now, address));
+            perform(membership.addressChanged(now, address));
         }
 
         /** The program starts anew, with what the configuration's file knew: perhaps not the latest. */
@@ -190,11 +190,11 @@
 
         void check(String after) {
             assertThat(membership.members()).as(after).containsExactlyInAnyOrderElementsOf(
-                    told(membership.seq()).values());
+                    told(membership.lastEvent()).values());
             assertThat(timers).as("one wait runs after " + after).hasSize(1);
             assertThat(open.size()).as("no two questions are out after " + after).isLessThanOrEqualTo(1);
-            if (membership.phase() == Membership.Phase.ASKING) {
-                assertThat(membership.age(now)).as(after).isNotNegative();
+            if (membership.phase() == Membership.Phase.POLLING) {
+                assertThat(membership.ageMs(now)).as(after).isNotNegative();
             }
         }
 
@@ -203,7 +203,7 @@
             long last = history.get(history.size() - 1).seq();
             double until = now + TOLD;
             open.clear();
-            while (membership.seq() < last) {
+            while (membership.lastEvent() < last) {
                 if (open.isEmpty()) {
                     nextTimer();
                 } else {
--- a/frontend/src/test/java/quincespar/metrics/FiguresTest.java
+++ b/frontend/src/test/java/quincespar/metrics/MetricsTest.java
@@ -5,42 +5,42 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FiguresTest {
-    private static final Figures.Watch WATCH = new Figures.Watch(7, 350, 3);
+class MetricsTest {
+    private static final MetricsSnapshot.ChangeLogStatus WATCH = new MetricsSnapshot.ChangeLogStatus(7, 350, 3);
 
-    private final Ledger ledger = new Ledger();
+    private final MetricsRecorder ledger = new MetricsRecorder();
 
     @Test
     void everyClassHasItsRowsFromZeroOnAndADroppedOneKeepsThem() {
         ledger.classes(List.of("lookup", "load"));
-        assertThat(ledger.figures(0, 0, 0, WATCH).transactions()).containsOnlyKeys("lookup", "load");
-        ledger.ended(0, Ledger.End.ANSWERED);
-        ledger.ended(1, Ledger.End.DEFERRED);
+        assertThat(ledger.snapshot(0, 0, 0, WATCH).transactions()).containsOnlyKeys("lookup", "load");
+        ledger.ended(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        ledger.ended(1, MetricsRecorder.FinalAnswer.DEFERRED);
         ledger.classes(List.of("lookup", "load", "report"));
-        ledger.ended(1, Ledger.End.ERRORED);
-        assertThat(ledger.figures(0, 0, 0, WATCH).transactions()).containsEntry("lookup", new Figures.Row(1, 0, 0))
-                .containsEntry("load", new Figures.Row(0, 1, 1)).containsEntry("report", new Figures.Row(0, 0, 0));
+        ledger.ended(1, MetricsRecorder.FinalAnswer.ERRORED);
+        assertThat(ledger.snapshot(0, 0, 0, WATCH).transactions()).containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
+                .containsEntry("load", new MetricsSnapshot.AnswerCounts(0, 1, 1)).containsEntry("report", new MetricsSnapshot.AnswerCounts(0, 0, 0));
     }
 
     @Test
     void aViewDoesNotChangeWithWhatIsCountedLater() {
         ledger.classes(List.of("lookup"));
-        Figures before = ledger.figures(1, 2, 1, WATCH);
-        ledger.ended(0, Ledger.End.ANSWERED);
+        MetricsSnapshot before = ledger.snapshot(1, 2, 1, WATCH);
+        ledger.ended(0, MetricsRecorder.FinalAnswer.ANSWERED);
         ledger.sent();
-        assertThat(before.transactions().get("lookup")).isEqualTo(new Figures.Row(0, 0, 0));
+        assertThat(before.transactions().get("lookup")).isEqualTo(new MetricsSnapshot.AnswerCounts(0, 0, 0));
         assertThat(before.sends()).isZero();
     }
 
     @Test
     void theTextHasEachMetricWithHelpAndTypeAndEscapedLabels() {
         ledger.classes(List.of("a\"b\\c\nd"));
-        ledger.ended(0, Ledger.End.ERRORED);
+        ledger.ended(0, MetricsRecorder.FinalAnswer.ERRORED);
         ledger.sent();
         ledger.loaded();
         ledger.invalid();
         ledger.invalid();
-        assertThat(Exposition.text(ledger.figures(14, 6, 2, WATCH)).lines()).containsExactly(
+        assertThat(PrometheusText.text(ledger.snapshot(14, 6, 2, WATCH)).lines()).containsExactly(
                 "# HELP gw_transactions_total Requests that got their final answer, by class: served, refused, failed.",
                 "# TYPE gw_transactions_total counter",
                 "gw_transactions_total{group=\"a\\\"b\\\\c\\nd\",state=\"answered\"} 0",
--- a/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
+++ b/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
@@ -34,7 +34,7 @@
         assertThat(check(GOOD)).isInstanceOf(ConfigurationCheck.Good.class);
         String more = GOOD.replace("\"tick\":5", "\"tick\":5,\"further\":[1]").replace("[{\"name\":\"lookup\"",
                 "[{\"name\":\"new\",\"slo\":1,\"hardLimit\":2,\"effect\":\"keyed\"},{\"name\":\"lookup\"");
-        assertThat(((ConfigurationCheck.Good) check(more)).configuration().site().classes()).containsOnlyKeys("new", "lookup",
+        assertThat(((ConfigurationCheck.Good) check(more)).configuration().site().classNumbers()).containsOnlyKeys("new", "lookup",
                 "load");
     }
 
--- a/frontend/src/test/java/quincespar/program/clients/ThriftFrontTest.java
+++ b/frontend/src/test/java/quincespar/program/clients/ThriftFrontTest.java
@@ -20,7 +20,7 @@
 import quincespar.program.runtime.Counters;
 import quincespar.protocol.thrift.FrontCodec;
 import quincespar.routing.Input;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
 
@@ -36,7 +36,7 @@
         loop = new EventLoop("test");
         listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         listener.bind();
-        Site site = Site.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.name", "lookup",
+        RoutingSettings site = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.name", "lookup",
                 "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
         new ThriftFront(loop, listener, site, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
     }
@@ -66,7 +66,7 @@
 
     private List<Input> next() throws InterruptedException {
         List<Input> together = posted.take();
-        return together.get(0) instanceof Input.CallerUp ? posted.take() : together;
+        return together.get(0) instanceof Input.CallerConnected ? posted.take() : together;
     }
 
     /** Read one after the other, its requests would be sent on before it is seen that it has gone. */
@@ -78,7 +78,7 @@
             }
         }
         loop.start();
-        assertThat(next()).singleElement().isInstanceOf(Input.CallerGone.class);
+        assertThat(next()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
     }
 
     /** The same with a reset in place of an end. */
@@ -89,7 +89,7 @@
         c.setSoLinger(true, 0);
         c.close();
         loop.start();
-        assertThat(next()).singleElement().isInstanceOf(Input.CallerGone.class);
+        assertThat(next()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
     }
 
     /** Taken in two batches, the request could be sent on in between. */
@@ -102,7 +102,7 @@
             System.arraycopy(cancel, 0, both, call.length, cancel.length);
             c.getOutputStream().write(both);
             loop.start();
-            assertThat(next()).hasSize(2).first().isInstanceOf(Input.Asked.class);
+            assertThat(next()).hasSize(2).first().isInstanceOf(Input.RequestReceived.class);
         }
     }
 }
--- a/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
+++ b/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Timeout;
 import quincespar.routing.Effect;
 import quincespar.routing.Input;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.transport.EventLoop;
 
 @Timeout(30)
 class EngineLinksTest {
     private static final String ANSWER = "*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$7\r\ncount=1\r\n$2\r\nx\n\r\n";
 
-    private static final Site SITE = Site.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.slo", "800",
+    private static final RoutingSettings SITE = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.slo", "800",
             "requestClasses.0.hardLimit", "4000"));
 
     /** An engine whose messages come one into the other is never between two: each must have its own time. */
@@ -37,15 +37,15 @@
                 String half = ANSWER.substring(0, 20);
                 String rest = ANSWER.substring(20);
                 engine.getOutputStream().write(half.getBytes(StandardCharsets.US_ASCII));
-                assertThat(posted.take()).isEqualTo(new Input.Midway(1, true));
+                assertThat(posted.take()).isEqualTo(new Input.PartialMessage(1, true));
                 for (int i = 0; i < 3; i++) {
                     engine.getOutputStream().write((rest + half).getBytes(StandardCharsets.US_ASCII));
-                    assertThat(posted.take()).isInstanceOf(Input.Said.class);
-                    assertThat(posted.take()).isEqualTo(new Input.Midway(1, true));
+                    assertThat(posted.take()).isInstanceOf(Input.EngineMessageReceived.class);
+                    assertThat(posted.take()).isEqualTo(new Input.PartialMessage(1, true));
                 }
                 engine.getOutputStream().write(rest.getBytes(StandardCharsets.US_ASCII));
-                assertThat(posted.take()).isInstanceOf(Input.Said.class);
-                assertThat(posted.take()).isEqualTo(new Input.Midway(1, false));
+                assertThat(posted.take()).isInstanceOf(Input.EngineMessageReceived.class);
+                assertThat(posted.take()).isEqualTo(new Input.PartialMessage(1, false));
             }
         } finally {
             loop.end();
--- a/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
@@ -37,22 +37,22 @@
         return heard.poll(20, TimeUnit.SECONDS);
     }
 
-    private Input.KeptRead read() throws InterruptedException {
-        return (Input.KeptRead) next();
+    private Input.RecoveryLogRead read() throws InterruptedException {
+        return (Input.RecoveryLogRead) next();
     }
 
     @Test
     void whatWasNotedIsThereAtTheNextStartAndASecondProcessWaits() throws InterruptedException {
         KeptFolder one = open("a");
-        assertThat(read().found()).isEqualTo(Trust.Finding.LOST);
+        assertThat(read().finding()).isEqualTo(Trust.Finding.LOST);
         one.add(new Entry.Life("a", 1), 0);
         one.add(load("x"), 7);
-        assertThat(next()).isEqualTo(new Input.Noted(7, true));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(7, true));
         KeptFolder two = open("a");
         one.add(load("y"), 8);
-        assertThat(next()).isEqualTo(new Input.Noted(8, true)); // the second reads nothing meanwhile
+        assertThat(next()).isEqualTo(new Input.PersistFinished(8, true)); // the second reads nothing meanwhile
         one.close(20_000);
-        assertThat(read()).isEqualTo(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x"), load("y")), ""));
+        assertThat(read()).isEqualTo(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x"), load("y")), ""));
         assertThat(one.counts().entries()).isEqualTo(3);
         two.close(20_000);
     }
@@ -66,9 +66,9 @@
         one.close(20_000);
         byte[] before = Files.readAllBytes(folder.resolve("kept"));
         KeptFolder two = open("b");
-        assertThat(read().found()).isEqualTo(Trust.Finding.ANOTHERS);
+        assertThat(read().finding()).isEqualTo(Trust.Finding.ANOTHERS);
         two.add(load("z"), 9);
-        assertThat(next()).isEqualTo(new Input.Noted(9, false));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(9, false));
         two.close(20_000);
         assertThat(Files.readAllBytes(folder.resolve("kept"))).isEqualTo(before);
     }
@@ -87,15 +87,15 @@
         bad[bad.length / 2] ^= 1;
         Files.write(folder.resolve("kept"), bad);
         KeptFolder two = open("a");
-        Input.KeptRead r = read();
-        assertThat(r.found()).isEqualTo(Trust.Finding.CORRUPT);
+        Input.RecoveryLogRead r = read();
+        assertThat(r.finding()).isEqualTo(Trust.Finding.CORRUPT);
         assertThat(r.entries()).startsWith(new Entry.Life("a", 1)).hasSizeLessThan(3);
         two.add(load("z"), 3);
-        assertThat(next()).isEqualTo(new Input.Noted(3, true));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         two.close(20_000);
         assertThat(Files.readAllBytes(folder.resolve("kept-spoilt"))).isEqualTo(bad);
         KeptFolder three = open("a"); // written anew, it is whole
-        assertThat(read().found()).isEqualTo(Trust.Finding.WHOLE);
+        assertThat(read().finding()).isEqualTo(Trust.Finding.WHOLE);
         three.close(20_000);
     }
 
@@ -111,12 +111,12 @@
         Files.createDirectory(folder.resolve("kept")); // a folder can't be read as a file
         KeptFolder two = open("a");
         two.add(load("y"), 2);
-        assertThat(next()).isEqualTo(new Input.Noted(2, false));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(2, false));
         Files.delete(folder.resolve("kept"));
         Files.move(folder.resolve("whole"), folder.resolve("kept"));
-        assertThat(read()).isEqualTo(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x")), ""));
+        assertThat(read()).isEqualTo(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x")), ""));
         two.add(load("z"), 3);
-        assertThat(next()).isEqualTo(new Input.Noted(3, true));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         two.close(20_000);
         open("a").close(20_000);
         assertThat(read().entries()).containsExactly(new Entry.Life("a", 1), load("x"), load("y"), load("z"));
@@ -130,9 +130,9 @@
         KeptFolder one = open("a");
         read();
         one.add(load("x"), 1);
-        assertThat(next()).isEqualTo(new Input.Noted(1, false));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(1, false));
         one.add(load("y"), 2);
-        assertThat(next()).isEqualTo(new Input.Noted(2, false));
+        assertThat(next()).isEqualTo(new Input.PersistFinished(2, false));
         assertThat(said).hasSize(1);
         Files.delete(folder.resolve("kept.next"));
         while (one.counts().forces() == 0) {
--- a/frontend/src/test/java/quincespar/routing/FellowsTest.java
+++ b/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
@@ -12,16 +12,16 @@
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
-import quincespar.membership.Pace;
-import quincespar.routing.RouterWorld.Spec;
+import quincespar.membership.PollTiming;
+import quincespar.routing.SimulatedRouter.Spec;
 
 /** The module hears of the number of front ends by one event, and a file taken at SIGHUP does not undo what the fleet knows. */
-class FellowsTest {
+class PeerSharesTest {
     private static final double HOLD = 10_000;
 
     private final List<Gateway.Configured> told = new ArrayList<>();
-    private final Reducer reducer = new Reducer(RouterWorld.site(3, new Spec("a", "safe")), new Bounds(100, 1000, 2000, 2500, 8,
-            8, 500, new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (now, events) -> {
+    private final Reducer reducer = new Reducer(SimulatedRouter.site(3, new Spec("a", "safe")), new Bounds(100, 1000, 2000, 2500, 8,
+            8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (now, events) -> {
                 events.stream().filter(Gateway.Configured.class::isInstance).map(Gateway.Configured.class::cast)
                         .forEach(told::add);
                 return List.of();
@@ -40,7 +40,7 @@
             all.add(new Instance(n, all.size() + 1, "", "", false, "t", Standing.SERVING, Standing.SERVING, 0, 0, 0,
                     new Result.Done()));
         }
-        step(new Input.FleetNews(new FleetView(Participation.Phase.IN_TOUCH, "", 1, new Snapshot(1, 1, 0, 9, all, List.of(),
+        step(new Input.FleetChanged(new FleetView(Participation.Phase.IN_TOUCH, "", 1, new Snapshot(1, 1, 0, 9, all, List.of(),
                 List.of()), now, inTouch), "b", HOLD));
     }
 
@@ -58,15 +58,15 @@
         assertThat(told).hasSize(1); // no news to the module
         news(true, "b", "c");
         assertThat(routers()).isEqualTo(3);
-        assertThat(last).contains(new Effect.StartTimer(new TimerKey.Shares(), HOLD));
+        assertThat(last).contains(new Effect.StartTimer(new TimerKey.ShareGrowth(), HOLD));
         now += HOLD;
-        step(new Input.TimerFired(new TimerKey.Shares()));
+        step(new Input.TimerFired(new TimerKey.ShareGrowth()));
         assertThat(routers()).isEqualTo(2);
         assertThat(told.get(told.size() - 1).settings().me()).isZero();
-        step(new Input.Hangup());
-        long serial = last.stream().filter(Effect.Reread.class::isInstance).mapToLong(e -> ((Effect.Reread) e).serial())
+        step(new Input.ReloadRequested());
+        long serial = last.stream().filter(Effect.ReloadConfiguration.class::isInstance).mapToLong(e -> ((Effect.ReloadConfiguration) e).reloadId())
                 .findFirst().orElseThrow();
-        step(new Input.Reconfigured(serial, "127.0.0.1:1", RouterWorld.site(3, new Spec("a", "safe"), new Spec("n", "safe")),
+        step(new Input.ConfigurationLoaded(serial, "127.0.0.1:1", SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("n", "safe")),
                 java.util.Map.of()));
         assertThat(routers()).isEqualTo(2);
         assertThat(told.get(told.size() - 1).settings().classes()).hasSize(2);
--- a/frontend/src/test/java/quincespar/routing/ReturningTest.java
+++ b/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
@@ -9,21 +9,21 @@
 import quincespar.recovery.Pace;
 import quincespar.recovery.Recovery;
 import quincespar.recovery.Trust;
-import quincespar.routing.RouterWorld.Spec;
+import quincespar.routing.SimulatedRouter.Spec;
 
 /** What a return from a loss of power holds back in the reducer, and that a load goes out only once it is on disk that it may run. */
-class ReturningTest {
-    private static final Site SITE = RouterWorld.site(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
+class RecoveryCoordinatorTest {
+    private static final RoutingSettings SITE = SimulatedRouter.site(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
 
-    private final RouterWorld world = new RouterWorld(SITE, new Recovery(new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
-            Reducer.terms(SITE)));
+    private final SimulatedRouter world = new SimulatedRouter(SITE, new Recovery(new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
+            Reducer.recoveryTerms(SITE)));
 
-    private List<Effect.Keep> kept() {
-        return world.all.stream().filter(Effect.Keep.class::isInstance).map(Effect.Keep.class::cast).toList();
+    private List<Effect.PersistEntry> kept() {
+        return world.all.stream().filter(Effect.PersistEntry.class::isInstance).map(Effect.PersistEntry.class::cast).toList();
     }
 
     private void read(Entry... entries) {
-        world.step(new Input.KeptRead(Trust.Finding.WHOLE, List.of(entries), ""));
+        world.step(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(entries), ""));
     }
 
     /** The next wait of the return is over. */
@@ -38,7 +38,7 @@
         for (int i = 0; i < 5; i++) {
             due();
         }
-        assertThat(world.reducer.returned().view().phase()).isEqualTo(Recovery.Phase.FULL);
+        assertThat(world.reducer.recoveryReport().view().phase()).isEqualTo(Recovery.Phase.FULL);
     }
 
     @Test
@@ -60,16 +60,16 @@
     void aLoadGoesOutOnceItIsOnDiskThatItMayRun() {
         full();
         Caller load = world.ask("load");
-        Effect.Keep begun = kept().get(kept().size() - 1);
+        Effect.PersistEntry begun = kept().get(kept().size() - 1);
         assertThat(begun.entry()).isInstanceOf(Entry.Begun.class);
         assertThat(world.sends).isEmpty();
-        world.step(new Input.Noted(begun.request(), true));
+        world.step(new Input.PersistFinished(begun.request(), true));
         assertThat(world.sends).hasSize(1);
         assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.SentTo.class);
         world.settle();
         assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
         assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new Entry.Ended(((Entry.Begun) begun.entry()).txn()));
-        assertThat(world.reducer.held().get("held.requests")).isZero();
+        assertThat(world.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
     @Test
@@ -77,45 +77,45 @@
         full();
         Caller load = world.ask("load");
         long waiting = kept().get(kept().size() - 1).request();
-        world.step(new Input.Withdrawn(load));
+        world.step(new Input.RequestCancelled(load));
         assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.Ended.class);
-        world.step(new Input.Noted(waiting, true));
+        world.step(new Input.PersistFinished(waiting, true));
         world.settle();
         assertThat(world.sends).isEmpty();
-        assertThat(world.reducer.held().get("held.requests")).isZero();
+        assertThat(world.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
     @Test
     void aDiskThatRefusesHoldsNothingUpAndIsTold() {
         full();
         Caller load = world.ask("load");
-        world.step(new Input.Noted(kept().get(kept().size() - 1).request(), false));
+        world.step(new Input.PersistFinished(kept().get(kept().size() - 1).request(), false));
         world.settle();
         assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(world.reducer.returned().unkept()).isEqualTo(1);
+        assertThat(world.reducer.recoveryReport().unpersistedLoads()).isEqualTo(1);
     }
 
     /** The configuration's list has both as up; one had drained before the loss. */
     @Test
     void anEngineThatHadDrainedTakesNothingUntilNewsOfIt() {
         read(new Entry.Left("s-1", 0));
-        assertThat(world.reducer.returned().view().withheld()).isEqualTo(1);
+        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
         }
         assertThat(world.out.values()).isNotEmpty();
         world.settle();
-        assertThat(world.reducer.engines().keySet()).noneMatch(k -> k.startsWith("s-1."));
-        world.changes(RouterWorld.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
-        assertThat(world.reducer.returned().view().withheld()).isEqualTo(1);
-        world.changes(RouterWorld.member("s-1", Phase.UP));
-        assertThat(world.reducer.returned().view().withheld()).isZero();
-        world.step(new Input.Allowed("s-2"));
+        assertThat(world.reducer.engineCounters().keySet()).noneMatch(k -> k.startsWith("s-1."));
+        world.changes(SimulatedRouter.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
+        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        world.changes(SimulatedRouter.member("s-1", Phase.UP));
+        assertThat(world.reducer.recoveryReport().view().withheld()).isZero();
+        world.step(new Input.EngineAllowed("s-2"));
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
         }
         world.settle();
-        assertThat(world.reducer.engines().keySet()).anyMatch(k -> k.startsWith("s-1."));
+        assertThat(world.reducer.engineCounters().keySet()).anyMatch(k -> k.startsWith("s-1."));
     }
 
     /** Both engines count as cold here, as of their first connection, however long this process has run before it. */
@@ -133,11 +133,11 @@
 
     @Test
     void withoutAReturnNothingIsKeptOrHeldBack() {
-        RouterWorld off = new RouterWorld(SITE);
+        SimulatedRouter off = new SimulatedRouter(SITE);
         Caller load = off.ask("load");
         off.settle();
         assertThat(off.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(off.all).noneMatch(e -> e instanceof Effect.Keep || e instanceof Effect.AskFleet);
-        assertThat(off.reducer.returned()).isNull();
+        assertThat(off.all).noneMatch(e -> e instanceof Effect.PersistEntry || e instanceof Effect.FetchFleetState);
+        assertThat(off.reducer.recoveryReport()).isNull();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Outcome;
-import quincespar.membership.Failure;
-import quincespar.membership.Pace;
+import quincespar.membership.PollFailure;
+import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
 import quincespar.protocol.FleetEvent.Phase;
 
@@ -36,7 +36,7 @@
             pairs.putAll(Map.of("requestClasses." + c + ".slo", "800", "requestClasses." + c + ".hardLimit", "4000",
                     "requestClasses." + c + ".effect", c == 0 ? "safe" : "unsafe"));
         }
-        reducer = new Reducer(Site.of(pairs), new Bounds(3, 5, 2000, 2500, 8, 8, 500, new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, events) -> {
+        reducer = new Reducer(RoutingSettings.of(pairs), new Bounds(3, 5, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, events) -> {
             decisions++;
             told.addAll(events);
             List<Gateway.Action> out = List.copyOf(plan);
@@ -76,7 +76,7 @@
     /** Has a request of a class taken and sent to an engine, over a link that is up. */
     private Effect.Send sent(int cls) {
         plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
-        step(new Input.Asked(CALLER, new Query("00000000000000aa", cls, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", cls, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         if (of(Effect.Send.class, effects).isEmpty()) {
             step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         }
@@ -97,22 +97,22 @@
         assertThat(send.write().begin()).isTrue();
     }
 
-    private static EngineNews.Done done(Effect.Send s, int pages) {
-        return new EngineNews.Done(s.txn(), pages, new byte[] {'0'}, List.of());
+    private static EngineMessage.Done done(Effect.Send s, int pages) {
+        return new EngineMessage.Done(s.txn(), pages, new byte[] {'0'}, List.of());
     }
 
-    private static EngineNews.Page page(Effect.Send s, int number) {
-        return new EngineNews.Page(s.txn(), number, new byte[] {(byte) ('0' + number)});
+    private static EngineMessage.Page page(Effect.Send s, int number) {
+        return new EngineMessage.Page(s.txn(), number, new byte[] {(byte) ('0' + number)});
     }
 
     @Test
     void pagesAreServedInOrderWhenAllAreIn() {
         Effect.Send s = sent(0);
         begun(s);
-        step(new Input.Said(s.link(), done(s, 3)));
-        step(new Input.Said(s.link(), page(s, 2)), new Input.Said(s.link(), page(s, 2)));
+        step(new Input.EngineMessageReceived(s.link(), done(s, 3)));
+        step(new Input.EngineMessageReceived(s.link(), page(s, 2)), new Input.EngineMessageReceived(s.link(), page(s, 2)));
         assertThat(of(Effect.Answer.class, effects)).isEmpty();
-        step(new Input.Said(s.link(), page(s, 1)));
+        step(new Input.EngineMessageReceived(s.link(), page(s, 1)));
         assertThat(((Reply.Served) last(Effect.Answer.class).reply()).result()).containsExactly('0', '1', '2');
         assertThat(outcome()).isEqualTo(Outcome.OK);
     }
@@ -122,11 +122,11 @@
     void whatIsOpenIsAnsweredBeforeTheProcessEnds() {
         Effect.Send s = sent(1);
         begun(s);
-        step(new Input.EndsAt(now + 1010));
+        step(new Input.ShutdownScheduled(now + 1010));
         Effect.StartTimer end = last(Effect.StartTimer.class);
-        assertThat(end.key()).isEqualTo(new TimerKey.Request(requestNumber()));
+        assertThat(end.key()).isEqualTo(new TimerKey.RequestDeadline(requestNumber()));
         assertThat(end.delayMs()).isEqualTo(1000);
-        step(new Input.Asked(new Caller(1, 2), new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]),
+        step(new Input.RequestReceived(new Caller(1, 2), new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]),
                 now + 10));
         assertThat(of(Gateway.Request.class, told).get(1).patience()).isLessThan(1000); // the module knows of it
         step(new Input.TimerFired(end.key()));
@@ -135,9 +135,9 @@
 
     @Test
     void fewerPlacesForClientsMakeThoseThatSayNothingMakeRoom() {
-        step(new Input.CallerUp(1), new Input.CallerUp(2));
-        step(new Input.Places(2));
-        step(new Input.CallerUp(3));
+        step(new Input.CallerConnected(1), new Input.CallerConnected(2));
+        step(new Input.CallerLimitChanged(2));
+        step(new Input.CallerConnected(3));
         assertThat(last(Effect.CloseCaller.class).connection()).isEqualTo(1);
     }
 
@@ -145,7 +145,7 @@
     void aLostPageIsAnErrorThatRan() {
         Effect.Send s = sent(0);
         begun(s);
-        step(new Input.Said(s.link(), done(s, 2)));
+        step(new Input.EngineMessageReceived(s.link(), done(s, 2)));
         step(new Input.LinkDown(s.link(), "reset"));
         assertThat(of(Effect.Answer.class, effects)).isEmpty();
         assertThat(outcome()).isEqualTo(Outcome.ERROR);
@@ -159,7 +159,7 @@
         assertThat(outcome()).isEqualTo(Outcome.RESET);
         plan.add(new Gateway.Send(requestNumber(), engine(1), 0));
         plan.add(new Gateway.Refuse(requestNumber(), 0));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.Send.class, effects)).hasSize(1); // a load is never sent twice,
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class); // nor refused
     }
@@ -169,15 +169,15 @@
     void engineCountsTellWhatWasSentAndWhatWasRefused() {
         Effect.Send s = sent(0);
         begun(s);
-        step(new Input.Said(s.link(), done(s, 1)));
-        assertThat(reducer.engines()).containsEntry("a.sent", 1L).containsEntry("a.ok", 1L).containsEntry("a.links", 1L)
+        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
+        assertThat(reducer.engineCounters()).containsEntry("a.sent", 1L).containsEntry("a.ok", 1L).containsEntry("a.links", 1L)
                 .doesNotContainKeys("a.refused", "b.sent");
-        step(new Input.Asked(new Caller(CALLER.connection(), 2),
+        step(new Input.RequestReceived(new Caller(CALLER.connection(), 2),
                 new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         plan.add(new Gateway.Send(of(Gateway.Request.class, told).get(1).id(), engine(1), 0));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         step(new Input.LinkDown(last(Effect.OpenLink.class).link(), "refused"));
-        assertThat(reducer.engines()).containsEntry("b.refused", 1L).containsEntry("b.connect_failed", 1L)
+        assertThat(reducer.engineCounters()).containsEntry("b.refused", 1L).containsEntry("b.connect_failed", 1L)
                 .containsEntry("b.links", 1L).doesNotContainKey("b.sent");
     }
 
@@ -193,7 +193,7 @@
         Effect.Send s = sent(0);
         begun(s);
         plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.Cancel.class, effects)).hasSize(1);
         assertThat(outcome()).isNull();
         step(new Input.CancelWritten(s.key()));
@@ -205,7 +205,7 @@
         Effect.Send s = sent(0);
         begun(s);
         plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
         step(new Input.CancelWritten(s.key()));
         assertThat(last(Effect.Send.class).key().attempt()).isEqualTo(1);
@@ -215,7 +215,7 @@
     @Test
     void whatIsQueuedForADrainingEngineNeverGoesOut() {
         Effect.Send s = sent(0);
-        step(new Input.Changes(1, 2, List.of(fleet(2, Phase.DRAINING, "a"))));
+        step(new Input.ChangesReceived(1, 2, List.of(fleet(2, Phase.DRAINING, "a"))));
         assertThat(s.write().withdraw()).isTrue();
         assertThat(outcome()).isEqualTo(Outcome.CONNECT_FAILED);
     }
@@ -223,9 +223,9 @@
     @Test
     void aConnectIsGivenUpWithItsEngineOrInTime() {
         plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
-        step(new Input.Asked(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         long link = last(Effect.OpenLink.class).link();
-        step(new Input.TimerFired(new TimerKey.Connect(link)));
+        step(new Input.TimerFired(new TimerKey.ConnectTimeout(link)));
         assertThat(last(Effect.CloseLink.class).link()).isEqualTo(link);
         assertThat(outcome()).isEqualTo(Outcome.CONNECT_FAILED);
     }
@@ -234,11 +234,11 @@
     @Test
     void aConnectionThatStaysMakesNoRoomForItself() {
         for (int i = 1; i <= 4; i++) { // one more than there is room for
-            step(new Input.CallerUp(i), new Input.Asked(new Caller(i, 1), new Query("00000000000000a" + i, 0, 0, 4000, false, 10, 0, 0,
+            step(new Input.CallerConnected(i), new Input.RequestReceived(new Caller(i, 1), new Query("00000000000000a" + i, 0, 0, 4000, false, 10, 0, 0,
                     new byte[0]), now));
         }
         int closes = of(Effect.CloseCaller.class, effects).size();
-        step(new Input.CallerStays(4));
+        step(new Input.CallerNotClosed(4));
         assertThat(of(Effect.CloseCaller.class, effects)).hasSize(closes);
     }
 
@@ -247,40 +247,40 @@
         Effect.Send s = sent(0);
         begun(s);
         plan.add(new Gateway.Refuse(requestNumber(), 0));
-        step(new Input.TimerFired(new TimerKey.Attempt(s.key())));
+        step(new Input.TimerFired(new TimerKey.AttemptTimeout(s.key())));
         step(new Input.CancelWritten(s.key()));
-        step(new Input.Said(s.link(), done(s, 1)));
+        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
         assertThat(of(Effect.Answer.class, effects)).hasSize(1);
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Refused.class);
     }
 
     @Test
     void aRequestThatTheModuleForgetsIsFailedInTime() {
-        step(new Input.Asked(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        step(new Input.TimerFired(new TimerKey.Request(requestNumber())));
+        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+        step(new Input.TimerFired(new TimerKey.RequestDeadline(requestNumber())));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
         assertThat(of(Gateway.Left.class, told)).hasSize(1);
-        assertThat(reducer.open()).isZero();
+        assertThat(reducer.openRequests()).isZero();
     }
 
     @Test
     void clientsThatLeaveAreToldToTheModule() {
         sent(0);
-        step(new Input.CallerGone(CALLER.connection()));
+        step(new Input.CallerDisconnected(CALLER.connection()));
         assertThat(of(Gateway.Left.class, told)).hasSize(1);
-        assertThat(reducer.open()).isZero();
+        assertThat(reducer.openRequests()).isZero();
     }
 
     @Test
     void theModuleDecidesOnceATick() {
-        step(new Input.Withdrawn(CALLER));
+        step(new Input.RequestCancelled(CALLER));
         int before = decisions;
         for (int i = 10; i < 13; i++) {
-            effects.addAll(reducer.step(now + i, List.of(new Input.Asked(new Caller(2, i),
+            effects.addAll(reducer.step(now + i, List.of(new Input.RequestReceived(new Caller(2, i),
                     new Query("00000000000000" + i, 0, 0, 4000, false, 10, 0, 0, new byte[0]), now + i))));
         }
         assertThat(decisions).isEqualTo(before + 1);
-        effects.addAll(reducer.step(now + 15, List.of(new Input.TimerFired(new TimerKey.Tick()))));
+        effects.addAll(reducer.step(now + 15, List.of(new Input.TimerFired(new TimerKey.DecisionTick()))));
         assertThat(decisions).isEqualTo(before + 2);
         assertThat(of(Gateway.Request.class, told)).hasSize(3);
     }
@@ -294,11 +294,11 @@
     void aStartStampedByAClockThatHasSteppedCountsAsAStartOfNow(double step) {
         now += 4_000_000;
         told.clear();
-        step(new Input.Changes(1, 2, List.of(started(2, "c", now + step))));
+        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", now + step))));
         double startedAt = last(Gateway.Listed.class, told).engines().get(0).startedAt();
         assertThat(startedAt).isEqualTo(now);
-        step(new Input.Changes(3, 3, List.of(fleet(3, Phase.DRAINING, "a"))));
-        step(new Input.Changes(5, 4, List.of(started(4, "c", now - 30 + step))));
+        step(new Input.ChangesReceived(3, 3, List.of(fleet(3, Phase.DRAINING, "a"))));
+        step(new Input.ChangesReceived(5, 4, List.of(started(4, "c", now - 30 + step))));
         assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).as("another start").isEqualTo(now);
     }
 
@@ -306,20 +306,20 @@
     void aStartOfAMomentAgoKeepsItsStamp() {
         now += 4_000_000;
         double at = now - 2000;
-        step(new Input.Changes(1, 2, List.of(started(2, "c", at))));
+        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", at))));
         assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).isEqualTo(at);
     }
 
     @Test
     void aSilentChangeLogIsAskedAgainAndTheListKept() {
-        step(new Input.ChangesFailed(1, Failure.UNANSWERED, "status 500"));
+        step(new Input.PollFailed(1, PollFailure.NO_ANSWER, "status 500"));
         assertThat(of(Effect.StartTimer.class, effects)).extracting(Effect.StartTimer::key)
-                .contains(new TimerKey.Changes(3)); // 1 was the question, 2 the wait for its answer
-        step(new Input.TimerFired(new TimerKey.Changes(2))); // it had fired when it was stopped
-        assertThat(of(Effect.Poll.class, effects)).hasSize(1);
-        step(new Input.TimerFired(new TimerKey.Changes(3)));
-        assertThat(of(Effect.Poll.class, effects)).extracting(Effect.Poll::since).containsExactly(1L, 1L);
-        step(new Input.HealthAsked(CALLER));
+                .contains(new TimerKey.ChangeLogTimer(3)); // 1 was the question, 2 the wait for its answer
+        step(new Input.TimerFired(new TimerKey.ChangeLogTimer(2))); // it had fired when it was stopped
+        assertThat(of(Effect.PollChangeLog.class, effects)).hasSize(1);
+        step(new Input.TimerFired(new TimerKey.ChangeLogTimer(3)));
+        assertThat(of(Effect.PollChangeLog.class, effects)).extracting(Effect.PollChangeLog::afterEvent).containsExactly(1L, 1L);
+        step(new Input.HealthRequested(CALLER));
         assertThat(last(Effect.AnswerHealth.class).caller()).isEqualTo(CALLER);
         assertThat(reducer.canServe()).isTrue();
     }
@@ -327,48 +327,48 @@
     @Test
     void aNewConfigurationMovesThePollAtOnceAndKeepsTheRest() {
         Effect.Send s = sent(0);
-        step(new Input.Hangup(), new Input.Hangup()); // the file may be replaced again at once: the last counts
-        List<Effect.Reread> rereads = of(Effect.Reread.class, effects);
-        step(new Input.Reconfigured(rereads.get(1).serial(), "127.0.0.1:2", Site.of(pairs), Map.of()),
-                new Input.Reconfigured(rereads.get(0).serial(), "127.0.0.1:3", Site.of(pairs), Map.of()));
-        Effect.Poll poll = last(Effect.Poll.class);
+        step(new Input.ReloadRequested(), new Input.ReloadRequested()); // the file may be replaced again at once: the last counts
+        List<Effect.ReloadConfiguration> rereads = of(Effect.ReloadConfiguration.class, effects);
+        step(new Input.ConfigurationLoaded(rereads.get(1).reloadId(), "127.0.0.1:2", RoutingSettings.of(pairs), Map.of()),
+                new Input.ConfigurationLoaded(rereads.get(0).reloadId(), "127.0.0.1:3", RoutingSettings.of(pairs), Map.of()));
+        Effect.PollChangeLog poll = last(Effect.PollChangeLog.class);
         assertThat(poll.address()).isEqualTo("127.0.0.1:2");
-        assertThat(poll.since()).isEqualTo(1);
-        step(new Input.ChangesFailed(1, Failure.UNANSWERED, "closed by the peer")); // the old one's end says nothing of the new one
-        step(new Input.Said(s.link(), done(s, 1)));
+        assertThat(poll.afterEvent()).isEqualTo(1);
+        step(new Input.PollFailed(1, PollFailure.NO_ANSWER, "closed by the peer")); // the old one's end says nothing of the new one
+        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Served.class);
-        assertThat(last(Effect.Poll.class)).isEqualTo(poll);
-        step(new Input.Hangup());
-        step(new Input.ReconfigureFailed(last(Effect.Reread.class).serial(), "not JSON"));
+        assertThat(last(Effect.PollChangeLog.class)).isEqualTo(poll);
+        step(new Input.ReloadRequested());
+        step(new Input.ConfigurationRejected(last(Effect.ReloadConfiguration.class).reloadId(), "not JSON"));
         assertThat(of(Effect.Log.class, effects)).hasSize(2);
-        assertThat(last(Effect.Poll.class)).isEqualTo(poll);
+        assertThat(last(Effect.PollChangeLog.class)).isEqualTo(poll);
     }
 
-    private static Input.Asked asked(Caller caller, String txn, double at) {
-        return new Input.Asked(caller, new Query(txn, 0, 0, 4000, false, 10, 0, 0, new byte[0]), at);
+    private static Input.RequestReceived asked(Caller caller, String txn, double at) {
+        return new Input.RequestReceived(caller, new Query(txn, 0, 0, 4000, false, 10, 0, 0, new byte[0]), at);
     }
 
     @Test
     void silentAndIdleCallersMakeRoomForNewOnes() {
-        step(new Input.CallerUp(7), new Input.CallerUp(8), new Input.CallerUp(9));
+        step(new Input.CallerConnected(7), new Input.CallerConnected(8), new Input.CallerConnected(9));
         step(asked(new Caller(7, 1), "a", now), asked(new Caller(8, 1), "b", now));
-        step(new Input.CallerUp(10)); // one more than fits: 9 has said nothing
-        step(new Input.Withdrawn(new Caller(8, 1)), new Input.CallerUp(11)); // 10 is the silent one now
-        step(asked(new Caller(11, 1), "c", now), new Input.CallerUp(12)); // and now 8 has nothing open
-        step(asked(new Caller(12, 1), "d", now), new Input.CallerUp(13)); // all others are being served
+        step(new Input.CallerConnected(10)); // one more than fits: 9 has said nothing
+        step(new Input.RequestCancelled(new Caller(8, 1)), new Input.CallerConnected(11)); // 10 is the silent one now
+        step(asked(new Caller(11, 1), "c", now), new Input.CallerConnected(12)); // and now 8 has nothing open
+        step(asked(new Caller(12, 1), "d", now), new Input.CallerConnected(13)); // all others are being served
         assertThat(of(Effect.CloseCaller.class, effects)).extracting(Effect.CloseCaller::connection)
                 .containsExactly(9L, 10L, 8L, 13L);
     }
 
     @Test
     void aCallerWithNothingOpenIsClosedInTimeAndOneThatWaitsIsNot() {
-        step(new Input.CallerUp(7), new Input.CallerUp(8), asked(new Caller(8, 1), "a", now));
-        step(new Input.TimerFired(new TimerKey.Front(7)), new Input.TimerFired(new TimerKey.Front(8)));
+        step(new Input.CallerConnected(7), new Input.CallerConnected(8), asked(new Caller(8, 1), "a", now));
+        step(new Input.TimerFired(new TimerKey.CallerIdle(7)), new Input.TimerFired(new TimerKey.CallerIdle(8)));
         assertThat(of(Effect.CloseCaller.class, effects)).extracting(Effect.CloseCaller::connection)
                 .containsExactly(7L);
-        assertThat(reducer.held()).containsEntry("held.callers", 1).containsEntry("held.names", 1);
-        step(new Input.CallerGone(8));
-        assertThat(reducer.held()).containsEntry("held.callers", 0).containsEntry("held.names", 0)
+        assertThat(reducer.retainedCounts()).containsEntry("held.callers", 1).containsEntry("held.names", 1);
+        step(new Input.CallerDisconnected(8));
+        assertThat(reducer.retainedCounts()).containsEntry("held.callers", 0).containsEntry("held.names", 0)
                 .containsEntry("held.requests", 0);
     }
 
@@ -389,9 +389,9 @@
     void whatMakesNoSenseMattersUnderAnOpenIdOnly() {
         Effect.Send s = sent(0);
         begun(s);
-        step(new Input.Said(s.link(), new EngineNews.Unreadable("another", "count is no number")));
+        step(new Input.EngineMessageReceived(s.link(), new EngineMessage.Malformed("another", "count is no number")));
         assertThat(outcome()).isNull();
-        step(new Input.Said(s.link(), new EngineNews.Unreadable(s.txn(), "count is no number")));
+        step(new Input.EngineMessageReceived(s.link(), new EngineMessage.Malformed(s.txn(), "count is no number")));
         assertThat(last(Effect.CloseLink.class).link()).isEqualTo(s.link());
         assertThat(outcome()).isEqualTo(Outcome.RESET);
     }
@@ -400,10 +400,10 @@
     void anAnswerThatStopsShortEndsItsLink() {
         Effect.Send s = sent(0);
         begun(s);
-        step(new Input.Midway(s.link(), true), new Input.Midway(s.link(), false));
-        assertThat(last(Effect.StopTimer.class).key()).isEqualTo(new TimerKey.Midway(s.link()));
-        step(new Input.Midway(s.link(), true));
-        step(new Input.TimerFired(new TimerKey.Midway(s.link())));
+        step(new Input.PartialMessage(s.link(), true), new Input.PartialMessage(s.link(), false));
+        assertThat(last(Effect.StopTimer.class).key()).isEqualTo(new TimerKey.PartialMessage(s.link()));
+        step(new Input.PartialMessage(s.link(), true));
+        step(new Input.TimerFired(new TimerKey.PartialMessage(s.link())));
         assertThat(last(Effect.CloseLink.class).link()).isEqualTo(s.link());
         assertThat(outcome()).isEqualTo(Outcome.RESET);
     }
@@ -412,31 +412,31 @@
     void whatFollowsAWholeFirstPageProvesNothing() {
         Effect.Send s = sent(1);
         begun(s);
-        step(new Input.Said(s.link(), done(s, 2)), new Input.Said(s.link(), new EngineNews.Full(s.txn(), List.of())),
-                new Input.Said(s.link(), new EngineNews.Past(s.txn(), List.of())));
+        step(new Input.EngineMessageReceived(s.link(), done(s, 2)), new Input.EngineMessageReceived(s.link(), new EngineMessage.Full(s.txn(), List.of())),
+                new Input.EngineMessageReceived(s.link(), new EngineMessage.Expired(s.txn(), List.of())));
         assertThat(outcome()).isNull();
-        step(new Input.Said(s.link(), page(s, 2))); // there is no such page
+        step(new Input.EngineMessageReceived(s.link(), page(s, 2))); // there is no such page
         assertThat(outcome()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
     void oneInputThatFailsDoesNotLoseTheOthers() {
-        step(new Input.Asked(new Caller(1, 1), null, now), asked(new Caller(1, 2), "a", now));
-        assertThat(of(Effect.Uncaught.class, effects)).hasSize(1);
-        assertThat(reducer.open()).isEqualTo(1);
+        step(new Input.RequestReceived(new Caller(1, 1), null, now), asked(new Caller(1, 2), "a", now));
+        assertThat(of(Effect.UnexpectedError.class, effects)).hasSize(1);
+        assertThat(reducer.openRequests()).isEqualTo(1);
     }
 
     @Test
     void whatMayNotRunTwiceGoesAloneOnceAnAnswerHasComeSpoilt() {
         Effect.Send spoilt = sent(0);
         begun(spoilt);
-        step(new Input.Said(spoilt.link(), new EngineNews.Unreadable(spoilt.txn(), "no sense")));
+        step(new Input.EngineMessageReceived(spoilt.link(), new EngineMessage.Malformed(spoilt.txn(), "no sense")));
         plan.add(new Gateway.Send(load("c"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         Effect.Send load = last(Effect.Send.class);
         plan.add(new Gateway.Send(load("b"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(3);
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
@@ -448,7 +448,7 @@
     void whatMayNotRunTwiceSharesALinkWhileNoAnswerHasComeSpoilt() {
         Effect.Send first = sent(1);
         plan.add(new Gateway.Send(load("b"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Module(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
         assertThat(last(Effect.Send.class).link()).isEqualTo(first.link());
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(1);
@@ -456,7 +456,7 @@
 
     /** Has a further load taken and tells its number. */
     private long load(String txn) {
-        step(new Input.Asked(new Caller(1, 2 + of(Gateway.Request.class, told).size()),
+        step(new Input.RequestReceived(new Caller(1, 2 + of(Gateway.Request.class, told).size()),
                 new Query(txn, 1, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         List<Gateway.Request> all = of(Gateway.Request.class, told);
         return all.get(all.size() - 1).id();
