--- a/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
+++ b/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import quincespar.decision.Gateway;
-import quincespar.metrics.Figures;
-import quincespar.routing.RouterWorld.Spec;
+import quincespar.metrics.MetricsSnapshot;
+import quincespar.routing.SimulatedRouter.Spec;
 
 /** Settings that change under traffic, with the module itself: classes go by name, and what is open keeps its terms. */
 class SettingsChangeTest {
@@ -19,15 +19,15 @@
 
     @Test
     void aNameKeepsItsNumberHoweverTheSettingsListIt() {
-        Site first = RouterWorld.site(3, new Spec("a", "safe"), new Spec("b", "safe"));
-        Site second = RouterWorld.site(3, new Spec("c", "safe"), new Spec("b", "unsafe")).following(first);
-        assertThat(second.classes()).isEqualTo(Map.of("b", 1, "c", 2));
+        RoutingSettings first = SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("b", "safe"));
+        RoutingSettings second = SimulatedRouter.site(3, new Spec("c", "safe"), new Spec("b", "unsafe")).keepingNumbersOf(first);
+        assertThat(second.classNumbers()).isEqualTo(Map.of("b", 1, "c", 2));
         assertThat(second.classNames()).containsExactly("a", "b", "c");
-        assertThat(second.dropped()).containsExactly(0);
-        assertThat(second.module().classes().get(1).effect()).isEqualTo(Gateway.Effect.UNSAFE);
-        Site third = RouterWorld.site(3, new Spec("a", "unsafe"), new Spec("c", "safe")).following(second);
-        assertThat(third.classes()).isEqualTo(Map.of("a", 0, "c", 2));
-        assertThat(third.dropped()).containsExactly(1);
+        assertThat(second.droppedClasses()).containsExactly(0);
+        assertThat(second.decision().classes().get(1).effect()).isEqualTo(Gateway.Effect.UNSAFE);
+        RoutingSettings third = SimulatedRouter.site(3, new Spec("a", "unsafe"), new Spec("c", "safe")).keepingNumbersOf(second);
+        assertThat(third.classNumbers()).isEqualTo(Map.of("a", 0, "c", 2));
+        assertThat(third.droppedClasses()).containsExactly(1);
     }
 
     /** Nobody would hear its words, and its silence would pass for that of engines that stand idle. */
@@ -36,7 +36,7 @@
         Map<String, String> pairs = new java.util.HashMap<>(Map.of("balancers", "3", "tick", "5", "limits.mayTell", "true",
                 "limits.cancelling", "true", "limits.maxAttempts", "3", "requestClasses.count", "1",
                 "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
-        Gateway.Limits limits = Site.of(pairs).module().limits();
+        Gateway.Limits limits = RoutingSettings.of(pairs).decision().limits();
         assertThat(limits.tell()).isFalse();
         assertThat(limits.cancel()).isTrue();
         assertThat(limits.maxAttempts()).isEqualTo(3);
@@ -44,23 +44,23 @@
 
     @Test
     void aNewClassIsTakenAtOnceAndOneInAnotherPlaceIsStillItself() {
-        RouterWorld w = new RouterWorld(RouterWorld.site(3, new Spec("a", "safe"), new Spec("b", "safe")));
-        w.retune(RouterWorld.site(3, new Spec("b", "safe"), new Spec("c", "unsafe"), new Spec("a", "safe")));
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("b", "safe")));
+        w.retune(SimulatedRouter.site(3, new Spec("b", "safe"), new Spec("c", "unsafe"), new Spec("a", "safe")));
         Caller c = w.ask("c");
         assertThat(w.out.values()).extracting(Effect.Send::queue).containsExactly("c");
         w.say(0, true);
         assertThat(w.replies.get(c)).isInstanceOf(Reply.Served.class);
         w.ask("a");
         assertThat(w.out.values()).extracting(Effect.Send::queue).containsExactly("a");
-        assertThat(w.reducer.figures().confLoaded()).isEqualTo(1);
+        assertThat(w.reducer.metrics().configurationsLoaded()).isEqualTo(1);
     }
 
     /** It was safe when it was taken, so it may be tried again, and as often as the settings had it then. */
     @Test
     void anOpenRequestKeepsItsEffectAndItsNumberOfAttempts() {
-        RouterWorld w = new RouterWorld(RouterWorld.site(2, new Spec("a", "safe")));
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(2, new Spec("a", "safe")));
         Caller c = w.ask("a");
-        w.retune(RouterWorld.site(1, new Spec("a", "unsafe")));
+        w.retune(SimulatedRouter.site(1, new Spec("a", "unsafe")));
         w.say(0, false);
         assertThat(w.sends).containsEntry("0000000000000001", 2);
         w.say(0, true);
@@ -73,49 +73,49 @@
 
     @Test
     void aRequestOfADroppedClassIsFollowedToItsAnswer() {
-        RouterWorld w = new RouterWorld(RouterWorld.site(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
         Caller c = w.ask("b");
-        w.retune(RouterWorld.site(3, new Spec("a", "safe")));
-        assertThat(w.site.classes()).containsOnlyKeys("a");
+        w.retune(SimulatedRouter.site(3, new Spec("a", "safe")));
+        assertThat(w.site.classNumbers()).containsOnlyKeys("a");
         w.say(0, true);
         assertThat(w.replies.get(c)).isInstanceOf(Reply.Served.class);
-        assertThat(w.reducer.figures().transactions()).containsEntry("b", new Figures.Row(1, 0, 0));
+        assertThat(w.reducer.metrics().transactions()).containsEntry("b", new MetricsSnapshot.AnswerCounts(1, 0, 0));
     }
 
     @Test
     void ofSeveralSignalsTheLastCountsAndABadFileChangesNothing() {
-        RouterWorld w = new RouterWorld(RouterWorld.site(3, new Spec("a", "safe")));
-        w.step(new Input.Hangup(), new Input.Hangup());
-        List<Effect.Reread> asked = w.all.stream().filter(Effect.Reread.class::isInstance).map(Effect.Reread.class::cast)
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe")));
+        w.step(new Input.ReloadRequested(), new Input.ReloadRequested());
+        List<Effect.ReloadConfiguration> asked = w.all.stream().filter(Effect.ReloadConfiguration.class::isInstance).map(Effect.ReloadConfiguration.class::cast)
                 .toList();
-        w.step(new Input.Reconfigured(asked.get(0).serial(), "127.0.0.1:1", RouterWorld.site(3, new Spec("b", "safe")),
+        w.step(new Input.ConfigurationLoaded(asked.get(0).reloadId(), "127.0.0.1:1", SimulatedRouter.site(3, new Spec("b", "safe")),
                 Map.of("overtaken", true)));
-        assertThat(w.site.classes()).containsOnlyKeys("a");
-        assertThat(w.all).noneMatch(Effect.InForce.class::isInstance); // nor is the next one held against it
-        w.step(new Input.ReconfigureFailed(asked.get(1).serial(), "it is empty"));
-        assertThat(w.site.classes()).containsOnlyKeys("a");
-        assertThat(w.reducer.figures().confInvalid()).isEqualTo(1);
-        assertThat(w.reducer.figures().confLoaded()).isZero();
+        assertThat(w.site.classNumbers()).containsOnlyKeys("a");
+        assertThat(w.all).noneMatch(Effect.ConfigurationAccepted.class::isInstance); // nor is the next one held against it
+        w.step(new Input.ConfigurationRejected(asked.get(1).reloadId(), "it is empty"));
+        assertThat(w.site.classNumbers()).containsOnlyKeys("a");
+        assertThat(w.reducer.metrics().configurationsRejected()).isEqualTo(1);
+        assertThat(w.reducer.metrics().configurationsLoaded()).isZero();
     }
 
     /** The same settings once more are no news: the module must not be told a whole list for nothing. */
     @Test
     void aFileWithTheSameSettingsTellsTheModuleNothing() {
-        RouterWorld w = new RouterWorld(RouterWorld.site(3, new Spec("a", "safe")));
-        w.retune(RouterWorld.site(3, new Spec("a", "safe")));
-        assertThat(w.all).noneMatch(Effect.Adopt.class::isInstance).contains(new Effect.InForce(Map.of()));
-        assertThat(w.reducer.figures().confLoaded()).isEqualTo(1);
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe")));
+        w.retune(SimulatedRouter.site(3, new Spec("a", "safe")));
+        assertThat(w.all).noneMatch(Effect.ApplySettings.class::isInstance).contains(new Effect.ConfigurationAccepted(Map.of()));
+        assertThat(w.reducer.metrics().configurationsLoaded()).isEqualTo(1);
     }
 
     @Property(tries = 300, seed = "20261201")
     void whateverTheSettingsBecomeEachRequestHasOneAnswerAndWhatMayNotRunTwiceIsSentOnce(@ForAll long seed) {
         Random chance = new Random(seed);
-        RouterWorld w = new RouterWorld(RouterWorld.site(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
-        Map<String, Figures.Row> before = Map.of();
+        SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
+        Map<String, MetricsSnapshot.AnswerCounts> before = Map.of();
         for (int i = 0; i < 120; i++) {
             int what = chance.nextInt(10);
             if (what < 5) {
-                List<String> names = w.site.classes().keySet().stream().sorted().toList();
+                List<String> names = w.site.classNumbers().keySet().stream().sorted().toList();
                 w.ask(names.get(chance.nextInt(names.size())));
             } else if (what < 9 && !w.out.isEmpty()) {
                 w.say(chance.nextInt(100), chance.nextInt(3) > 0);
@@ -127,10 +127,10 @@
                     }
                 }
                 if (!specs.isEmpty()) {
-                    w.retune(RouterWorld.site(1 + chance.nextInt(4), specs.toArray(new Spec[0])));
+                    w.retune(SimulatedRouter.site(1 + chance.nextInt(4), specs.toArray(new Spec[0])));
                 }
             }
-            Map<String, Figures.Row> now = w.reducer.figures().transactions();
+            Map<String, MetricsSnapshot.AnswerCounts> now = w.reducer.metrics().transactions();
             before.forEach((name, row) -> assertThat(now.get(name).answered() + now.get(name).errored()
                     + now.get(name).deferred()).isGreaterThanOrEqualTo(row.answered() + row.errored() + row.deferred()));
             before = now;
@@ -142,10 +142,10 @@
                 assertThat(w.sends.getOrDefault(String.format("%016x", caller.call()), 0)).isLessThanOrEqualTo(1);
             }
         });
-        Figures f = w.reducer.figures();
+        MetricsSnapshot f = w.reducer.metrics();
         assertThat(f.transactions().values().stream().mapToLong(r -> r.answered() + r.deferred() + r.errored()).sum())
                 .isEqualTo(w.asked);
         assertThat(f.sends()).isEqualTo(w.sends.values().stream().mapToInt(n -> n).sum());
-        assertThat(f.current()).isZero();
+        assertThat(f.openRequests()).isZero();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/RouterWorld.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import quincespar.decision.Brain;
 import quincespar.decision.Gateway;
-import quincespar.membership.Pace;
+import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.Recovery;
 import quincespar.protocol.FleetEvent.Phase;
 
 /** One front end without sockets: engines that take all and answer when they are told to. */
-final class RouterWorld {
+final class SimulatedRouter {
     /** A class as settings list it. */
     record Spec(String name, String effect) { }
 
-    static Site site(int attempts, Spec... specs) {
+    static RoutingSettings site(int attempts, Spec... specs) {
         Map<String, String> pairs = new HashMap<>(Map.of("requestClasses.count", "" + specs.length, "tick", "1",
                 "limits.maxAttempts", "" + attempts, "limits.cancelling", "true", "projects.count", "1",
                 "projects.0.name", "acme", "projects.0.quotaPerS", "1000"));
@@ -27,7 +27,7 @@
             pairs.putAll(Map.of("requestClasses." + i + ".name", specs[i].name(), "requestClasses." + i + ".slo", "800",
                     "requestClasses." + i + ".hardLimit", "4000", "requestClasses." + i + ".effect", specs[i].effect()));
         }
-        return Site.of(pairs);
+        return RoutingSettings.of(pairs);
     }
 
     final Map<Caller, Integer> answers = new HashMap<>();
@@ -38,21 +38,21 @@
     final List<Effect> all = new ArrayList<>();
     final Map<Long, Gateway.Engine> told = new HashMap<>();
     final Reducer reducer;
-    Site site;
+    RoutingSettings site;
     double now = 1000;
     int asked;
     private long poll;
     private long seq = 1;
 
-    RouterWorld(Site start) {
+    SimulatedRouter(RoutingSettings start) {
         this(start, null);
     }
 
     /** With a return from a loss of power, null for none; loads wait for the disk. */
-    RouterWorld(Site start, Recovery recovery) {
+    SimulatedRouter(RoutingSettings start, Recovery recovery) {
         site = start;
         reducer = new Reducer(site, new Bounds(100, 1000, 2000, 2500, 8, 8, 500,
-                new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), heard(new Brain(site.module(), 7)), recovery, true);
+                new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), heard(new Brain(site.decision(), 7)), recovery, true);
         follow(reducer.start(now, "127.0.0.1:1", List.of(new FleetEvent(1, 1, true,
                 List.of(member("s-1", Phase.UP), member("s-2", Phase.UP))))));
     }
@@ -80,7 +80,7 @@
 
     /** The change log's next word. */
     void changes(FleetEvent.Member... members) {
-        step(new Input.Changes(poll, ++seq, List.of(new FleetEvent(seq, seq, false, List.of(members)))));
+        step(new Input.ChangesReceived(poll, ++seq, List.of(new FleetEvent(seq, seq, false, List.of(members)))));
     }
 
     void step(Input... inputs) {
@@ -106,14 +106,14 @@
             } else if (e instanceof Effect.Answer x) {
                 answers.merge(x.caller(), 1, Integer::sum);
                 replies.put(x.caller(), x.reply());
-            } else if (e instanceof Effect.Poll x) {
-                poll = x.serial();
+            } else if (e instanceof Effect.PollChangeLog x) {
+                poll = x.pollId();
             } else if (e instanceof Effect.CloseLink x) {
                 out.values().removeIf(s -> s.link() == x.link());
-            } else if (e instanceof Effect.Adopt x) {
-                site = x.site();
-            } else if (e instanceof Effect.Uncaught x) {
-                throw new AssertionError(x.where(), x.error());
+            } else if (e instanceof Effect.ApplySettings x) {
+                site = x.settings();
+            } else if (e instanceof Effect.UnexpectedError x) {
+                throw new AssertionError(x.activity(), x.error());
             }
         }
         if (!next.isEmpty()) {
@@ -123,35 +123,35 @@
 
     Caller ask(String cls) {
         Caller c = new Caller(1, ++asked);
-        int number = site.classes().get(cls);
-        effects.put(c, site.module().classes().get(number).effect().name());
-        step(new Input.Asked(c, new Query(String.format("%016x", asked), number, 0, 4000, false, 10, 0, 0, new byte[0]),
+        int number = site.classNumbers().get(cls);
+        effects.put(c, site.decision().classes().get(number).effect().name());
+        step(new Input.RequestReceived(c, new Query(String.format("%016x", asked), number, 0, 4000, false, 10, 0, 0, new byte[0]),
                 now));
         return c;
     }
 
-    void retune(Site to) {
-        step(new Input.Hangup());
-        List<Effect.Reread> rereads = all.stream().filter(Effect.Reread.class::isInstance).map(Effect.Reread.class::cast)
+    void retune(RoutingSettings to) {
+        step(new Input.ReloadRequested());
+        List<Effect.ReloadConfiguration> rereads = all.stream().filter(Effect.ReloadConfiguration.class::isInstance).map(Effect.ReloadConfiguration.class::cast)
                 .toList();
-        step(new Input.Reconfigured(rereads.get(rereads.size() - 1).serial(), "127.0.0.1:1", to, Map.of()));
+        step(new Input.ConfigurationLoaded(rereads.get(rereads.size() - 1).reloadId(), "127.0.0.1:1", to, Map.of()));
     }
 
     /** An engine's word on one of what it holds. */
     void say(int which, boolean served) {
         Effect.Send s = List.copyOf(out.values()).get(which % out.size());
         out.remove(s.txn());
-        step(new Input.Said(s.link(), served ? new EngineNews.Done(s.txn(), 1, new byte[] {'r'}, List.of())
-                : new EngineNews.Broke(s.txn(), List.of())));
+        step(new Input.EngineMessageReceived(s.link(), served ? new EngineMessage.Done(s.txn(), 1, new byte[] {'r'}, List.of())
+                : new EngineMessage.Failed(s.txn(), List.of())));
     }
 
     /** Time goes on until all that is open has had its answer, at the latest when its client gives up. */
     void settle() {
-        for (int i = 0; i < 2000 && (reducer.open() > 0 || !out.isEmpty()); i++) {
+        for (int i = 0; i < 2000 && (reducer.openRequests() > 0 || !out.isEmpty()); i++) {
             if (!out.isEmpty()) {
                 say(0, true);
             } else {
-                step(new Input.TimerFired(new TimerKey.Module(1, i)));
+                step(new Input.TimerFired(new TimerKey.Gateway(1, i)));
             }
         }
     }
--- a/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
+++ b/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
@@ -16,7 +16,7 @@
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
-import quincespar.membership.Pace;
+import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.Entry;
 import quincespar.recovery.Recovery;
@@ -24,12 +24,12 @@
 import quincespar.routing.Bounds;
 import quincespar.routing.Caller;
 import quincespar.routing.Effect;
-import quincespar.routing.EngineNews;
+import quincespar.routing.EngineMessage;
 import quincespar.routing.Input;
 import quincespar.routing.Query;
 import quincespar.routing.Reducer;
 import quincespar.routing.Reply;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.routing.TimerKey;
 
 /**
@@ -213,14 +213,14 @@
         }
 
         void start() {
-            Site site = site(loss.fronts(), number);
+            RoutingSettings site = site(loss.fronts(), number);
             Recovery r = loss.returns() ? new Recovery(new quincespar.recovery.Pace(2000, 5000, 4000, 3000, 1000, 2000, STOOD), name, true,
-                    Reducer.terms(site)) : null;
-            reducer = new Reducer(site, new Bounds(1000, 5000, 2000, 2500, 8, 8, 500, new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
-                    new Brain(site.module(), loss.seed() * 1000 + number), r, loss.returns());
+                    Reducer.recoveryTerms(site)) : null;
+            reducer = new Reducer(site, new Bounds(1000, 5000, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
+                    new Brain(site.decision(), loss.seed() * 1000 + number), r, loss.returns());
             perform(reducer.start(EPOCH + time.now(), "10.0.0.2:1", List.of(new FleetEvent(1, 1, true, listed))));
             if (loss.returns()) {
-                time.after(READ, () -> take(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life(name, 1)), "")));
+                time.after(READ, () -> take(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(new Entry.Life(name, 1)), "")));
             }
             voterBack();
             time.after(chance.nextDouble() * RENEW, this::meet);
@@ -238,7 +238,7 @@
 
         private void renew() {
             agreed.apply(new Command.Renew(name, incarnation, Standing.SERVING, 0, 0));
-            take(new Input.FleetNews(new FleetView(Participation.Phase.IN_TOUCH, "", incarnation, agreed.snapshot(), EPOCH + time.now(), true),
+            take(new Input.FleetChanged(new FleetView(Participation.Phase.IN_TOUCH, "", incarnation, agreed.snapshot(), EPOCH + time.now(), true),
                     name, HOLD));
             time.after(RENEW, this::renew);
         }
@@ -249,7 +249,7 @@
             Caller caller = new Caller(1 + callers % 16, ++callers);
             open.put(caller, a);
             count("asked");
-            take(new Input.Asked(caller, new Query(a.txn(), cls, 0, c.limit(), tries > 0, c.work(), 0, 0, new byte[0]), EPOCH + time.now()));
+            take(new Input.RequestReceived(caller, new Query(a.txn(), cls, 0, c.limit(), tries > 0, c.work(), 0, 0, new byte[0]), EPOCH + time.now()));
         }
 
         /** Whoever is not answered by now must have some of its time left. */
@@ -294,23 +294,23 @@
             } else if (effect instanceof Effect.CloseLink e) {
                 links.remove(e.link());
             } else if (effect instanceof Effect.Probe e) {
-                later(2 * LINK, new Input.Said(e.link(), new EngineNews.Health(e.tag(), true, List.of())));
-            } else if (effect instanceof Effect.Poll e) {
-                poll = e.serial();
-                time.after(e.since() < 1 ? LIST : e.waitMs(), () -> {
-                    if (poll == e.serial()) {
-                        take(new Input.Changes(e.serial(), 1, e.since() < 1 ? List.of(new FleetEvent(1, 1, true, listed)) : List.of()));
+                later(2 * LINK, new Input.EngineMessageReceived(e.link(), new EngineMessage.Health(e.tag(), true, List.of())));
+            } else if (effect instanceof Effect.PollChangeLog e) {
+                poll = e.pollId();
+                time.after(e.afterEvent() < 1 ? LIST : e.waitMs(), () -> {
+                    if (poll == e.pollId()) {
+                        take(new Input.ChangesReceived(e.pollId(), 1, e.afterEvent() < 1 ? List.of(new FleetEvent(1, 1, true, listed)) : List.of()));
                     }
                 });
-            } else if (effect instanceof Effect.Keep e && e.request() != 0) {
-                later(FORCE, new Input.Noted(e.request(), true));
-            } else if (effect instanceof Effect.AskFleet) {
+            } else if (effect instanceof Effect.PersistEntry e && e.request() != 0) {
+                later(FORCE, new Input.PersistFinished(e.request(), true));
+            } else if (effect instanceof Effect.FetchFleetState) {
                 boolean leads = time.now() >= leadsAt;
-                time.after(leads ? AGREE : GONE, () -> take(new Input.Agreed(leads ? agreed.snapshot() : null)));
+                time.after(leads ? AGREE : GONE, () -> take(new Input.FleetStateReceived(leads ? agreed.snapshot() : null)));
             } else if (effect instanceof Effect.Answer e) {
                 answered(e);
-            } else if (effect instanceof Effect.Uncaught e) {
-                throw new IllegalStateException(name + ": " + e.where(), e.error());
+            } else if (effect instanceof Effect.UnexpectedError e) {
+                throw new IllegalStateException(name + ": " + e.activity(), e.error());
             }
         }
 
@@ -346,7 +346,7 @@
 
         private void done(Effect.Send e, VirtualEngine by) {
             if (links.get(e.link()) == by) {
-                take(new Input.Said(e.link(), new EngineNews.Done(e.txn(), 1, new byte[] {'r'}, List.of())));
+                take(new Input.EngineMessageReceived(e.link(), new EngineMessage.Done(e.txn(), 1, new byte[] {'r'}, List.of())));
             }
         }
 
@@ -371,7 +371,7 @@
             } else if (e.reply() instanceof Reply.Refused r) {
                 count("refused");
                 if (a.tries() + 1 < TRIES) { // told when to come back, it does so
-                    time.after(Math.max(TURNED, r.comeBackMs()), () -> LostFleet.this.send(a.cls(), a.tries() + 1));
+                    time.after(Math.max(TURNED, r.retryAfterMs()), () -> LostFleet.this.send(a.cls(), a.tries() + 1));
                 }
             } else {
                 count("failed");
@@ -379,7 +379,7 @@
         }
     }
 
-    private static Site site(int fronts, int me) {
+    private static RoutingSettings site(int fronts, int me) {
         Map<String, String> pairs = new HashMap<>(Map.of("balancers", "" + fronts, "me", "" + me, "tick", "" + TICK, "limits.maxAttempts", "3",
                 "limits.cancelling", "true", "limits.retryAfter", "true", "limits.maxRetryAfter", "10000", "projects.count", "1",
                 "projects.0.name", "acme", "projects.0.quotaPerS", "1000000"));
@@ -395,6 +395,6 @@
             writes.append(i == 0 ? "" : ",").append(c.effect().equals("unsafe"));
         }
         pairs.put("extra.writesTables", writes.toString());
-        return Site.of(pairs);
+        return RoutingSettings.of(pairs);
     }
 }
