--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -25,13 +25,15 @@
 
     /** The bounds that fit these limits and the operators' settings. */
     Bounds bounds(Settings s) {
-        return new Bounds(Math.max(1, (int) (sockets * s.number(Keyword.CLIENTS_SHARE) / 100)),
-                Bounds.requestsIn(memoryMb), s.number(Keyword.CLIENTS_FIRST_WORD), s.number(Keyword.CLIENTS_IDLE),
-                s.count(Keyword.LINKS_PER_ENGINE), s.count(Keyword.LINKS_SHARED), s.number(Keyword.LINKS_MIDWAY),
-                new Pace((long) s.number(Keyword.CHANGES_WAIT), s.number(Keyword.CHANGES_SLACK),
-                        s.number(Keyword.CHANGES_PAUSE), s.number(Keyword.CHANGES_LONGEST_PAUSE),
-                        s.number(Keyword.CHANGES_UNREACHED_PAUSE), s.number(Keyword.CHANGES_CONNECT), s.number(Keyword.CHANGES_HOLD),
-                        s.number(Keyword.CHANGES_STALE)));
+        return new Bounds(Math.max(1, (int) (sockets * s.number(Keyword.CLIENTS_DESCRIPTOR_SHARE) / 100)),
+                Bounds.requestsIn(memoryMb), s.number(Keyword.CLIENTS_FIRST_REQUEST_TIMEOUT),
+                s.number(Keyword.CLIENTS_IDLE_TIMEOUT), s.count(Keyword.LINKS_PER_ENGINE),
+                s.count(Keyword.LINKS_REQUESTS_PER_LINK), s.number(Keyword.LINKS_PARTIAL_MESSAGE_TIMEOUT),
+                new Pace((long) s.number(Keyword.CHANGE_LOG_LONG_POLL_WAIT), s.number(Keyword.CHANGE_LOG_ANSWER_SLACK),
+                        s.number(Keyword.CHANGE_LOG_RETRY_DELAY), s.number(Keyword.CHANGE_LOG_MAX_RETRY_DELAY),
+                        s.number(Keyword.CHANGE_LOG_MAX_UNREACHED_RETRY_DELAY),
+                        s.number(Keyword.CHANGE_LOG_CONNECT_TIMEOUT), s.number(Keyword.CHANGE_LOG_MAX_HOLD),
+                        s.number(Keyword.CHANGE_LOG_STALE_AFTER)));
     }
 
     /** Reads the file that {@code GW_CONFIG} names; throws {@link IllegalArgumentException} in one plain line. */
--- a/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
@@ -76,7 +76,7 @@
             return null; // what follows would only say the same in other words
         }
         try {
-            return Configuration.of(all, environment, Site.of(Json.pairs(Json.object(all.get("settings"), "settings"))),
+            return Configuration.of(all, environment, Site.of(Json.flatten(Json.object(all.get("settings"), "settings"))),
                     ChangeLogCodec.read(all.get("known")));
         } catch (MalformedException | IllegalArgumentException e) {
             faults.add(plain(e));
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -127,7 +127,7 @@
         configuration = c;
         siblings = Siblings.join(environment, c.listen());
         bounds = c.bounds(settings);
-        String folder = settings.word(Keyword.CAPTURE_FOLDER);
+        String folder = settings.text(Keyword.CAPTURE_FOLDER);
         capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().module(), clock, line -> log.info("{}: {}", c.name(), line));
         reducer = new Reducer(c.site(), bounds, capturing == null ? new Brain(c.site().module(), c.seed())
@@ -161,7 +161,7 @@
     }
 
     private static ConfigurationCheck.Good readAtStart(Map<String, String> environment) throws IOException {
-        return Retry.atStart(() -> {
+        return Retry.atStartup(() -> {
             try {
                 return Configuration.read(environment, null);
             } catch (UnreadableException e) {
@@ -309,7 +309,7 @@
                     lifecycle.enter(Phase.SETTLING);
                     timers.after(SETTLE_MS, () -> {
                         inputs.add(new Input.TurnsAway());
-                        clientLoop.afterPass(() -> moveSome(until));
+                        clientLoop.executeAfterReads(() -> moveSome(until));
                     });
                 });
             });
@@ -334,7 +334,7 @@
         if (front.connections() == 0) {
             finishing();
         } else if (clock.now() >= until) {
-            clientLoop.afterPass(this::finishing); // after a stop of the process requests may lie unread
+            clientLoop.executeAfterReads(this::finishing); // after a stop of the process requests may lie unread
         } else {
             timers.after(MOVE_LOOK_MS, () -> moveSome(until));
         }
--- a/frontend/src/main/java/quincespar/program/Logs.java
+++ b/frontend/src/main/java/quincespar/program/Logs.java
@@ -52,7 +52,7 @@
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(context);
         console.setTarget("System.err");
-        console.setEncoder(encoder(context, settings.word(Keyword.LOG_FORMAT).equals("json")));
+        console.setEncoder(encoder(context, settings.text(Keyword.LOG_FORMAT).equals("json")));
         console.start();
         queue = new AsyncAppender() {
             @Override
@@ -65,14 +65,14 @@
             }
         };
         queue.setContext(context);
-        queue.setQueueSize(settings.count(Keyword.LOG_QUEUE));
+        queue.setQueueSize(settings.count(Keyword.LOG_QUEUE_LENGTH));
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
         queue.setMaxFlushTime(FLUSH_MS);
         queue.addAppender(console);
         queue.start();
         ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.toLevel(settings.word(Keyword.LOG_LEVEL)));
+        root.setLevel(Level.toLevel(settings.text(Keyword.LOG_LEVEL)));
         root.addAppender(queue);
         context.getLogger(AGREEMENT).setLevel(Level.ERROR); // it tells each lost message; what matters is told by the fleet's own lines
     }
--- a/frontend/src/main/java/quincespar/program/Main.java
+++ b/frontend/src/main/java/quincespar/program/Main.java
@@ -21,8 +21,8 @@
 import quincespar.settings.ConfReader;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
-import quincespar.simulator.WireException;
-import quincespar.simulator.WireHost;
+import quincespar.simulator.SimulatorHost;
+import quincespar.simulator.SimulatorProtocolException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -72,12 +72,12 @@
             throws IOException, InterruptedException {
         try {
             if (folder == null) {
-                new WireHost().serve(System.in, System.out);
+                new SimulatorHost().serve(System.in, System.out);
             } else {
                 CapturedInstances.serve(folder, System.in, System.out);
             }
             return 0;
-        } catch (WireException e) {
+        } catch (SimulatorProtocolException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
@@ -96,7 +96,7 @@
         RecoverySettings recovery = RecoverySettings.on(settings) ? RecoverySettings.of(settings, conf.toString()) : null;
         Logs logs = Logs.start(settings);
         FrontEnd frontEnd = new FrontEnd(System.getenv(), settings, fleet, recovery, logs);
-        long every = reportMs > 0 ? reportMs : (long) settings.number(Keyword.REPORT_EVERY);
+        long every = reportMs > 0 ? reportMs : (long) settings.number(Keyword.REPORT_INTERVAL);
         if (every > 0) {
             frontEnd.reportEvery(every);
         }
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -86,7 +86,7 @@
                 inputs.add(new Input.LinkUp(e.link()));
             } else if (effect instanceof Effect.Send e) {
                 byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
-                new RespDecoder().feed(command, command.length, EngineCodec::answer);
+                new RespDecoder().feed(command, command.length, EngineCodec::readReply);
                 answers.add(new Due(now + SERVICE_MS, new Input.Said(e.link(), new EngineNews.Done(e.txn(), 2,
                         STATEMENT, List.of()))));
             } else if (effect instanceof Effect.ReadPage e) {
--- a/frontend/src/main/java/quincespar/program/captures/CapturedInstances.java
+++ b/frontend/src/main/java/quincespar/program/captures/CapturedInstances.java
@@ -11,7 +11,7 @@
 import quincespar.decision.Gateway;
 import quincespar.program.runtime.Clock;
 import quincespar.settings.Settings;
-import quincespar.simulator.WireHost;
+import quincespar.simulator.SimulatorHost;
 
 /** The adapter with each instance captured, into one folder. Nothing waits for the folder, also not in the simulator. */
 public final class CapturedInstances {
@@ -28,7 +28,7 @@
         Files.createDirectories(folder);
         CapturedInstances made = new CapturedInstances(folder);
         try {
-            new WireHost(made::make).serve(in, out);
+            new SimulatorHost(made::make).serve(in, out);
         } finally {
             for (Capturing c : made.all) {
                 c.stop();
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -46,8 +46,9 @@
     public static Capturing into(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
             Clock clock, Consumer<String> tell) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
-        Segments.Limits limits = new Segments.Limits((long) s.number(Keyword.CAPTURE_SEGMENT),
-                s.number(Keyword.CAPTURE_EVERY), (long) s.number(Keyword.CAPTURE_TOTAL), s.number(Keyword.CAPTURE_KEEP),
+        Segments.Limits limits = new Segments.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
+                s.number(Keyword.CAPTURE_SEGMENT_DURATION), (long) s.number(Keyword.CAPTURE_TOTAL_SIZE),
+                s.number(Keyword.CAPTURE_RETENTION),
                 FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
         SegmentName before = new SegmentName(name, System.currentTimeMillis(), 0);
         List<Store.Held> own = store.list().stream().filter(h -> SegmentName.read(h.name()).stream()
@@ -55,8 +56,8 @@
         Segments segments = new Segments(limits, before, own, clock.now());
         Entry.Opening opening = new Entry.Opening(name, now, seed, Version.text(),
                 ModuleText.digest(Brain.class), settings);
-        Recorder recorder = new Recorder(new Recording(opening, segments, store, tell), s.count(Keyword.CAPTURE_RING),
-                s.number(Keyword.CAPTURE_FLUSH), clock::now);
+        Recorder recorder = new Recorder(new Recording(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
+                s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
         return new Capturing(recorder, new CapturedGateway(new Brain(settings, seed), recorder,
                 new StateCodec(Brain.class)::write));
     }
--- a/frontend/src/main/java/quincespar/program/clients/HealthQuestion.java
+++ b/frontend/src/main/java/quincespar/program/clients/HealthQuestion.java
@@ -18,7 +18,7 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, WAIT_MS);
             socket.setSoTimeout(WAIT_MS);
-            socket.getOutputStream().write(FrontCodec.askHealth(1));
+            socket.getOutputStream().write(FrontCodec.healthCall(1));
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
             if (length <= 0 || length > LONGEST) {
--- a/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
@@ -16,7 +16,7 @@
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Counters;
 import quincespar.protocol.MalformedException;
-import quincespar.protocol.StatementScan;
+import quincespar.protocol.StatementScanner;
 import quincespar.protocol.Utf8;
 import quincespar.protocol.thrift.FrameDecoder;
 import quincespar.protocol.thrift.FrontCodec;
@@ -31,10 +31,10 @@
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
-import quincespar.transport.OutboxBound;
+import quincespar.transport.OutboxLimit;
 
 /** The clients' protocol: Thrift in frames. One session for each connection reads it and words the replies. */
-public final class ThriftFront implements Front, Listener.Taker {
+public final class ThriftFront implements Front, Listener.Acceptor {
     private final Logger log = LoggerFactory.getLogger(ThriftFront.class);
     private static final Pattern TXN = Pattern.compile("[0-9a-f]{16}");
     /** Up to ten million: more milliseconds or megabytes no request has. */
@@ -51,7 +51,7 @@
     private static final long OUTBOXES = 16 << 20;
 
     private final Map<Long, Session> sessions = new ConcurrentHashMap<>();
-    private final OutboxBound bound = new OutboxBound(OUTBOX, OUTBOXES);
+    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOXES);
     private final AtomicLong numbers = new AtomicLong();
     /** What requests are read by; replaced whole. */
     private volatile Site site;
@@ -94,12 +94,12 @@
      * queue, until the reducer has closed whom it can spare.
      */
     @Override
-    public boolean room() {
+    public boolean hasCapacity() {
         return sessions.size() < places;
     }
 
     @Override
-    public void take(SocketChannel channel) {
+    public void accept(SocketChannel channel) {
         long number = numbers.incrementAndGet();
         Session s = new Session(number, Connection.accepted(loop, channel, "client-" + number, bound));
         sessions.put(number, s);
@@ -122,7 +122,7 @@
     public void close(Effect.CloseCaller e) {
         Session s = sessions.get(e.connection());
         if (s != null) {
-            s.connection.closeIfQuiet(e.why());
+            s.connection.closeIfIdle(e.why());
         }
     }
 
@@ -211,7 +211,7 @@
 
         /** Ends the connection if this is a moment at which nothing is open on it and no request is half there. */
         void move() {
-            connection.finishIfQuiet();
+            connection.finishIfIdle();
         }
 
         @Override
@@ -224,7 +224,7 @@
                 return;
             }
             double at = clock.now();
-            boolean began = !frames.midway();
+            boolean began = !frames.hasPartialMessage();
             try {
                 frames.feed(bytes, count, f -> {
                     begunAt = at;
@@ -237,7 +237,7 @@
         }
 
         @Override
-        public void passed() {
+        public void readComplete() {
             if (!found.isEmpty()) {
                 post.accept(List.copyOf(found));
                 found.clear();
@@ -246,11 +246,12 @@
 
         @Override
         public boolean busy() {
-            return !open.isEmpty() || answering.get() > 0 || frames.midway() && !ending && clock.now() - begunAt < wholeMs;
+            return !open.isEmpty() || answering.get() > 0
+                    || frames.hasPartialMessage() && !ending && clock.now() - begunAt < wholeMs;
         }
 
         @Override
-        public void notQuiet() {
+        public void idleCloseDeclined() {
             post.accept(List.of(new Input.CallerStays(number)));
         }
 
@@ -293,7 +294,7 @@
                 found.add(new Input.Withdrawn(new Caller(number, c.cancelled())));
             } else if (m instanceof Message.Health) {
                 found.add(new Input.HealthAsked(caller));
-            } else if (m instanceof Message.Wrong w) {
+            } else if (m instanceof Message.Invalid w) {
                 end(w.seqid(), w.type(), w.why());
             }
         }
@@ -358,7 +359,7 @@
             throw new MalformedException("field unique can't be passed on");
         }
         return new Query(txn, cls, tenant, limit, "1".equals(second), number(f, "cpu"), number(f, "heap_mb"),
-                StatementScan.group(c.body()), c.body(), unique);
+                StatementScanner.tableGroup(c.body()), c.body(), unique);
     }
 
     /** A figure that must be there: engines can't use a request without. Plain digits, as nothing else is sent. */
--- a/frontend/src/main/java/quincespar/program/engines/ChangeLog.java
+++ b/frontend/src/main/java/quincespar/program/engines/ChangeLog.java
@@ -14,14 +14,14 @@
 import quincespar.routing.Input;
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
-import quincespar.transport.OutboxBound;
+import quincespar.transport.OutboxLimit;
 
 /** Asks the change log over HTTP/1.1, on one connection for as long as that lasts. Used by one thread. */
 public final class ChangeLog {
     private static final int OUTBOX = 64 * 1024;
     private static final int OK = 200;
 
-    private final OutboxBound bound = new OutboxBound(OUTBOX, OUTBOX);
+    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOX);
     private final EventLoop loop;
     private final Consumer<Input> post;
     private Exchange current;
@@ -59,8 +59,8 @@
         Exchange(InetSocketAddress address, long first, double connectMs) {
             this.address = address;
             last = first;
-            connection = Connection.dialled(loop, "changes", bound);
-            connection.dial(address, this, Math.round(connectMs));
+            connection = Connection.outbound(loop, "changes", bound);
+            connection.connect(address, this, Math.round(connectMs));
         }
 
         boolean ask(Effect.Poll e) {
@@ -107,10 +107,10 @@
             if (up) {
                 return Failure.UNANSWERED;
             }
-            if (connection.failedHere()) {
+            if (connection.failedLocally()) {
                 return Failure.FAILED_HERE;
             }
-            return cause.equals(Connection.NOT_UP_IN_TIME) ? Failure.SLOW_CONNECT : Failure.UNREACHED;
+            return cause.equals(Connection.CONNECT_TIMEOUT) ? Failure.SLOW_CONNECT : Failure.UNREACHED;
         }
     }
 }
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -20,7 +20,7 @@
 import quincespar.routing.Site;
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
-import quincespar.transport.OutboxBound;
+import quincespar.transport.OutboxLimit;
 import quincespar.transport.WithdrawableWrite;
 
 /** The connections to engines, which speak RESP. */
@@ -34,7 +34,7 @@
             "utilization", "util", "recent_ms", "latency_ms", "throughput", "qps", "errors_per_s", "eps");
 
     private final Map<Long, Connection> connections = new ConcurrentHashMap<>();
-    private final OutboxBound bound = new OutboxBound(OUTBOX, OUTBOXES);
+    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOXES);
     private final EventLoop loop;
     private volatile List<String> reportFields;
     private final Consumer<Input> post;
@@ -52,9 +52,9 @@
     public void open(Effect.OpenLink e) {
         try {
             InetSocketAddress address = Addresses.of(e.address());
-            Connection c = Connection.dialled(loop, "engine-" + e.link(), bound);
+            Connection c = Connection.outbound(loop, "engine-" + e.link(), bound);
             connections.put(e.link(), c); // before its end can be told, or it would be kept for good
-            c.dial(address, new Receiver(e.link()));
+            c.connect(address, new Receiver(e.link()));
         } catch (IllegalArgumentException x) { // listed at no address: as good as refused
             post.accept(new Input.LinkDown(e.link(), x.getMessage()));
         }
@@ -125,8 +125,8 @@
                         post.accept(new Input.Said(link, news));
                     }
                 });
-                if (decoder.midway() != midway || midway && whole) { // each message has its own time to come whole
-                    midway = decoder.midway();
+                if (decoder.hasPartialMessage() != midway || midway && whole) { // each message has its own time to come whole
+                    midway = decoder.hasPartialMessage();
                     post.accept(new Input.Midway(link, midway));
                 }
             } catch (MalformedException e) {
@@ -152,14 +152,14 @@
     private EngineNews said(List<byte[]> items) {
         String id = Utf8.text(items.get(0));
         try {
-            return news(EngineCodec.answer(items));
+            return news(EngineCodec.readReply(items));
         } catch (MalformedException e) {
             return new EngineNews.Unreadable(id, e.getMessage());
         }
     }
 
-    private EngineNews news(EngineCodec.Answer a) {
-        return switch (a.word()) {
+    private EngineNews news(EngineCodec.Reply a) {
+        return switch (a.type()) {
             case "DONE" -> {
                 int pages = a.number("count");
                 if (pages < 1 || pages > MOST_PAGES) {
@@ -175,13 +175,13 @@
             case "WAIT" -> new EngineNews.Full(a.id(), load(a));
             case "BROKE" -> new EngineNews.Broke(a.id(), load(a));
             case "PAST" -> new EngineNews.Past(a.id(), load(a));
-            case "FIT", "UNFIT" -> new EngineNews.Health(a.id(), a.word().equals("FIT"), load(a));
+            case "FIT", "UNFIT" -> new EngineNews.Health(a.id(), a.type().equals("FIT"), load(a));
             case "TELL" -> note(a);
-            default -> throw new MalformedException("no answer '" + a.word() + "'");
+            default -> throw new MalformedException("no answer '" + a.type() + "'");
         };
     }
 
-    private static EngineNews note(EngineCodec.Answer a) {
+    private static EngineNews note(EngineCodec.Reply a) {
         NoteKind kind = switch (a.fields().getOrDefault("detail", "")) {
             case "share" -> NoteKind.PROGRESS;
             case "short" -> NoteKind.SPILL;
@@ -192,7 +192,7 @@
     }
 
     /** The load report in the settings' order; none where a field is missing, as a wrong place would mislead. */
-    private List<Double> load(EngineCodec.Answer a) {
+    private List<Double> load(EngineCodec.Reply a) {
         String use = a.fields().get("use");
         if (use == null || use.isEmpty()) {
             return List.of();
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -20,23 +20,24 @@
 
     /** Whether the file has a fleet. */
     public static boolean on(Settings s) {
-        return !s.word(Keyword.FLEET_VOTERS).isBlank();
+        return !s.text(Keyword.FLEET_VOTERS).isBlank();
     }
 
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
     public static FleetSettings of(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
-        Plan plan = new Plan(s.word(Keyword.FLEET_GROUP),
-                Plan.addresses(s.word(Keyword.FLEET_VOTERS), "fleet voters", problems),
-                Plan.addresses(s.word(Keyword.FLEET_VIA), "fleet via", problems), s.number(Keyword.FLEET_RENEW),
-                s.number(Keyword.FLEET_SUSPECT), s.number(Keyword.FLEET_GONE), s.number(Keyword.FLEET_ELECTION),
-                s.number(Keyword.FLEET_HOLD));
+        Plan plan = new Plan(s.text(Keyword.FLEET_GROUP),
+                Plan.addresses(s.text(Keyword.FLEET_VOTERS), "fleet voters", problems),
+                Plan.addresses(s.text(Keyword.FLEET_VOTER_ADDRESS_OVERRIDES), "fleet via", problems),
+                s.number(Keyword.FLEET_RENEW_INTERVAL), s.number(Keyword.FLEET_SUSPECT_AFTER),
+                s.number(Keyword.FLEET_GONE_AFTER), s.number(Keyword.FLEET_ELECTION_TIMEOUT),
+                s.number(Keyword.FLEET_SHARE_GROWTH_DELAY));
         problems.addAll(plan.problems());
         if (!problems.isEmpty()) {
             throw new ConfException(problems.stream().map(p -> file + ": " + p).toList());
         }
-        return new FleetSettings(plan, path(s.word(Keyword.STATE_FOLDER)), (long) s.number(Keyword.STATE_TOTAL),
-                path(s.word(Keyword.FLEET_LIBRARY)), s.word(Keyword.FLEET_WRITES).equals("on"));
+        return new FleetSettings(plan, path(s.text(Keyword.STATE_FOLDER)), (long) s.number(Keyword.STATE_SIZE_LIMIT),
+                path(s.text(Keyword.FLEET_LIBRARY)), s.text(Keyword.FLEET_REGISTER_WRITES).equals("on"));
     }
 
     private static Path path(String word) {
--- a/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
@@ -19,25 +19,28 @@
 
     /** Whether the file asks for it. */
     public static boolean on(Settings s) {
-        return s.word(Keyword.RECOVERY_USE).equals("on");
+        return s.text(Keyword.RECOVERY_ENABLED).equals("on");
     }
 
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
     public static RecoverySettings of(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
-        String folder = s.word(Keyword.STATE_FOLDER);
+        String folder = s.text(Keyword.STATE_FOLDER);
         if (folder.isBlank()) {
             problems.add(file + ": 'recovery use on' needs 'state folder': without it nothing is known after a loss");
         }
-        double agreeing = s.number(Keyword.RECOVERY_AGREEING);
-        if (agreeing < s.number(Keyword.FLEET_SUSPECT) + s.number(Keyword.FLEET_RENEW)) {
+        double agreeing = s.number(Keyword.RECOVERY_AGREEMENT_TIMEOUT);
+        if (agreeing < s.number(Keyword.FLEET_SUSPECT_AFTER) + s.number(Keyword.FLEET_RENEW_INTERVAL)) {
             problems.add(file + ": recovery agreeing must be fleet suspect and renew together at least, or one that stood is not known to");
         }
         if (!problems.isEmpty()) {
             throw new ConfException(problems);
         }
-        return new RecoverySettings(new Pace(s.number(Keyword.RECOVERY_READING), s.number(Keyword.RECOVERY_FINDING), agreeing,
-                s.number(Keyword.RECOVERY_PROBING), s.number(Keyword.RECOVERY_STEP), s.number(Keyword.RECOVERY_SPREAD),
-                s.number(Keyword.RECOVERY_STOOD)), Path.of(folder).resolve(SUBFOLDER), s.word(Keyword.RECOVERY_LOADS).equals("on"));
+        return new RecoverySettings(new Pace(s.number(Keyword.RECOVERY_READ_TIMEOUT),
+                s.number(Keyword.RECOVERY_MAJORITY_TIMEOUT), agreeing,
+                s.number(Keyword.RECOVERY_CHANGE_LOG_TIMEOUT), s.number(Keyword.RECOVERY_CLASS_INTERVAL),
+                s.number(Keyword.RECOVERY_RETRY_SPREAD),
+                s.number(Keyword.RECOVERY_SURVIVED_AFTER)), Path.of(folder).resolve(SUBFOLDER),
+                s.text(Keyword.RECOVERY_PERSIST_LOADS).equals("on"));
     }
 }
--- a/frontend/src/main/java/quincespar/program/status/StatusAddress.java
+++ b/frontend/src/main/java/quincespar/program/status/StatusAddress.java
@@ -19,7 +19,7 @@
 import quincespar.transport.Connection;
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
-import quincespar.transport.OutboxBound;
+import quincespar.transport.OutboxLimit;
 
 /**
  * The second address, for operators: HTTP/1.1 with one call to a connection, on a loop of its own. It reads what has
@@ -27,7 +27,7 @@
  * second however busy those are. Callers that finish no call, or do not read, hold up nobody: each has a
  * while, and the one that has waited longest makes room.
  */
-public final class StatusAddress implements Listener.Taker {
+public final class StatusAddress implements Listener.Acceptor {
     /** A page that may take its time; a stage that ends with an exception is answered as not to be had. */
     public interface Pages {
         /** Null where there is no such page. */
@@ -41,7 +41,7 @@
     private static final int OUTBOX = 256 * 1024;
 
     private final Set<Call> calls = new LinkedHashSet<>(); // the longest there first
-    private final OutboxBound bound = new OutboxBound(OUTBOX, (long) MOST * OUTBOX);
+    private final OutboxLimit bound = new OutboxLimit(OUTBOX, (long) MOST * OUTBOX);
     private final EventLoop loop;
     private final Listener listener;
     private final Timers timers;
@@ -78,12 +78,12 @@
     }
 
     @Override
-    public boolean room() {
+    public boolean hasCapacity() {
         return true;
     }
 
     @Override
-    public void take(SocketChannel channel) {
+    public void accept(SocketChannel channel) {
         if (calls.size() >= MOST) {
             calls.iterator().next().connection.close("its place is needed");
         }
@@ -151,7 +151,7 @@
             try {
                 Optional<Request> request = decoder.feed(bytes, count);
                 request.ifPresent(this::answer);
-            } catch (RequestDecoder.RefusedException e) {
+            } catch (RequestDecoder.RejectedException e) {
                 end(plain(e.status(), false));
             }
         }
--- a/frontend/src/main/java/quincespar/protocol/Json.java
+++ b/frontend/src/main/java/quincespar/protocol/Json.java
@@ -101,7 +101,7 @@
      * Nested objects as the simulator's wire writes them: paths and values, lists of plain values joined with
      * commas, lists of objects with their length under {@code .count}.
      */
-    public static Map<String, String> pairs(Map<String, Object> nested) {
+    public static Map<String, String> flatten(Map<String, Object> nested) {
         Map<String, String> out = new LinkedHashMap<>();
         nested.forEach((k, v) -> flatten(k, v, out));
         return out;
--- a/frontend/src/main/java/quincespar/protocol/StatementScan.java
+++ b/frontend/src/main/java/quincespar/protocol/StatementScanner.java
@@ -8,7 +8,7 @@
  * Finds the group of tables that a statement reads or writes: the number after the underscore in its schema's
  * name. Strings and comments are skipped, and so is the schema {@code staging}. It is a scan, not a parser.
  */
-public final class StatementScan {
+public final class StatementScanner {
     private static final Set<String> BEFORE_TABLE = Set.of("from", "join", "into", "update", "table", "using");
 
     private final String s;
@@ -16,13 +16,13 @@
     private int behindTable = -1;
     private int anywhere = -1;
 
-    private StatementScan(String s) {
+    private StatementScanner(String s) {
         this.s = s;
     }
 
     /** The group of tables, or 0 where none is named. Bytes of UTF-8 beyond ASCII count as letters. */
-    public static int group(byte[] statement) {
-        return new StatementScan(new String(statement, StandardCharsets.ISO_8859_1)).scan();
+    public static int tableGroup(byte[] statement) {
+        return new StatementScanner(new String(statement, StandardCharsets.ISO_8859_1)).scan();
     }
 
     private int scan() {
--- a/frontend/src/main/java/quincespar/protocol/http/RequestDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/http/RequestDecoder.java
@@ -14,11 +14,11 @@
     public record Request(String method, String path) { }
 
     /** The head can't be taken; {@code status} is the answer that this deserves. */
-    public static final class RefusedException extends RuntimeException {
+    public static final class RejectedException extends RuntimeException {
         private static final long serialVersionUID = 1;
         private final int status;
 
-        RefusedException(int status, String why) {
+        RejectedException(int status, String why) {
             super(why, null, false, false);
             this.status = status;
         }
@@ -43,7 +43,7 @@
     private boolean done;
 
     /**
-     * Feeds {@code count} bytes; the request once its head is whole, and only then. Throws {@link RefusedException}
+     * Feeds {@code count} bytes; the request once its head is whole, and only then. Throws {@link RejectedException}
      * where it can't become one. Nothing may be fed after either.
      */
     public Optional<Request> feed(byte[] bytes, int count) {
@@ -100,8 +100,8 @@
         return new Request(words[0], query < 0 ? words[1] : words[1].substring(0, query));
     }
 
-    private RefusedException refused(int status, String why) {
+    private RejectedException refused(int status, String why) {
         done = true;
-        return new RefusedException(status, why);
+        return new RejectedException(status, why);
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
@@ -16,13 +16,13 @@
     private EngineCodec() { }
 
     /** An answer of an engine: {@code word} is one of the protocol's, or an unknown one as it came. */
-    public record Answer(String id, String word, Map<String, String> fields, byte[] body) {
+    public record Reply(String id, String type, Map<String, String> fields, byte[] body) {
         /** A field that must be a whole number. */
         public int number(String field) {
             try {
                 return Integer.parseInt(fields.getOrDefault(field, ""));
             } catch (NumberFormatException e) {
-                throw new MalformedException(word + ": field " + field + " is no number");
+                throw new MalformedException(type + ": field " + field + " is no number");
             }
         }
     }
@@ -54,12 +54,12 @@
     }
 
     /** Reads an answer; throws {@link MalformedException} where it is none. */
-    public static Answer answer(List<byte[]> items) {
+    public static Reply readReply(List<byte[]> items) {
         if (items.size() < 2 || items.size() > 4) {
             throw new MalformedException("an answer of " + items.size() + " parts");
         }
         byte[] body = items.size() > 3 ? items.get(3) : new byte[0];
-        return new Answer(Utf8.text(items.get(0)), Utf8.text(items.get(1)),
+        return new Reply(Utf8.text(items.get(0)), Utf8.text(items.get(1)),
                 items.size() > 2 ? fields(Utf8.text(items.get(2))) : Map.of(), body);
     }
 
--- a/frontend/src/main/java/quincespar/protocol/resp/RespDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/resp/RespDecoder.java
@@ -31,7 +31,7 @@
     }
 
     /** Whether a message has begun and is not yet whole. */
-    public boolean midway() {
+    public boolean hasPartialMessage() {
         return expected >= 0 || buffer.size() > 0;
     }
 
--- a/frontend/src/main/java/quincespar/protocol/thrift/FrameDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/FrameDecoder.java
@@ -11,7 +11,7 @@
     private final Buffer buffer = new Buffer();
 
     /** Whether a frame has begun and not ended. */
-    public boolean midway() {
+    public boolean hasPartialMessage() {
         return buffer.size() > 0;
     }
 
--- a/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
@@ -41,7 +41,7 @@
         }
         int type = head & 0xff;
         if (type != CALL && type != ONEWAY) {
-            return new Message.Wrong(seqid, INVALID_MESSAGE, "a message of type " + type);
+            return new Message.Invalid(seqid, INVALID_MESSAGE, "a message of type " + type);
         }
         try {
             return switch (method) {
@@ -51,12 +51,12 @@
                     skip(in, STRUCT, 0);
                     yield new Message.Health(seqid);
                 }
-                default -> new Message.Wrong(seqid, UNKNOWN_METHOD, "no method " + method);
+                default -> new Message.Invalid(seqid, UNKNOWN_METHOD, "no method " + method);
             };
         } catch (BufferUnderflowException e) {
-            return new Message.Wrong(seqid, PROTOCOL, "the message ends too early");
+            return new Message.Invalid(seqid, PROTOCOL, "the message ends too early");
         } catch (MalformedException e) {
-            return new Message.Wrong(seqid, PROTOCOL, e.getMessage());
+            return new Message.Invalid(seqid, PROTOCOL, e.getMessage());
         }
     }
 
@@ -243,7 +243,7 @@
     }
 
     /** The frame of a {@code health} call, for the command that asks a running front end. */
-    public static byte[] askHealth(int seqid) {
+    public static byte[] healthCall(int seqid) {
         Out out = new Out(CALL, "health", seqid);
         out.field(BOOL, 1);
         out.write(0);
--- a/frontend/src/main/java/quincespar/settings/ConfReader.java
+++ b/frontend/src/main/java/quincespar/settings/ConfReader.java
@@ -85,9 +85,9 @@
             Token word = line.setting().WORD().getSymbol();
             if (Keyword.blocks().contains(word.getText())) {
                 problem(word, "'" + word.getText() + "' is a block: '" + word.getText() + " {', its settings, '}'");
-            } else if (Arrays.stream(Keyword.values()).anyMatch(k -> k.word.equals(word.getText()))) {
+            } else if (Arrays.stream(Keyword.values()).anyMatch(k -> k.key.equals(word.getText()))) {
                 problem(word, "'" + word.getText() + "' stands outside its block, " + Arrays.stream(Keyword.values())
-                        .filter(k -> k.word.equals(word.getText())).map(k -> "'" + k.block + "'")
+                        .filter(k -> k.key.equals(word.getText())).map(k -> "'" + k.block + "'")
                         .collect(Collectors.joining(" or ")));
             } else {
                 problem(word, "unknown keyword '" + word.getText() + "' outside a block" + nearest(word.getText(),
@@ -122,19 +122,19 @@
 
     private void setting(String block, ConfParser.SettingContext s) {
         Token word = s.WORD().getSymbol();
-        Optional<Keyword> found = Keyword.in(block).stream().filter(k -> k.word.equals(word.getText())).findFirst();
+        Optional<Keyword> found = Keyword.in(block).stream().filter(k -> k.key.equals(word.getText())).findFirst();
         if (found.isEmpty()) {
             problem(word, "unknown keyword '" + word.getText() + "' in block '" + block + "'"
-                    + nearest(word.getText(), Keyword.in(block).stream().map(k -> k.word).toList()));
+                    + nearest(word.getText(), Keyword.in(block).stream().map(k -> k.key).toList()));
             return;
         }
         Keyword k = found.get();
         Integer before = setAt.putIfAbsent(k, word.getLine());
         if (before != null) {
-            problem(word, "'" + k.word + "' is set in line " + before + " already");
+            problem(word, "'" + k.key + "' is set in line " + before + " already");
         } else if (s.value().size() != 1) {
             problem(s.value().isEmpty() ? word : s.value(1).getStart(),
-                    "'" + k.word + "' takes one value, " + k.expected() + "; " + s.value().size() + " are given");
+                    "'" + k.key + "' takes one value, " + k.expected() + "; " + s.value().size() + " are given");
         } else {
             value(k, s.value(0));
         }
@@ -145,15 +145,15 @@
                 .replaceAll("\\\\(.)", "$1");
         if (k.type == Keyword.Type.CHOICE) {
             if (!k.choices.contains(text)) {
-                problem(v.getStart(), "'" + k.word + "' takes " + k.expected() + ", not '" + text + "'"
+                problem(v.getStart(), "'" + k.key + "' takes " + k.expected() + ", not '" + text + "'"
                         + nearest(text, k.choices));
             }
         } else if (k.isQuantity()) {
             double n = Quantity.read(k.type, text);
             if (Double.isNaN(n)) {
-                problem(v.getStart(), "'" + k.word + "' takes " + k.expected() + ", not '" + text + "'");
-            } else if (n < k.least || n > k.most) {
-                problem(v.getStart(), "'" + k.word + "' is " + text + "; it must lie in " + k.range());
+                problem(v.getStart(), "'" + k.key + "' takes " + k.expected() + ", not '" + text + "'");
+            } else if (n < k.min || n > k.max) {
+                problem(v.getStart(), "'" + k.key + "' is " + text + "; it must lie in " + k.range());
             }
         }
         set.put(k, text);
--- a/frontend/src/main/java/quincespar/settings/Settings.java
+++ b/frontend/src/main/java/quincespar/settings/Settings.java
@@ -19,7 +19,7 @@
 
     /** A quantity in its base unit: milliseconds, bytes, per cent, one. */
     public double number(Keyword k) {
-        return Quantity.read(k.type, word(k));
+        return Quantity.read(k.type, text(k));
     }
 
     /** A count. */
@@ -28,8 +28,8 @@
     }
 
     /** A word or text, as written, without its quotes. */
-    public String word(Keyword k) {
-        return texts.getOrDefault(k, k.absent);
+    public String text(Keyword k) {
+        return texts.getOrDefault(k, k.defaultText);
     }
 
     /** A file that sets everything to its default, each line with its meaning: a template, and the reference. */
@@ -38,9 +38,9 @@
         for (String block : Keyword.blocks()) {
             out.append(out.length() == 0 ? "" : "\n").append(block).append(" {\n");
             for (Keyword k : Keyword.in(block)) {
-                out.append("    # ").append(k.meaning).append(" Takes ").append(k.expected());
+                out.append("    # ").append(k.description).append(" Takes ").append(k.expected());
                 out.append(k.isQuantity() ? ", " + k.range() : "").append(".\n");
-                out.append("    ").append(k.word).append(' ').append(k.written()).append('\n');
+                out.append("    ").append(k.key).append(' ').append(k.written()).append('\n');
             }
             out.append("}\n");
         }
--- a/frontend/src/main/java/quincespar/simulator/Reader.java
+++ b/frontend/src/main/java/quincespar/simulator/RecordReader.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads packed little-endian fields of one record, and names record and offset where they run out. */
-final class Reader {
+final class RecordReader {
     private final ByteBuffer bytes;
     private final String what;
     private final int start;
@@ -13,7 +13,7 @@
     private int at;
 
     /** A reader over {@code bytes} from {@code at} up to {@code end}; offsets are told from {@code start}. */
-    Reader(byte[] bytes, int start, int at, int end, String what) {
+    RecordReader(byte[] bytes, int start, int at, int end, String what) {
         this.bytes = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
         this.start = start;
         this.at = at;
@@ -23,7 +23,7 @@
 
     private int take(int n) {
         if (n < 0 || n > end - at) {
-            throw new WireException(what + ": field of " + Integer.toUnsignedString(n) + " bytes at offset "
+            throw new SimulatorProtocolException(what + ": field of " + Integer.toUnsignedString(n) + " bytes at offset "
                     + (at - start) + " runs past the end at offset " + (end - start));
         }
         int old = at;
--- a/frontend/src/main/java/quincespar/simulator/Writer.java
+++ b/frontend/src/main/java/quincespar/simulator/ReplyWriter.java
@@ -5,7 +5,7 @@
 import quincespar.decision.Gateway;
 
 /** Builds one reply: a length and the records of the actions, packed little-endian. */
-final class Writer {
+final class ReplyWriter {
     private static final int HEADER = 4;
     private byte[] bytes = new byte[1 << 12];
     private int size = HEADER;
--- a/frontend/src/main/java/quincespar/simulator/WireHost.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
@@ -16,7 +16,7 @@
  * Hosts many instances of the decision module on the simulator's wire: turns batches into events, hands each
  * instance its own, and writes back the actions. It only translates; instances share nothing but this loop.
  */
-public final class WireHost {
+public final class SimulatorHost {
     private static final int HEADER = 16;
     private static final int RECORD_HEAD = 5;
     private static final Gateway.Outcome[] OUTCOMES = new Gateway.Outcome[15];
@@ -33,23 +33,23 @@
     }
 
     /** Makes the module of one instance. */
-    public interface Maker {
-        Gateway make(Gateway.Settings settings, long seed);
+    public interface GatewayFactory {
+        Gateway create(Gateway.Settings settings, long seed);
     }
 
-    private final Maker maker;
+    private final GatewayFactory gatewayFactory;
     private final Map<Integer, Gateway> instances = new TreeMap<>();
     private final Map<Integer, List<Gateway.Engine>> rosters = new TreeMap<>();
     private Map<Integer, List<Gateway.Event>> pending = new LinkedHashMap<>();
 
     /** A host of the project's own module. */
-    public WireHost() {
+    public SimulatorHost() {
         this(Brain::new);
     }
 
     /** A host of modules that are made by someone else. */
-    public WireHost(Maker maker) {
-        this.maker = maker;
+    public SimulatorHost(GatewayFactory gatewayFactory) {
+        this.gatewayFactory = gatewayFactory;
     }
 
     /** Answers batches until the input ends. */
@@ -61,18 +61,18 @@
                 return;
             }
             if (n < HEADER) {
-                throw new WireException("batch header: ends at offset " + n + " of " + HEADER);
+                throw new SimulatorProtocolException("batch header: ends at offset " + n + " of " + HEADER);
             }
-            Reader head = new Reader(header, 0, 0, HEADER, "batch header");
+            RecordReader head = new RecordReader(header, 0, 0, HEADER, "batch header");
             long length = head.u32();
             long count = head.u32();
             double now = head.f64();
             if (length > Integer.MAX_VALUE - HEADER) {
-                throw new WireException("batch header: length " + length + " at offset 0 is too large");
+                throw new SimulatorProtocolException("batch header: length " + length + " at offset 0 is too large");
             }
             byte[] body = in.readNBytes((int) length);
             if (body.length < length) {
-                throw new WireException("batch: input ends at offset " + body.length + " of " + length);
+                throw new SimulatorProtocolException("batch: input ends at offset " + body.length + " of " + length);
             }
             out.write(batch(body, count, now));
             out.flush();
@@ -85,29 +85,29 @@
         int at = 0;
         for (long i = 0; i < count; i++) {
             String what = "record " + i;
-            Reader head = new Reader(body, at, at, body.length, what);
+            RecordReader head = new RecordReader(body, at, at, body.length, what);
             int code = head.u8();
             long size = head.u32();
             if (size > body.length - at - RECORD_HEAD) {
-                throw new WireException(what + " (code " + code + "): length " + size + " at offset 1 runs past "
+                throw new SimulatorProtocolException(what + " (code " + code + "): length " + size + " at offset 1 runs past "
                         + "the end of the batch");
             }
             int end = at + RECORD_HEAD + (int) size;
-            record(code, new Reader(body, at, at + RECORD_HEAD, end, what + " (code " + code + ")"));
+            record(code, new RecordReader(body, at, at + RECORD_HEAD, end, what + " (code " + code + ")"));
             at = end;
         }
         if (at != body.length) {
-            throw new WireException("batch: " + (body.length - at) + " bytes at offset " + at
+            throw new SimulatorProtocolException("batch: " + (body.length - at) + " bytes at offset " + at
                     + " after its last record");
         }
-        Writer reply = new Writer();
+        ReplyWriter reply = new ReplyWriter();
         for (Map.Entry<Integer, List<Gateway.Event>> e : pending.entrySet()) {
             answer(e.getKey(), e.getValue(), now, reply);
         }
         return reply.take();
     }
 
-    private void answer(int instance, List<Gateway.Event> events, double now, Writer reply) {
+    private void answer(int instance, List<Gateway.Event> events, double now, ReplyWriter reply) {
         Gateway gateway = instances.get(instance);
         if (gateway == null) {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    private void record(int code, Reader r) {
+    private void record(int code, RecordReader r) {
         if (code == 50) {
             int id = r.u16();
             rosters.put(id, entries(r));
@@ -146,18 +146,18 @@
         }
     }
 
-    private void provision(int instance, Reader r) {
+    private void provision(int instance, RecordReader r) {
         long seed = r.u64();
         String text = r.text(r.i32());
         try {
-            instances.put(instance, maker.make(SettingsParser.parse(text), seed));
+            instances.put(instance, gatewayFactory.create(SettingsParser.parse(text), seed));
         } catch (IllegalArgumentException e) {
-            throw new WireException("settings of instance " + instance + ": " + e.getMessage());
+            throw new SimulatorProtocolException("settings of instance " + instance + ": " + e.getMessage());
         }
         pending.put(instance, new ArrayList<>());
     }
 
-    private static List<Gateway.Engine> entries(Reader r) {
+    private static List<Gateway.Engine> entries(RecordReader r) {
         long n = r.u32();
         List<Gateway.Engine> out = new ArrayList<>();
         for (long i = 0; i < n; i++) {
@@ -178,7 +178,7 @@
         return out;
     }
 
-    private Gateway.Event event(int code, Reader r) {
+    private Gateway.Event event(int code, RecordReader r) {
         return switch (code) {
             case 10 -> new Gateway.Told(r.u32(), r.raw(r.u16()));
             case 20 -> new Gateway.Left(r.u64());
@@ -197,7 +197,7 @@
         };
     }
 
-    private static Gateway.Event request(Reader r) {
+    private static Gateway.Event request(RecordReader r) {
         long id = r.u64();
         int tenant = r.i32();
         double tables = r.f32();
@@ -212,14 +212,14 @@
                 (bits & 4) != 0);
     }
 
-    private static Gateway.Event started(Reader r) {
+    private static Gateway.Event started(RecordReader r) {
         long id = r.u64();
         double latency = r.f64();
         long engine = r.engine();
         return new Gateway.Started(id, r.u16(), engine, latency);
     }
 
-    private static Gateway.Event note(Reader r) {
+    private static Gateway.Event note(RecordReader r) {
         long id = r.u64();
         int attempt = r.u16();
         long engine = r.engine();
@@ -231,7 +231,7 @@
         return new Gateway.Note(id, attempt, engine, kind, r.f32());
     }
 
-    private static Gateway.Event ended(Reader r) {
+    private static Gateway.Event ended(RecordReader r) {
         long id = r.u64();
         int attempt = r.u16();
         long engine = r.engine();
@@ -245,7 +245,7 @@
                 told ? (double) (stats >>> 12) : Double.NaN, told ? 4.0 * (stats & 4095) : Double.NaN, load(r));
     }
 
-    private static List<Double> load(Reader r) {
+    private static List<Double> load(RecordReader r) {
         int n = r.u8();
         List<Double> out = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
@@ -254,7 +254,7 @@
         return out;
     }
 
-    private Gateway.Event listed(Reader r) {
+    private Gateway.Event listed(RecordReader r) {
         int how = r.u8();
         long version = r.u64();
         int roster = r.u16();
@@ -266,7 +266,7 @@
         };
         List<Gateway.Engine> engines = kind == Gateway.ListKind.FAILED ? List.of() : rosters.get(roster);
         if (engines == null) {
-            throw new WireException("TOPOLOGY names list " + roster + ", which has not come");
+            throw new SimulatorProtocolException("TOPOLOGY names list " + roster + ", which has not come");
         }
         return new Gateway.Listed(kind, version, engines);
     }
--- a/frontend/src/main/java/quincespar/transport/Connection.java
+++ b/frontend/src/main/java/quincespar/transport/Connection.java
@@ -33,7 +33,7 @@
         void received(byte[] bytes, int count);
 
         /** All that lay there has been received, and the peer has not ended the connection behind it. */
-        default void passed() { }
+        default void readComplete() { }
 
         /** Whether something is open on it, as far as the owner has read. */
         default boolean busy() {
@@ -41,7 +41,7 @@
         }
 
         /** It was to be closed if quiet and was not: it is busy, or bytes lay unread and are received next. */
-        default void notQuiet() { }
+        default void idleCloseDeclined() { }
 
         /** The connection is over, nothing more goes out and nothing more is handed on; told once, last of all. */
         void closed(String cause);
@@ -89,11 +89,11 @@
     private static final int LINGER_BYTES = 64 * 1024;
 
     /** The cause of the end of a connection that was given so long to come up. */
-    public static final String NOT_UP_IN_TIME = "connect: not up in time";
+    public static final String CONNECT_TIMEOUT = "connect: not up in time";
 
     private final EventLoop loop;
     private final String name;
-    private final OutboxBound bound;
+    private final OutboxLimit bound;
     private final ArrayDeque<Frame> outbox = new ArrayDeque<>();
     private final EventLoop.Ready ready = new EventLoop.Ready() {
         @Override
@@ -111,14 +111,14 @@
     private Handler handler;
     private Phase phase = Phase.NEW;
     private boolean gone;
-    private volatile boolean failedHere;
+    private volatile boolean failedLocally;
     private int pending;
     private int dropped;
     /** When the peer last took something of what is queued, or the first of it was queued. */
     private long takenAt;
     private String cause = "closed here";
 
-    private Connection(EventLoop loop, SocketChannel channel, String name, OutboxBound bound) {
+    private Connection(EventLoop loop, SocketChannel channel, String name, OutboxLimit bound) {
         this.loop = loop;
         this.channel = channel;
         this.name = name;
@@ -126,29 +126,29 @@
     }
 
     /** Takes over a channel that was accepted; nothing is read or written before {@link #start}. */
-    public static Connection accepted(EventLoop loop, SocketChannel channel, String name, OutboxBound bound) {
+    public static Connection accepted(EventLoop loop, SocketChannel channel, String name, OutboxLimit bound) {
         return new Connection(loop, channel, name, bound);
     }
 
     /** A connection that is not yet dialled; what is sent before it is up waits in the outbox. */
-    public static Connection dialled(EventLoop loop, String name, OutboxBound bound) {
+    public static Connection outbound(EventLoop loop, String name, OutboxLimit bound) {
         return new Connection(loop, null, name, bound);
     }
 
     /** Begins to connect; the handler hears {@code opened} or {@code closed}. */
-    public void dial(InetSocketAddress address, Handler to) {
+    public void connect(InetSocketAddress address, Handler to) {
         handler = to;
-        loop.execute(() -> connect(address));
+        loop.execute(() -> beginConnect(address));
     }
 
     /** The same; one that is not up after so long is closed. */
-    public void dial(InetSocketAddress address, Handler to, long upWithinMs) {
+    public void connect(InetSocketAddress address, Handler to, long upWithinMs) {
         handler = to;
         loop.execute(() -> {
-            connect(address);
+            beginConnect(address);
             loop.after(upWithinMs, () -> {
                 if (phase() == Phase.DIALLING) {
-                    close(NOT_UP_IN_TIME);
+                    close(CONNECT_TIMEOUT);
                 }
             });
         });
@@ -173,7 +173,7 @@
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
 
-    private void connect(InetSocketAddress address) {
+    private void beginConnect(InetSocketAddress address) {
         synchronized (outbox) {
             if (phase != Phase.NEW) {
                 return;
@@ -192,14 +192,14 @@
         } catch (ConnectException | NoRouteToHostException e) {
             close("connect: " + e.getMessage());
         } catch (IOException | UnresolvedAddressException e) {
-            failedHere = true;
+            failedLocally = true;
             close("connect: " + e.getMessage());
         }
     }
 
     /** Whether it is over because this machine could not even begin to connect, as where it has no address or descriptor left. */
-    public boolean failedHere() {
-        return failedHere;
+    public boolean failedLocally() {
+        return failedLocally;
     }
 
     /** Queues a frame; false where the outbox is full or the connection over, and then nothing goes out. */
@@ -211,7 +211,7 @@
     public boolean send(byte[] bytes, WithdrawableWrite write, Runnable written) {
         List<Runnable> told = new ArrayList<>(1);
         synchronized (outbox) {
-            if (phase.compareTo(Phase.FINISHING) >= 0 || !bound.take(pending, bytes.length)) {
+            if (phase.compareTo(Phase.FINISHING) >= 0 || !bound.reserve(pending, bytes.length)) {
                 return false;
             }
             pending += bytes.length;
@@ -244,7 +244,7 @@
                 }
                 outbox.poll();
                 pending -= f.size();
-                bound.give(f.size());
+                bound.release(f.size());
             }
             if (phase == Phase.FINISHING) {
                 phase = Phase.FINISHED;
@@ -315,20 +315,20 @@
             phase = Phase.CLOSED;
             cause = why;
             outbox.clear();
-            bound.give(pending); // with the end, what is still queued frees its room in the bound that others share
+            bound.release(pending); // with the end, what is still queued frees its room in the bound that others share
             pending = 0;
             return true;
         }
     }
 
     /**
-     * Closes where the connection is quiet, and says {@link Handler#notQuiet} otherwise. Guards against closing for
+     * Closes where the connection is quiet, and says {@link Handler#idleCloseDeclined} otherwise. Guards against closing for
      * idleness what has just been asked on: on a busy core a request may have come and not have been read yet, or may
      * still be on its way to whoever decides on the close; and an answer may lie here until the peer has read what is
      * before it. The peer is told in the same task: what comes between the look and the end goes unanswered, and other
      * connections' tasks would make that longer.
      */
-    public void closeIfQuiet(String why) {
+    public void closeIfIdle(String why) {
         loop.execute(() -> {
             if (quiet(true) && closing(why)) {
                 over();
@@ -337,7 +337,7 @@
     }
 
     /** Closes as {@link #finish} does where the connection is quiet; otherwise it stays. The peer is told in the same task. */
-    public void finishIfQuiet() {
+    public void finishIfIdle() {
         loop.execute(() -> {
             if (quiet(false)) {
                 finish();
@@ -355,7 +355,7 @@
         }
         if (handler.busy() || unsent()) {
             if (told) {
-                handler.notQuiet();
+                handler.idleCloseDeclined();
             }
             return false;
         }
@@ -464,16 +464,16 @@
             interrupted |= n < 0;
             if (n > 0) {
                 if (toClose && !some) {
-                    handler.notQuiet();
+                    handler.idleCloseDeclined();
                 }
                 some = true;
                 handle(n);
             }
         }
         if (some) {
-            handler.passed();
+            handler.readComplete();
         } else if (interrupted && toClose) {
-            handler.notQuiet(); // something may lie there
+            handler.idleCloseDeclined(); // something may lie there
         }
         return some || interrupted;
     }
--- a/frontend/src/main/java/quincespar/transport/EventLoop.java
+++ b/frontend/src/main/java/quincespar/transport/EventLoop.java
@@ -52,7 +52,7 @@
     /** A loop that is not yet started; throws {@link IOException} where the system gives no selector. */
     public EventLoop(String name) throws IOException {
         this.name = name;
-        selector = Retry.atStart(Selector::open);
+        selector = Retry.atStartup(Selector::open);
         thread = Threads.daemon(name, this::run);
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Ends the thread; channels that are registered stay as they are. */
-    public void end() {
+    public void stop() {
         ended = true;
         selector.wakeup();
     }
@@ -85,7 +85,7 @@
     }
 
     /** Runs a task on the loop's thread once all that is readable by now has been handled. */
-    public void afterPass(Runnable task) {
+    public void executeAfterReads(Runnable task) {
         execute(() -> after(0, () -> after(0, task)));
     }
 
--- a/frontend/src/main/java/quincespar/transport/Listener.java
+++ b/frontend/src/main/java/quincespar/transport/Listener.java
@@ -14,12 +14,12 @@
 public final class Listener {
     private final Logger log = LoggerFactory.getLogger(Listener.class);
     /** Takes what is accepted, on the loop's thread. */
-    public interface Taker {
+    public interface Acceptor {
         /** Whether there is a place for one more; else new ones wait in the system's queue until {@link #resume}. */
-        boolean room();
+        boolean hasCapacity();
 
         /** Takes one over. */
-        void take(SocketChannel channel);
+        void accept(SocketChannel channel);
     }
 
     private static final int BACKLOG = 1024;
@@ -48,13 +48,13 @@
         }
     };
     private SelectionKey key;
-    private Taker taker;
+    private Acceptor acceptor;
 
     /** A listener for an address, not yet bound; {@code shared}: other processes of this user may listen there too. */
     public Listener(EventLoop loop, InetSocketAddress address, boolean shared) throws IOException {
         this.loop = loop;
         this.address = address;
-        channel = Retry.atStart(ServerSocketChannel::open);
+        channel = Retry.atStartup(ServerSocketChannel::open);
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // a planned restart binds it again at once
         try {
@@ -70,7 +70,7 @@
      * {@link #start}. Throws {@link IOException} where the address can't be bound.
      */
     public void bind() throws IOException {
-        Retry.atStart(() -> channel.bind(address, BACKLOG));
+        Retry.atStartup(() -> channel.bind(address, BACKLOG));
     }
 
     /** The port that is bound. */
@@ -79,9 +79,9 @@
     }
 
     /** Begins to accept. */
-    public void start(Taker to) {
+    public void start(Acceptor to) {
         loop.execute(() -> {
-            taker = to;
+            acceptor = to;
             try {
                 key = loop.register(channel, SelectionKey.OP_ACCEPT, ready);
             } catch (IOException e) {
@@ -93,7 +93,7 @@
     /** There may be room again. */
     public void resume() {
         loop.execute(() -> {
-            if (key != null && key.isValid() && taker.room()) {
+            if (key != null && key.isValid() && acceptor.hasCapacity()) {
                 key.interestOps(SelectionKey.OP_ACCEPT);
             }
         });
@@ -101,7 +101,7 @@
 
     private void accept(int most) {
         for (int i = 0; i < most; i++) {
-            if (!taker.room()) {
+            if (!acceptor.hasCapacity()) {
                 key.interestOps(0);
                 return;
             }
@@ -121,7 +121,7 @@
             if (c == null) {
                 return Accepted.NONE_WAITS;
             }
-            taker.take(c);
+            acceptor.accept(c);
             return Accepted.TAKEN;
         } catch (IOException e) { // out of descriptors, or a client gone before it was accepted
             log.warn("listener: {}", e.getMessage());
--- a/frontend/src/main/java/quincespar/transport/OutboxBound.java
+++ b/frontend/src/main/java/quincespar/transport/OutboxLimit.java
@@ -6,18 +6,18 @@
  * Bounds what waits to be written, for one connection and for all that share this object. Guards against many
  * peers that stop reading at once: each within its own bound, together they would fill the heap.
  */
-public final class OutboxBound {
+public final class OutboxLimit {
     private final int each;
     private final long all;
     private final AtomicLong held = new AtomicLong();
 
     /** At most {@code each} bytes in one outbox, and {@code all} in those that share this bound. */
-    public OutboxBound(int each, long all) {
+    public OutboxLimit(int each, long all) {
         this.each = each;
         this.all = all;
     }
 
-    boolean take(int pending, int more) {
+    boolean reserve(int pending, int more) {
         if (pending + more > each) {
             return false;
         }
@@ -28,7 +28,7 @@
         return true;
     }
 
-    void give(int less) {
+    void release(int less) {
         held.addAndGet(-less);
     }
 }
--- a/frontend/src/main/java/quincespar/transport/Retry.java
+++ b/frontend/src/main/java/quincespar/transport/Retry.java
@@ -17,7 +17,7 @@
     private Retry() { }
 
     /** Its result; throws what it threw last, where it has failed for two seconds. */
-    public static <T> T atStart(Call<T> call) throws IOException {
+    public static <T> T atStartup(Call<T> call) throws IOException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
         while (true) {
             try {
--- a/frontend/src/test/java/quincespar/program/Peers.java
+++ b/frontend/src/test/java/quincespar/program/Peers.java
@@ -358,13 +358,13 @@
         }
 
         boolean healthy() throws IOException {
-            out.write(FrontCodec.askHealth(999));
+            out.write(FrontCodec.healthCall(999));
             return FrontCodec.readAnswer(frame()).good();
         }
 
         /** The counters that come with the answer to health. */
         Map<String, String> counters() throws IOException {
-            out.write(FrontCodec.askHealth(999));
+            out.write(FrontCodec.healthCall(999));
             return FrontCodec.readAnswer(frame()).fields();
         }
 
--- a/frontend/src/test/java/quincespar/program/clients/ThriftFrontTest.java
+++ b/frontend/src/test/java/quincespar/program/clients/ThriftFrontTest.java
@@ -44,7 +44,7 @@
     @AfterEach
     void end() {
         listener.close(() -> { });
-        loop.end();
+        loop.stop();
     }
 
     private Socket client() throws IOException {
--- a/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
+++ b/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
@@ -48,7 +48,7 @@
                 assertThat(posted.take()).isEqualTo(new Input.Midway(1, false));
             }
         } finally {
-            loop.end();
+            loop.stop();
         }
     }
 }
--- a/frontend/src/test/java/quincespar/protocol/CodecsTest.java
+++ b/frontend/src/test/java/quincespar/protocol/CodecsTest.java
@@ -56,8 +56,8 @@
                 + "*2\r\n$1\r\nc\r\n$5\r\nBROKE\r\n");
         List<List<byte[]>> got = resp(two, step);
         assertThat(got).hasSize(2);
-        EngineCodec.Answer a = EngineCodec.answer(got.get(0));
-        assertThat(a.word()).isEqualTo("DONE");
+        EngineCodec.Reply a = EngineCodec.readReply(got.get(0));
+        assertThat(a.type()).isEqualTo("DONE");
         assertThat(a.number("count")).isEqualTo(1);
         assertThat(a.fields()).containsEntry("use", "x1:0.5;q:2");
         assertThat(a.body()).isEqualTo(bytes("a\r\n"));
@@ -73,11 +73,11 @@
     @Test
     void anAnswerWithBadTextIsMalformed() {
         byte[] id = bytes("id");
-        assertThatThrownBy(() -> EngineCodec.answer(List.of(id, new byte[] {(byte) 0xff})))
+        assertThatThrownBy(() -> EngineCodec.readReply(List.of(id, new byte[] {(byte) 0xff})))
                 .isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> EngineCodec.answer(List.of(id, bytes("DONE"), bytes("count"))))
+        assertThatThrownBy(() -> EngineCodec.readReply(List.of(id, bytes("DONE"), bytes("count"))))
                 .isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> EngineCodec.answer(List.of(id, bytes("DONE"), bytes("-"))).number("count"))
+        assertThatThrownBy(() -> EngineCodec.readReply(List.of(id, bytes("DONE"), bytes("-"))).number("count"))
                 .isInstanceOf(MalformedException.class);
     }
 
@@ -115,7 +115,7 @@
             if (n < head) {
                 assertThatThrownBy(() -> FrontCodec.read(part)).isInstanceOf(MalformedException.class);
             } else {
-                assertThat(FrontCodec.read(part)).isInstanceOf(Message.Wrong.class)
+                assertThat(FrontCodec.read(part)).isInstanceOf(Message.Invalid.class)
                         .extracting(Message::seqid).isEqualTo(7);
             }
         }
@@ -126,7 +126,7 @@
         byte[] frame = callFrame(bytes("x"));
         int at = new String(frame, StandardCharsets.ISO_8859_1).indexOf("lookup");
         frame[at] = (byte) 0xff;
-        assertThat(FrontCodec.read(frame)).isInstanceOf(Message.Wrong.class);
+        assertThat(FrontCodec.read(frame)).isInstanceOf(Message.Invalid.class);
     }
 
     @ParameterizedTest
@@ -156,7 +156,7 @@
         "SELECT 'it''s sales_3.x', d_2.c FROM stock_12.items d_2|12",
         "SELECT 1 FROM staging.t|0", "UPDATE stock_4.items SET n = 1|4", "SELECT 'open|0", "/* open|0"})
     void theGroupIsTheNumberOfTheSchema(String statement, int group) {
-        assertThat(StatementScan.group(bytes(statement.replace('¶', '\n')))).isEqualTo(group);
+        assertThat(StatementScanner.tableGroup(bytes(statement.replace('¶', '\n')))).isEqualTo(group);
     }
 
     @Test
--- a/frontend/src/test/java/quincespar/protocol/http/RequestDecoderTest.java
+++ b/frontend/src/test/java/quincespar/protocol/http/RequestDecoderTest.java
@@ -19,7 +19,7 @@
     private static int refusedWith(String text) {
         try {
             fed(text);
-        } catch (RequestDecoder.RefusedException e) {
+        } catch (RequestDecoder.RejectedException e) {
             return e.status();
         }
         return 0;
@@ -61,7 +61,7 @@
     void aHeadWithoutEndIsTooLargeAndNoMoreOfItIsKept() {
         RequestDecoder d = new RequestDecoder();
         byte[] much = "x".repeat(100_000).getBytes(StandardCharsets.ISO_8859_1);
-        assertThatThrownBy(() -> d.feed(much, much.length)).isInstanceOfSatisfying(RequestDecoder.RefusedException.class,
+        assertThatThrownBy(() -> d.feed(much, much.length)).isInstanceOfSatisfying(RequestDecoder.RejectedException.class,
                 e -> assertThat(e.status()).isEqualTo(431));
         assertThat(refusedWith("GET / HTTP/1.1\r\n" + "A: b\r\n".repeat(2000))).isEqualTo(431);
         assertThat(fed("GET / HTTP/1.1\r\nA: " + "b".repeat(8000) + "\r\n\r\n")).isPresent();
--- a/frontend/src/test/java/quincespar/settings/ConfReaderTest.java
+++ b/frontend/src/test/java/quincespar/settings/ConfReaderTest.java
@@ -22,10 +22,10 @@
     void theTemplateSetsEverythingToItsDefault() throws ConfException {
         Settings read = ConfReader.read("f", Settings.template());
         for (Keyword k : Keyword.values()) {
-            assertThat(read.word(k)).isEqualTo(Settings.defaults().word(k)).isEqualTo(k.absent);
+            assertThat(read.text(k)).isEqualTo(Settings.defaults().text(k)).isEqualTo(k.defaultText);
         }
         for (Keyword k : Keyword.values()) {
-            assertThat(Settings.template()).contains("    " + k.word + " " + k.written() + "\n", k.meaning);
+            assertThat(Settings.template()).contains("    " + k.key + " " + k.written() + "\n", k.description);
         }
     }
 
@@ -33,9 +33,9 @@
     void everyDefaultLiesInItsRange() {
         for (Keyword k : Keyword.values()) {
             if (k.type == Keyword.Type.CHOICE) {
-                assertThat(k.choices).contains(k.absent);
+                assertThat(k.choices).contains(k.defaultText);
             } else if (k.isQuantity()) {
-                assertThat(Quantity.read(k.type, k.absent)).as(k.word).isBetween(k.least, k.most);
+                assertThat(Quantity.read(k.type, k.defaultText)).as(k.key).isBetween(k.min, k.max);
             }
         }
     }
@@ -43,9 +43,9 @@
     @Test
     void sizesAndTextsAreTaken() throws ConfException {
         Settings s = ConfReader.read("f", "capture {\n folder \"/a b\"\n segment 96k\n total 2g\n}\n");
-        assertThat(s.word(Keyword.CAPTURE_FOLDER)).isEqualTo("/a b");
-        assertThat(s.number(Keyword.CAPTURE_SEGMENT)).isEqualTo(96 * 1024);
-        assertThat(s.number(Keyword.CAPTURE_TOTAL)).isEqualTo(2.0 * (1 << 30));
+        assertThat(s.text(Keyword.CAPTURE_FOLDER)).isEqualTo("/a b");
+        assertThat(s.number(Keyword.CAPTURE_SEGMENT_SIZE)).isEqualTo(96 * 1024);
+        assertThat(s.number(Keyword.CAPTURE_TOTAL_SIZE)).isEqualTo(2.0 * (1 << 30));
         assertThat(problems("capture {\n segment 1t\n total 1k\n}\n")).containsExactly(
                 "f:2:10: 'segment' takes a size as 64k, 16m or 1g, not '1t'",
                 "f:3:8: 'total' is 1k; it must lie in 128k to 1024g");
@@ -54,20 +54,20 @@
     @Test
     void commentsBlankLinesQuotesAndEitherEndOfLineAreTaken() throws ConfException {
         Settings s = ConfReader.read("f", "# all\r\n\r\nlog { # block\r\n\tformat \"json\" # words\r\n}\r\nlinks {\n}\n");
-        assertThat(s.word(Keyword.LOG_FORMAT)).isEqualTo("json");
-        assertThat(s.number(Keyword.CLIENTS_IDLE)).isEqualTo(2500);
+        assertThat(s.text(Keyword.LOG_FORMAT)).isEqualTo("json");
+        assertThat(s.number(Keyword.CLIENTS_IDLE_TIMEOUT)).isEqualTo(2500);
     }
 
     @Test
     void aLastLineNeedsNoEnd() throws ConfException {
-        assertThat(ConfReader.read("f", "log {\n  level debug\n}").word(Keyword.LOG_LEVEL)).isEqualTo("debug");
-        assertThat(ConfReader.read("f", "").word(Keyword.LOG_LEVEL)).isEqualTo("info");
+        assertThat(ConfReader.read("f", "log {\n  level debug\n}").text(Keyword.LOG_LEVEL)).isEqualTo("debug");
+        assertThat(ConfReader.read("f", "").text(Keyword.LOG_LEVEL)).isEqualTo("info");
     }
 
     @ParameterizedTest
     @CsvSource({"250ms, 250", "2s, 2000", "1.5s, 1500", "5m, 300000", "1h, 3600000"})
     void timesHaveUnits(String text, double ms) throws ConfException {
-        assertThat(ConfReader.read("f", "clients {\n idle " + text + "\n}").number(Keyword.CLIENTS_IDLE)).isEqualTo(ms);
+        assertThat(ConfReader.read("f", "clients {\n idle " + text + "\n}").number(Keyword.CLIENTS_IDLE_TIMEOUT)).isEqualTo(ms);
     }
 
     @ParameterizedTest
--- a/frontend/src/test/java/quincespar/simulator/WireTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The wire: the facts of worked frames, round trips, and input that is cut or wrong. */
-class WireTest {
+class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
             + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
     private final List<Gateway.Event> seen = new ArrayList<>();
     private List<Gateway.Action> reply = List.of();
-    private final WireHost host = new WireHost((settings, seed) -> (now, events) -> {
+    private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
         seen.addAll(events);
         return reply;
     });
@@ -89,7 +89,7 @@
 
     @Test
     void actionsAreWrittenAsTheWireHasThem() {
-        long engine = new Reader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
+        long engine = new RecordReader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
         reply = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
                 new Gateway.Terms(0x0008b4fd5d3a91c4L, 2, 640));
         byte[] out = host.batch(join(provision(SETTINGS), LIST), 3, 1);
@@ -114,7 +114,7 @@
     @Test
     void aCutRecordIsNamedWithItsOffset() {
         byte[] cut = record(20, hex("0300 01000000"));
-        String m = assertThrows(WireException.class, () -> host.batch(join(provision(SETTINGS), cut), 2, 1))
+        String m = assertThrows(SimulatorProtocolException.class, () -> host.batch(join(provision(SETTINGS), cut), 2, 1))
                 .getMessage();
         assertTrue(m.contains("record 1") && m.contains("offset 7"), m);
     }
@@ -123,22 +123,23 @@
     void aCutBatchWritesNothing() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] head = hex("10000000 01000000 0000000000000000 14 0a");
-        assertThrows(WireException.class, () -> host.serve(new ByteArrayInputStream(head), out));
+        assertThrows(SimulatorProtocolException.class, () -> host.serve(new ByteArrayInputStream(head), out));
         assertEquals(0, out.size());
     }
 
     @Test
     void aMissingOrWrongSettingIsNamed() {
-        String m = assertThrows(WireException.class, () -> host.batch(provision("balancers=2\n"), 1, 1)).getMessage();
+        String m = assertThrows(SimulatorProtocolException.class, () -> host.batch(provision("balancers=2\n"), 1, 1))
+                .getMessage();
         assertTrue(m.contains("requestClasses.count"), m);
-        m = assertThrows(WireException.class, () -> host.batch(provision(SETTINGS + "tick=soon\n"), 1, 1))
+        m = assertThrows(SimulatorProtocolException.class, () -> host.batch(provision(SETTINGS + "tick=soon\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("tick"), m);
     }
 
     @Test
     void aFailureOfOneInstanceIsReportedAsItsOwn() {
-        WireHost failing = new WireHost((settings, seed) -> (now, events) -> {
+        SimulatorHost failing = new SimulatorHost((settings, seed) -> (now, events) -> {
             throw new IllegalStateException("broken");
         });
         byte[] out = failing.batch(join(provision(SETTINGS), LIST), 3, 1);
--- a/frontend/src/test/java/quincespar/transport/ConnectionTest.java
+++ b/frontend/src/test/java/quincespar/transport/ConnectionTest.java
@@ -38,7 +38,7 @@
         }
 
         @Override
-        public void notQuiet() {
+        public void idleCloseDeclined() {
             told.add("not quiet");
         }
 
@@ -61,7 +61,7 @@
 
     @AfterEach
     void close() throws IOException {
-        loop.end();
+        loop.stop();
         server.close();
     }
 
@@ -69,7 +69,7 @@
         return new Socket(server.socket().getInetAddress(), server.socket().getLocalPort());
     }
 
-    private Connection accepted(OutboxBound bound) throws IOException {
+    private Connection accepted(OutboxLimit bound) throws IOException {
         return Connection.accepted(loop, server.accept(), "c", bound);
     }
 
@@ -84,7 +84,7 @@
 
     @Test
     void aPeerThatDoesNotReadFillsItsOutboxAndHoldsUpNobody() throws Exception {
-        OutboxBound bound = new OutboxBound(1 << 20, 3 << 19);
+        OutboxLimit bound = new OutboxLimit(1 << 20, 3 << 19);
         try (Socket one = peer()) {
             Connection first = accepted(bound);
             assertThat(fill(first)).isEqualTo(16);
@@ -108,10 +108,10 @@
     @Test
     void aConnectionIsFinishedOnceItIsQuietAndItsLastWordArrives() throws Exception {
         try (Socket s = peer()) {
-            Connection c = accepted(new OutboxBound(100, 100));
+            Connection c = accepted(new OutboxLimit(100, 100));
             busy = true;
             c.start(handler);
-            c.finishIfQuiet();
+            c.finishIfIdle();
             CountDownLatch looked = new CountDownLatch(1);
             loop.execute(looked::countDown);
             looked.await();
@@ -126,11 +126,11 @@
             });
             held.await();
             s.getOutputStream().write(2); // lies unread when the close is to be judged
-            c.finishIfQuiet();
+            c.finishIfIdle();
             hold.countDown();
             assertThat(told.take()).isEqualTo("received 1");
             c.send(new byte[] {7});
-            c.finishIfQuiet();
+            c.finishIfIdle();
             assertThat(s.getInputStream().readAllBytes()).containsExactly(7);
             closed.await();
         }
@@ -156,23 +156,23 @@
 
     @Test
     void aConnectThatFailsFreesTheRoomOfWhatWasQueued() throws Exception {
-        OutboxBound bound = new OutboxBound(100, 100);
+        OutboxLimit bound = new OutboxLimit(100, 100);
         int port;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = gone.getLocalPort();
         }
-        assertThat(bound.take(0, 60)).isTrue(); // so that a queued frame of 40 fills the bound
-        Connection c = Connection.dialled(loop, "c", bound);
+        assertThat(bound.reserve(0, 60)).isTrue(); // so that a queued frame of 40 fills the bound
+        Connection c = Connection.outbound(loop, "c", bound);
         c.send(new byte[40]);
-        c.dial(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), handler);
+        c.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), handler);
         closed.await();
-        assertThat(bound.take(0, 40)).isTrue();
+        assertThat(bound.reserve(0, 40)).isTrue();
     }
 
     @Test
     void aFrameWhoseLeaveWasTakenBackDoesNotGoOutAndOthersDo() throws Exception {
         try (Socket peer = peer()) {
-            Connection c = accepted(new OutboxBound(100, 100));
+            Connection c = accepted(new OutboxLimit(100, 100));
             WithdrawableWrite withdrawn = new WithdrawableWrite();
             WithdrawableWrite kept = new WithdrawableWrite();
             c.send(new byte[] {1}, withdrawn, null);
@@ -188,7 +188,7 @@
     @Test
     void whatIsWrittenIsToldOnceItIsAndAFinishedConnectionLetsThePeerReadBeforeTheClose() throws Exception {
         try (Socket peer = peer()) {
-            Connection c = accepted(new OutboxBound(1 << 25, 1 << 25));
+            Connection c = accepted(new OutboxLimit(1 << 25, 1 << 25));
             peer.getOutputStream().write(new byte[100]); // unread, it would turn a close into a reset
             c.start(handler);
             assertThat(told.take()).isEqualTo("received 100");
@@ -207,12 +207,12 @@
     @Test
     void aConnectionOnWhichSomethingCameIsNotClosedAsIdle() throws Exception {
         try (Socket peer = peer()) {
-            Connection c = accepted(new OutboxBound(100, 100));
+            Connection c = accepted(new OutboxLimit(100, 100));
             CountDownLatch arrived = new CountDownLatch(1);
             c.start(handler);
             CountDownLatch held = new CountDownLatch(1);
             loop.execute(() -> { // holds the loop up, as a busy core does, until bytes have come
-                c.closeIfQuiet("idle");
+                c.closeIfIdle("idle");
                 held.countDown();
                 await(arrived);
             });
@@ -222,10 +222,10 @@
             assertThat(told.take()).isEqualTo("not quiet");
             assertThat(told.take()).isEqualTo("received 3");
             busy = true;
-            c.closeIfQuiet("idle");
+            c.closeIfIdle("idle");
             assertThat(told.take()).isEqualTo("not quiet");
             busy = false;
-            c.closeIfQuiet("idle");
+            c.closeIfIdle("idle");
             assertThat(told.take()).isEqualTo("closed: idle");
             assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
@@ -235,14 +235,14 @@
     @Test
     void aConnectionWithSomethingToWriteIsNotClosedAsIdleAndAllOfItArrives() throws Exception {
         try (Socket peer = peer()) {
-            Connection c = accepted(new OutboxBound(1 << 25, 1 << 25));
+            Connection c = accepted(new OutboxLimit(1 << 25, 1 << 25));
             c.start(handler);
             c.send(new byte[1 << 25]); // more than the system takes at once
-            c.closeIfQuiet("idle");
+            c.closeIfIdle("idle");
             assertThat(told.take()).isEqualTo("not quiet");
-            c.finishIfQuiet();
+            c.finishIfIdle();
             peer.getInputStream().readNBytes(1 << 25);
-            c.closeIfQuiet("idle");
+            c.closeIfIdle("idle");
             assertThat(told.take()).isEqualTo("closed: idle");
             assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
@@ -252,7 +252,7 @@
     @Test
     void theEndBehindTheLastBytesIsSeenInTheSameLook() throws Exception {
         try (Socket peer = peer()) {
-            Connection c = accepted(new OutboxBound(100, 100));
+            Connection c = accepted(new OutboxLimit(100, 100));
             peer.getOutputStream().write(new byte[3]);
             peer.shutdownOutput(); // both lie there before the first look
             c.start(new Connection.Handler() {
@@ -262,7 +262,7 @@
                 }
 
                 @Override
-                public void passed() {
+                public void readComplete() {
                     told.add("passed");
                 }
 
@@ -281,7 +281,7 @@
     void nothingComesBetweenTheLookAtAQuietConnectionAndItsEnd() throws Exception {
         for (boolean finish : new boolean[] {true, false}) {
             try (Socket peer = peer()) {
-                Connection c = accepted(new OutboxBound(100, 100));
+                Connection c = accepted(new OutboxLimit(100, 100));
                 c.start(handler);
                 CountDownLatch held = new CountDownLatch(1);
                 CountDownLatch hold = new CountDownLatch(1);
@@ -292,9 +292,9 @@
                 held.await();
                 peer.setSoTimeout(5_000);
                 if (finish) {
-                    c.finishIfQuiet();
+                    c.finishIfIdle();
                 } else {
-                    c.closeIfQuiet("idle");
+                    c.closeIfIdle("idle");
                 }
                 CompletableFuture<Integer> heard = new CompletableFuture<>();
                 loop.execute(() -> {
@@ -321,7 +321,7 @@
     @Test
     void aHandlerThatFailsEndsItsOwnConnectionOnly() throws Exception {
         try (Socket bad = peer(); Socket good = peer()) {
-            accepted(new OutboxBound(100, 100)).start(new Connection.Handler() {
+            accepted(new OutboxLimit(100, 100)).start(new Connection.Handler() {
                 @Override
                 public void received(byte[] bytes, int count) {
                     throw new IllegalStateException("unforeseen");
@@ -332,7 +332,7 @@
                     told.add("closed: " + cause);
                 }
             });
-            accepted(new OutboxBound(100, 100)).start(handler);
+            accepted(new OutboxLimit(100, 100)).start(handler);
             bad.getOutputStream().write(1);
             assertThat(told.take()).isEqualTo("closed: handling: unforeseen");
             good.getOutputStream().write(1);
@@ -347,14 +347,14 @@
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         listener.bind();
-        listener.start(new Listener.Taker() {
+        listener.start(new Listener.Acceptor() {
             @Override
-            public boolean room() {
+            public boolean hasCapacity() {
                 return taken.size() < 1;
             }
 
             @Override
-            public void take(SocketChannel channel) {
+            public void accept(SocketChannel channel) {
                 taken.add(channel);
                 sizes.add(taken.size());
             }
@@ -364,7 +364,7 @@
                 SocketChannel three = SocketChannel.open(at)) {
             assertThat(sizes.take()).isEqualTo(1);
             CountDownLatch passed = new CountDownLatch(1);
-            loop.afterPass(passed::countDown);
+            loop.executeAfterReads(passed::countDown);
             passed.await();
             assertThat(sizes).isEmpty();
             CountDownLatch over = new CountDownLatch(1);
@@ -385,7 +385,7 @@
         int before = Thread.activeCount();
         for (int i = 0; i < 200; i++) {
             crowd.add(peer());
-            accepted(new OutboxBound(100, 100)).start(handler);
+            accepted(new OutboxLimit(100, 100)).start(handler);
         }
         crowd.get(199).getOutputStream().write(1);
         assertThat(told.take()).isEqualTo("received 1");
@@ -399,13 +399,13 @@
     @Test
     void afterAPassAllThatLayUnreadIsHandled() throws Exception {
         try (Socket peer = peer()) {
-            accepted(new OutboxBound(100, 100)).start(handler);
+            accepted(new OutboxLimit(100, 100)).start(handler);
             CountDownLatch arrived = new CountDownLatch(1);
             loop.execute(() -> await(arrived));
             try (OutputStream out = peer.getOutputStream()) {
                 out.write(new byte[5]);
                 arrived.countDown();
-                loop.afterPass(() -> told.add("passed"));
+                loop.executeAfterReads(() -> told.add("passed"));
                 assertThat(told.take()).isEqualTo("received 5");
                 assertThat(told.take()).isEqualTo("passed");
             }
