--- a/frontend/src/main/java/quincespar/membership/Backoff.java
+++ b/frontend/src/main/java/quincespar/membership/Backoff.java
@@ -1,51 +1,53 @@
 package quincespar.membership;
 
-/** How long to wait before the next question after failures in a row, by what each has cost the change log. */
+/** The delay before the next poll after failures in a row, by what each failure has cost the change log. */
 final class Backoff {
-    /** Pauses and times to connect double this often at the most. */
-    private static final int MOST_DOUBLINGS = 5;
-
-    private final PollTiming pace;
-    private int calls;
-    private int unreached;
-    private int slowConnects;
-
-    Backoff(PollTiming pace) {
-        this.pace = pace;
+    /** Pauses and connect timeouts double at most this often. */
+    private static final int MAX_DOUBLINGS = 5;
+
+    private final PollTiming timing;
+    /** Polls in a row that reached the change log and brought nothing. */
+    private int fruitlessPolls;
+    /** Polls in a row that did not reach the change log. */
+    private int unreachablePolls;
+    private int connectTimeouts;
+
+    Backoff(PollTiming timing) {
+        this.timing = timing;
     }
 
-    /** A whole answer came: a question that reaches nobody from now on is a first one again. */
+    /** The change log has answered completely: it can be reached. */
     void reached() {
-        unreached = 0;
-        slowConnects = 0;
+        unreachablePolls = 0;
+        connectTimeouts = 0;
     }
 
-    /** An answer with news came, or the change log is another: nothing has failed yet. */
+    /** The change log has answered with news, or its address has changed: no failure counts any more. */
     void reset() {
-        calls = 0;
+        fruitlessPolls = 0;
         reached();
     }
 
-    /** The pause after a failed question, in milliseconds. */
-    double pauseMs(PollFailure how) {
-        if (how == PollFailure.NO_ANSWER) {
-            return afterCallMs();
+    /** The pause after a failed poll, in milliseconds. */
+    double pauseMs(PollFailure failure) {
+        if (failure == PollFailure.NO_ANSWER) {
+            return pauseAfterFruitlessPollMs();
         }
-        slowConnects += how == PollFailure.CONNECT_TIMEOUT ? 1 : 0;
-        return Math.min(pace.maxUnreachablePauseMs(), doubled(pace.firstPauseMs(), unreached++));
+        connectTimeouts += failure == PollFailure.CONNECT_TIMEOUT ? 1 : 0;
+        return Math.min(timing.maxUnreachablePauseMs(), doubled(timing.firstPauseMs(), unreachablePolls++));
     }
 
-    /** The pause after a question that the change log has worked on: these add up over a whole fleet. */
-    double afterCallMs() {
-        return Math.min(pace.maxPauseMs(), doubled(pace.firstPauseMs(), calls++));
+    /** The pause after a poll that the change log has worked on: over a large fleet this work adds up. */
+    double pauseAfterFruitlessPollMs() {
+        return Math.min(timing.maxPauseMs(), doubled(timing.firstPauseMs(), fruitlessPolls++));
     }
 
-    /** How long the next connection may take to come up. */
-    double connectMs() {
-        return doubled(pace.connectTimeoutMs(), slowConnects);
+    /** How long the next connection may take to be established. */
+    double connectTimeoutMs() {
+        return doubled(timing.connectTimeoutMs(), connectTimeouts);
     }
 
     private static double doubled(double ms, int times) {
-        return ms * (1 << Math.min(times, MOST_DOUBLINGS));
+        return ms * (1 << Math.min(times, MAX_DOUBLINGS));
     }
 }
--- a/frontend/src/main/java/quincespar/membership/DrainGrace.java
+++ b/frontend/src/main/java/quincespar/membership/DrainGrace.java
@@ -1,40 +1,40 @@
 package quincespar.membership;
 
 /**
- * Whether new work may go out although the list can't be asked for. While this machine's own calls fail, servers may have
- * been told to drain without this front end hearing of it, and once their grace is over nothing may be sent to them. A
- * change log that is down, slow or cut off stops nothing.
+ * Decides whether new work may be sent while the change log can't be polled. If it is this machine that fails to connect,
+ * engines may have been told to drain without this front end knowing, and after their grace period nothing may be sent to
+ * them. A change log that is down, slow or unreachable does not stop sends.
  */
 final class DrainGrace {
-    /** What is on its way to a server when a hold begins has so long to go out within the grace. */
-    private static final double MARGIN_MS = 200;
+    /** What is queued for an engine when a hold begins has this long to be written within the grace period. */
+    private static final double WRITE_MARGIN_MS = 200;
 
-    private final PollTiming pace;
-    /** How long a server that has been told to drain may still be sent work; 0 where there is no such rule. */
+    private final PollTiming timing;
+    /** How long an engine that has been told to drain may still be sent work; 0 where there is no such rule. */
     private double graceMs;
     private double lostAt;
-    private boolean failedHere;
+    private boolean failedLocally;
     private boolean held;
 
-    DrainGrace(PollTiming pace) {
-        this.pace = pace;
+    DrainGrace(PollTiming timing) {
+        this.timing = timing;
     }
 
-    void graceMs(double ms) {
+    void setGraceMs(double ms) {
         graceMs = ms;
     }
 
-    /** The last question that was in place has ended without an answer: what was told since may not have been heard. */
+    /** The first poll after an answer has failed: later events of the change log may be unknown here. */
     void lost(double now) {
         lostAt = now;
     }
 
-    void failed(PollFailure how) {
-        failedHere = how == PollFailure.LOCAL_ERROR;
+    void failed(PollFailure failure) {
+        failedLocally = failure == PollFailure.LOCAL_ERROR;
     }
 
     void answered() {
-        failedHere = false;
+        failedLocally = false;
     }
 
     /** Milliseconds since {@link #lost}. */
@@ -46,12 +46,13 @@
         return held;
     }
 
-    /** Holds or ends the hold as it ought to be now, a pause ahead; true where that is a change. */
-    boolean changes(double now) {
-        double ends = lostAt + graceMs;
-        boolean hold = graceMs > 0 && failedHere && now + pace.maxUnreachablePauseMs() + MARGIN_MS >= ends && now < ends + pace.maxHoldMs();
-        boolean change = hold != held;
+    /** Begins or ends a hold where it is time, one pause in advance; true where that is a change. */
+    boolean update(double now) {
+        double graceEnds = lostAt + graceMs;
+        boolean hold = graceMs > 0 && failedLocally && now + timing.maxUnreachablePauseMs() + WRITE_MARGIN_MS >= graceEnds
+                && now < graceEnds + timing.maxHoldMs();
+        boolean changed = hold != held;
         held = hold;
-        return change;
+        return changed;
     }
 }
--- a/frontend/src/main/java/quincespar/membership/MemberList.java
+++ b/frontend/src/main/java/quincespar/membership/MemberList.java
@@ -11,29 +11,29 @@
 import quincespar.protocol.FleetEvent.Member;
 import quincespar.protocol.FleetEvent.Phase;
 
-/** The engines as told, by id; those that are removed are not kept. */
+/** The engines by id, as the change log has reported them. Removed engines are not kept. */
 final class MemberList {
-    private final Map<String, Member> all = new LinkedHashMap<>();
+    private final Map<String, Member> byId = new LinkedHashMap<>();
 
-    /** Takes one event; answers those that it leaves out of a complete list, as removed. */
-    List<Member> take(FleetEvent event) {
+    /** Applies one event. Returns, as removed, the engines that a complete list leaves out. */
+    List<Member> apply(FleetEvent event) {
         List<Member> removed = new ArrayList<>();
         if (event.complete()) {
-            Set<String> left = new LinkedHashSet<>(all.keySet());
-            event.members().forEach(m -> left.remove(m.id()));
-            left.forEach(id -> removed.add(all.remove(id).removed()));
+            Set<String> missing = new LinkedHashSet<>(byId.keySet());
+            event.members().forEach(m -> missing.remove(m.id()));
+            missing.forEach(id -> removed.add(byId.remove(id).removed()));
         }
-        for (Member m : event.members()) {
-            if (m.phase() == Phase.REMOVED) {
-                all.remove(m.id());
+        for (Member member : event.members()) {
+            if (member.phase() == Phase.REMOVED) {
+                byId.remove(member.id());
             } else {
-                all.put(m.id(), m);
+                byId.put(member.id(), member);
             }
         }
         return removed;
     }
 
     Collection<Member> all() {
-        return List.copyOf(all.values());
+        return List.copyOf(byId.values());
     }
 }
--- a/frontend/src/main/java/quincespar/membership/Membership.java
+++ b/frontend/src/main/java/quincespar/membership/Membership.java
@@ -8,275 +8,275 @@
 import quincespar.protocol.FleetEvent.Member;
 
 /**
- * Follows the change log. One question is out at any time, or a pause runs after one that failed: never neither, or
- * the list would stay as it is for good, and never both. Each question and each wait has a number of its own, so that
- * what comes late of an earlier one (an answer of the old address, a timer that had fired when it was stopped) is told
- * from what is awaited. Times are milliseconds on one clock that never runs backwards.
+ * Follows the change log. At any time either one poll is open, or a pause runs after a failed one: never neither, as the list
+ * would then never change again, and never both. Each poll and each timer has a number of its own, so that what arrives late
+ * (an answer from the old address, a timer that had fired when it was stopped) can be told from what is awaited. Times are
+ * milliseconds on one clock that never runs backwards.
  *
- * <p>Losing the change log does not stop the service: the list stays as it was last told, its age is known
- * ({@link #ageMs}), and it is said once when that passes {@link PollTiming#staleAfterMs}.
+ * <p>Losing the change log does not stop the service: the list stays as it was, its age is known ({@link #ageMs}), and it is
+ * logged once when that exceeds {@link PollTiming#staleAfterMs}.
  */
 public final class Membership {
-    /** What is to be done. */
+    /** Something to do for the caller. */
     public sealed interface Action { }
 
     /**
-     * Ask the change log at an address for what came after an event; it may wait for so long before it answers, and a new
-     * connection may take so long to come up.
+     * Ask the change log at an address for the events after number {@code afterEvent}. It may hold the answer back for
+     * {@code waitMs} while there are none.
      */
     public record Poll(long pollId, String address, long afterEvent, long waitMs, double connectTimeoutMs) implements Action { }
 
-    /** Give up what is asked, and the connection with it. */
+    /** Abandon the open poll, and close its connection. */
     public record CancelPoll() implements Action { }
 
-    /** Say {@link #timerFired} with this number after a delay. */
+    /** Call {@link #timerFired} with this number after a delay. */
     public record StartTimer(long timerId, double delayMs) implements Action { }
 
-    /** Say no more of this wait. It may have been said already and be on its way. */
+    /** Stop a timer. It may have fired already, with its call still under way. */
     public record StopTimer(long timerId) implements Action { }
 
-    /** An event was told that had not been told before; {@code removed} are those that a complete list left out. */
+    /** A new event has been received; {@code removed} are the engines that a complete list left out. */
     public record EventReceived(FleetEvent event, List<Member> removed) implements Action { }
 
     /**
-     * Nothing new may be sent to any server from now on, or may again: servers may have been told to drain that this machine's
-     * own failing calls keep it from hearing of, and their grace is over.
+     * Send no new work to any engine from now on, or send work again. It is this machine that fails to poll, so that engines
+     * may have been told to drain without this front end knowing, and their grace period is over.
      */
     public record HoldSends(boolean held) implements Action { }
 
-    /** Tell the operators. */
+    /** Write a log line for the operators. */
     public record Log(String line) implements Action { }
 
-    /** Where it stands. */
+    /** What is going on. */
     public enum Phase {
-        /** Nothing was asked yet. */
+        /** Nothing has been polled yet. */
         NEW,
-        /** A question is out. */
+        /** A poll is open. */
         POLLING,
-        /** The last question failed, and the next one waits. */
+        /** The last poll failed, and the next one waits for a pause. */
         PAUSING
     }
 
-    /** The wait of the questions of the start: the list of the start may be old, and nothing is served before an answer. */
+    /** The wait of polls before the first answer: the list of the start may be old, and nothing is served without an answer. */
     private static final long FIRST_WAIT_MS = 100;
 
-    private final PollTiming pace;
+    private final PollTiming timing;
     private final Backoff backoff;
     private final DrainGrace grace;
     private final MemberList members = new MemberList();
-    private List<Action> acts = new ArrayList<>();
+    private List<Action> actions = new ArrayList<>();
     private Phase phase = Phase.NEW;
     private double now;
     private String address;
-    /** The last event taken, and what is asked from. Never one that an answer only claims: it may have lost events. */
-    private long taken;
-    /** The number that an answer ran ahead to without its events. */
-    private long claimed;
-    private long serial;
-    private long question;
-    private long wait;
+    /** The last event received; polls ask for those after it. Never a number without its event: events may be missing before. */
+    private long lastEvent;
+    /** The number beyond {@link #lastEvent} that an answer has claimed without its events, 0 where none has. */
+    private long claimedEvent;
+    private long lastId;
+    private long pollId;
+    private long timerId;
     private boolean answeredOnce;
-    private double askedWaitMs;
-    /** Failed questions since the last whole answer. */
+    private double pollWaitMs;
+    /** Failed polls since the last complete answer. */
     private int failuresInARow;
-    private long failuresInAll;
-    private double askedAt;
+    private long failureCount;
+    private double polledAt;
     private double answeredAt;
-    private boolean toldStale;
+    private boolean staleLogged;
 
-    /** Follows at this pace; nothing is asked before {@link #start}. */
-    public Membership(PollTiming pace) {
-        this.pace = pace;
-        backoff = new Backoff(pace);
-        grace = new DrainGrace(pace);
+    /** A membership that polls with this timing; nothing is polled before {@link #start}. */
+    public Membership(PollTiming timing) {
+        this.timing = timing;
+        backoff = new Backoff(timing);
+        grace = new DrainGrace(timing);
     }
 
-    /** Begins with what is known at the start; asks at once. */
-    public List<Action> start(double time, String at, List<FleetEvent> known) {
+    /** Applies the events that are known at the start, and polls at once. */
+    public List<Action> start(double time, String changeLogAddress, List<FleetEvent> known) {
         now = time;
         answeredAt = time;
         grace.lost(time);
-        address = at;
-        learn(known);
-        ask();
-        return taken();
+        address = changeLogAddress;
+        apply(known);
+        poll();
+        return takeActions();
     }
 
     /**
-     * An answer came whole: events up to and with number {@code seq}. One to an earlier question is no news. Where
-     * the number runs ahead of the events, they are asked for again at once, and from then on after pauses: such a
-     * change log would answer at once each time. So would one that answers with nothing new before it had to.
+     * A complete answer to a poll: events up to and with number {@code seq}. An answer to an earlier poll is ignored. If
+     * {@code seq} is beyond the events, they are polled for at once, and from then on after pauses, as such a change log
+     * would answer each poll at once. The same holds for one that answers without news long before its wait is over.
      */
-    public List<Action> answered(double time, long asked, long seq, List<FleetEvent> events) {
+    public List<Action> answered(double time, long answeredPoll, long seq, List<FleetEvent> events) {
         now = Math.max(now, time);
-        if (phase == Phase.POLLING && asked == question) {
-            boolean early = now - askedAt < askedWaitMs / 2;
-            long before = taken;
+        if (phase == Phase.POLLING && answeredPoll == pollId) {
+            boolean early = now - polledAt < pollWaitMs / 2;
+            long lastEventBefore = lastEvent;
             if (failuresInARow > 0) {
-                acts.add(new Log("the change log answers again after " + failuresInARow + " failures and "
+                actions.add(new Log("the change log answers again after " + failuresInARow + " failures and "
                         + Math.round(ageMs(now)) + " ms; the list holds " + members.all().size() + " engines"));
             }
             failuresInARow = 0;
             backoff.reached();
             grace.answered();
-            toldStale = false;
+            staleLogged = false;
             answeredOnce = true;
             answeredAt = now;
-            acts.add(new StopTimer(wait));
-            learn(events);
-            boolean empty = seq > taken ? seq == claimed : early && taken == before;
-            if (!empty) {
+            actions.add(new StopTimer(timerId));
+            apply(events);
+            boolean fruitless = seq > lastEvent ? seq == claimedEvent : early && lastEvent == lastEventBefore;
+            if (!fruitless) {
                 backoff.reset();
             }
-            claimed = seq > taken ? seq : 0;
-            if (empty) {
-                pause(backoff.afterCallMs());
+            claimedEvent = seq > lastEvent ? seq : 0;
+            if (fruitless) {
+                pause(backoff.pauseAfterFruitlessPollMs());
             } else {
-                ask();
+                poll();
             }
-            review();
+            updateHold();
         }
-        return taken();
+        return takeActions();
     }
 
-    /** A question failed, or its connection did. */
-    public List<Action> failed(double time, long asked, PollFailure how, String cause) {
+    /** A poll has failed, or its connection has. */
+    public List<Action> failed(double time, long failedPoll, PollFailure failure, String cause) {
         now = Math.max(now, time);
-        if (phase == Phase.POLLING && asked == question) {
-            failed(how, cause);
-            review();
+        if (phase == Phase.POLLING && failedPoll == pollId) {
+            pollFailed(failure, cause);
+            updateHold();
         }
-        return taken();
+        return takeActions();
     }
 
-    /** A wait is over. */
-    public List<Action> timerFired(double time, long which) {
+    /** A timer has fired. */
+    public List<Action> timerFired(double time, long firedTimer) {
         now = Math.max(now, time);
-        if (which == wait) { // else it was stopped when it had fired already
+        if (firedTimer == timerId) { // else it was stopped after it had fired
             if (phase == Phase.POLLING) {
-                failed(PollFailure.NO_ANSWER, "no answer in time");
+                pollFailed(PollFailure.NO_ANSWER, "no answer in time");
             } else if (phase == Phase.PAUSING) {
-                ask();
+                poll();
             }
-            review();
+            updateHold();
         }
-        return taken();
+        return takeActions();
     }
 
     /**
-     * The change log is at another address from now on: asked there at once, from the same event. Guards against
-     * going on with the old one, which tells nothing more and closes: drains would not be heard of.
+     * The change log has another address from now on: it is polled there at once, from the same event on. The old one
+     * reports nothing more and closes, so that going on with it would miss engines that drain.
      */
-    public List<Action> addressChanged(double time, String to) {
+    public List<Action> addressChanged(double time, String newAddress) {
         now = Math.max(now, time);
-        acts.add(new Log("change log at " + to + " from event " + taken));
-        address = to;
+        actions.add(new Log("change log at " + newAddress + " from event " + lastEvent));
+        address = newAddress;
         backoff.reset();
-        acts.add(new StopTimer(wait));
-        acts.add(new CancelPoll());
-        ask();
-        return taken();
+        actions.add(new StopTimer(timerId));
+        actions.add(new CancelPoll());
+        poll();
+        return takeActions();
     }
 
-    /** The rule's grace from now on: how long a server that has been told to drain may still be sent work. */
+    /** Sets how long an engine that has been told to drain may still be sent work, in milliseconds. */
     public void drainGraceMs(double ms) {
-        grace.graceMs(ms);
+        grace.setGraceMs(ms);
     }
 
-    /** Whether the change log has answered whole since the start. */
+    /** Whether the change log has answered completely since the start. */
     public boolean answeredOnce() {
         return answeredOnce;
     }
 
-    /** Milliseconds since the change log last answered whole. */
+    /** Milliseconds since the change log last answered completely. */
     public double ageMs(double time) {
         return Math.max(0, time - answeredAt);
     }
 
-    /** The number of the last event taken. */
+    /** The number of the last event received. */
     public long lastEvent() {
-        return taken;
+        return lastEvent;
     }
 
-    /** Questions that have failed since the start. */
+    /** How many polls have failed since the start. */
     public long failureCount() {
-        return failuresInAll;
+        return failureCount;
     }
 
-    /** Where it stands. */
+    /** What is going on. */
     public Phase phase() {
         return phase;
     }
 
-    /** The engines as told, without those removed. */
+    /** The engines in the list, without those removed. */
     public Collection<Member> members() {
         return members.all();
     }
 
-    private List<Action> taken() {
-        List<Action> out = acts;
-        acts = new ArrayList<>();
-        return out;
+    private List<Action> takeActions() {
+        List<Action> taken = actions;
+        actions = new ArrayList<>();
+        return taken;
     }
 
-    /** Takes what was not told before; numbers of news that is not for us count, and tell nothing. */
-    private void learn(List<FleetEvent> events) {
+    /** Applies events that are new. One without members is not about engines: its number counts, but nothing is reported. */
+    private void apply(List<FleetEvent> events) {
         List<FleetEvent> inOrder = new ArrayList<>(events);
         inOrder.sort(Comparator.comparingLong(FleetEvent::seq));
-        for (FleetEvent e : inOrder) {
-            if (e.seq() > taken) { // else told before
-                taken = e.seq();
-                if (e.complete() || !e.members().isEmpty()) {
-                    acts.add(new EventReceived(e, members.take(e)));
+        for (FleetEvent event : inOrder) {
+            if (event.seq() > lastEvent) { // else it was received before
+                lastEvent = event.seq();
+                if (event.complete() || !event.members().isEmpty()) {
+                    actions.add(new EventReceived(event, members.apply(event)));
                 }
             }
         }
     }
 
-    private void ask() {
+    private void poll() {
         phase = Phase.POLLING;
-        askedAt = now;
-        question = ++serial;
-        long waitMs = answeredOnce ? pace.waitMs() : Math.min(FIRST_WAIT_MS, pace.waitMs());
-        askedWaitMs = waitMs;
-        acts.add(new Poll(question, address, taken, waitMs, backoff.connectMs()));
-        await(waitMs + pace.answerSlackMs());
+        polledAt = now;
+        pollId = ++lastId;
+        long waitMs = answeredOnce ? timing.waitMs() : Math.min(FIRST_WAIT_MS, timing.waitMs());
+        pollWaitMs = waitMs;
+        actions.add(new Poll(pollId, address, lastEvent, waitMs, backoff.connectTimeoutMs()));
+        startTimer(waitMs + timing.answerSlackMs());
     }
 
-    private void failed(PollFailure how, String cause) {
+    private void pollFailed(PollFailure failure, String cause) {
         if (failuresInARow == 0) {
             grace.lost(now);
         }
-        grace.failed(how);
+        grace.failed(failure);
         failuresInARow++;
-        failuresInAll++;
-        acts.add(new Log("change log: question " + question + " from event " + taken + " failed after "
-                + Math.round(now - askedAt) + " ms, failure " + failuresInARow + " in a row: " + cause));
-        acts.add(new StopTimer(wait));
-        acts.add(new CancelPoll());
-        if (ageMs(now) > pace.staleAfterMs() && !toldStale) {
-            toldStale = true;
-            acts.add(new Log("the change log has not answered for " + Math.round(ageMs(now) / 1000)
-                    + " s; the list stays as it was told, with " + members.all().size() + " engines"));
+        failureCount++;
+        actions.add(new Log("change log: poll " + pollId + " from event " + lastEvent + " failed after "
+                + Math.round(now - polledAt) + " ms, failure " + failuresInARow + " in a row: " + cause));
+        actions.add(new StopTimer(timerId));
+        actions.add(new CancelPoll());
+        if (ageMs(now) > timing.staleAfterMs() && !staleLogged) {
+            staleLogged = true;
+            actions.add(new Log("the change log has not answered for " + Math.round(ageMs(now) / 1000)
+                    + " s; the list of " + members.all().size() + " engines stays as it was"));
         }
-        pause(backoff.pauseMs(how));
+        pause(backoff.pauseMs(failure));
     }
 
     private void pause(double ms) {
         phase = Phase.PAUSING;
-        await(ms);
+        startTimer(ms);
     }
 
-    private void review() {
-        if (grace.changes(now)) {
-            acts.add(new Log(grace.held() ? "nothing new is sent: this machine could not ask the change log for "
-                    + Math.round(grace.lostMs(now)) + " ms" : "what waits is sent again"));
-            acts.add(new HoldSends(grace.held()));
+    private void updateHold() {
+        if (grace.update(now)) {
+            actions.add(new Log(grace.held() ? "nothing new is sent: this machine could not poll the change log for "
+                    + Math.round(grace.lostMs(now)) + " ms" : "new work is sent again"));
+            actions.add(new HoldSends(grace.held()));
         }
     }
 
-    private void await(double delay) {
-        wait = ++serial;
-        acts.add(new StartTimer(wait, delay));
+    private void startTimer(double delayMs) {
+        timerId = ++lastId;
+        actions.add(new StartTimer(timerId, delayMs));
     }
 }
--- a/frontend/src/main/java/quincespar/membership/PollFailure.java
+++ b/frontend/src/main/java/quincespar/membership/PollFailure.java
@@ -1,13 +1,13 @@
 package quincespar.membership;
 
-/** How a question to the change log failed. */
+/** How a poll of the change log failed. */
 public enum PollFailure {
-    /** This machine could not even begin to connect: it says nothing of the change log, which may be telling events. */
+    /** This machine could not even begin to connect. The change log may be working, and reporting events. */
     LOCAL_ERROR,
-    /** No connection could be had, and nothing of the question went out. */
+    /** No connection could be established, and nothing of the request was sent. */
     UNREACHABLE,
-    /** A connection did not come up in time; one that is only slow needs longer. */
+    /** The connection was not established in time. If the change log is only slow, it needs a longer timeout. */
     CONNECT_TIMEOUT,
-    /** The question may have arrived: its connection ended, or its answer can't be used. */
+    /** The request may have arrived: its connection ended, or the answer can't be used. */
     NO_ANSWER
 }
--- a/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
@@ -7,62 +7,65 @@
 import java.util.Map;
 
 /**
- * Counts since the start, each at the one place where its thing happens. Written by one thread; others read the
- * {@link MetricsSnapshot}. Nothing here ever falls: a class that is dropped from the settings keeps its counts.
+ * Counts since the start. One thread writes; other threads read the {@link MetricsSnapshot}s. No count ever falls: a class
+ * that is dropped from the settings keeps its counts.
  */
 public final class MetricsRecorder {
-    /** How a request ended, as its client was told. */
+    /** How a request was answered. */
     public enum FinalAnswer { ANSWERED, DEFERRED, ERRORED }
 
-    private final List<String> names = new ArrayList<>();
-    private final List<long[]> ends = new ArrayList<>();
-    private Map<String, MetricsSnapshot.AnswerCounts> rows = Map.of();
-    private boolean changed;
-    private long sends;
-    private long loaded;
-    private long invalid;
+    private final List<String> classNames = new ArrayList<>();
+    /** By class number, counts in the order of {@link FinalAnswer}. */
+    private final List<long[]> answers = new ArrayList<>();
+    private Map<String, MetricsSnapshot.AnswerCounts> answersByClass = Map.of();
+    private boolean answersChanged;
+    private long attemptsSent;
+    private long configurationsLoaded;
+    private long configurationsRejected;
 
-    /** Has a row for each of these classes; a class's number is its place, and stays so. */
-    public void classes(List<String> all) {
-        for (String name : all.subList(names.size(), all.size())) {
-            names.add(name);
-            ends.add(new long[FinalAnswer.values().length]);
+    /** Counts for each of these classes from now on. A class's number is its place in the list and never changes. */
+    public void setClasses(List<String> names) {
+        for (String name : names.subList(classNames.size(), names.size())) {
+            classNames.add(name);
+            answers.add(new long[FinalAnswer.values().length]);
         }
-        changed = true;
+        answersChanged = true;
     }
 
-    /** A request of a class got its final answer. */
-    public void ended(int cls, FinalAnswer answer) {
-        ends.get(cls)[answer.ordinal()]++;
-        changed = true;
+    /** A request of a class has been answered. */
+    public void answered(int classNumber, FinalAnswer answer) {
+        answers.get(classNumber)[answer.ordinal()]++;
+        answersChanged = true;
     }
 
-    /** An attempt has been written whole. */
-    public void sent() {
-        sends++;
+    /** An attempt has been written completely. */
+    public void attemptSent() {
+        attemptsSent++;
     }
 
-    /** A new configuration was taken. */
-    public void loaded() {
-        loaded++;
+    /** A new configuration has been applied. */
+    public void configurationLoaded() {
+        configurationsLoaded++;
     }
 
-    /** A new configuration was turned down. */
-    public void invalid() {
-        invalid++;
+    /** A new configuration has been rejected. */
+    public void configurationRejected() {
+        configurationsRejected++;
     }
 
-    /** All as it stands, with what is not counted but seen: requests open, engines listed, engines avoided, the watch. */
-    public MetricsSnapshot snapshot(int current, int engines, int avoided, MetricsSnapshot.ChangeLogStatus watch) {
-        if (changed) {
-            Map<String, MetricsSnapshot.AnswerCounts> out = new LinkedHashMap<>();
-            for (int i = 0; i < names.size(); i++) {
-                long[] e = ends.get(i);
-                out.put(names.get(i), new MetricsSnapshot.AnswerCounts(e[0], e[1], e[2]));
+    /** A snapshot of all counts, together with gauges of the current state. */
+    public MetricsSnapshot snapshot(int openRequests, int listedEngines, int avoidedEngines,
+            MetricsSnapshot.ChangeLogStatus changeLog) {
+        if (answersChanged) {
+            Map<String, MetricsSnapshot.AnswerCounts> byClass = new LinkedHashMap<>();
+            for (int i = 0; i < classNames.size(); i++) {
+                long[] counts = answers.get(i);
+                byClass.put(classNames.get(i), new MetricsSnapshot.AnswerCounts(counts[0], counts[1], counts[2]));
             }
-            rows = Collections.unmodifiableMap(out);
-            changed = false;
+            answersByClass = Collections.unmodifiableMap(byClass);
+            answersChanged = false;
         }
-        return new MetricsSnapshot(rows, sends, current, engines, avoided, loaded, invalid, watch);
+        return new MetricsSnapshot(answersByClass, attemptsSent, openRequests, listedEngines, avoidedEngines,
+                configurationsLoaded, configurationsRejected, changeLog);
     }
 }
--- a/frontend/src/main/java/quincespar/metrics/package-info.java
+++ b/frontend/src/main/java/quincespar/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the front end reports of itself: what is counted, an immutable view of it, and that view as text. Pure: it
- * knows nothing of the rest of the program, reads no clock and does no I/O.
+ * The metrics of a front end: the counts, an immutable snapshot of them, and that snapshot as text for Prometheus. The
+ * package uses no other package of the program, reads no clock and does no I/O.
  */
 package quincespar.metrics;
--- a/frontend/src/main/java/quincespar/routing/Attempt.java
+++ b/frontend/src/main/java/quincespar/routing/Attempt.java
@@ -10,27 +10,28 @@
     final OpenRequest request;
     final AttemptKey key;
     final long engine;
-    final double at;
-    final double until;
-    /** It must have begun by then, or it is withdrawn. */
-    final double beginBy;
+    final double createdAt;
+    final double timeoutAt;
+    /** If no byte of it has been written by then, it is withdrawn. */
+    final double startDeadline;
     final WithdrawableWrite write = new WithdrawableWrite();
+    /** Null where it was never assigned to a link. */
     Link link;
-    /** Its end, once it has one. */
+    /** How it ended; null while it is open. */
     Outcome outcome;
-    /** What it ends as once its cancel is written; null while it is not given up. */
-    Outcome givenUp;
+    /** What it ends as once its cancel is written; null while it is not cancelled. */
+    Outcome cancelOutcome;
     List<Double> load = List.of();
     private byte[][] pages;
-    private int missing;
+    private int missingPages;
 
-    Attempt(OpenRequest request, int number, long engine, double at, double until, double beginBy) {
+    Attempt(OpenRequest request, int number, long engine, double createdAt, double timeoutAt, double startDeadline) {
         this.request = request;
         this.key = new AttemptKey(request.id, number);
         this.engine = engine;
-        this.at = at;
-        this.until = until;
-        this.beginBy = beginBy;
+        this.createdAt = createdAt;
+        this.timeoutAt = timeoutAt;
+        this.startDeadline = startDeadline;
     }
 
     /** The engine's name for its request. */
@@ -38,11 +39,12 @@
         return request.query.txn();
     }
 
-    /** Whether its request was given up on its link before: what comes may then be the earlier attempt's. */
-    boolean follows() {
-        return link.abandoned.contains(txn());
+    /** Whether an earlier attempt of its request was cancelled on its link, so that a message may belong to that one. */
+    boolean followsCancelled() {
+        return link.cancelled.contains(txn());
     }
 
+    /** Whether the engine has reported success; pages may still be missing. */
     boolean done() {
         return pages != null;
     }
@@ -51,32 +53,32 @@
         return pages.length;
     }
 
-    void begin(int count, byte[] first) {
-        pages = new byte[count][];
-        missing = count;
-        add(0, first);
+    void startResult(int pageCount, byte[] firstPage) {
+        pages = new byte[pageCount][];
+        missingPages = pageCount;
+        addPage(0, firstPage);
     }
 
-    /** False where there is no such page; a second copy of one is passed over. */
-    boolean add(int number, byte[] page) {
+    /** False where there is no such page; a page that arrives twice is ignored. */
+    boolean addPage(int number, byte[] page) {
         if (number < 0 || number >= pages.length) {
             return false;
         }
         if (pages[number] == null) {
             pages[number] = page;
-            missing--;
+            missingPages--;
         }
         return true;
     }
 
-    boolean whole() {
-        return missing == 0;
+    boolean hasAllPages() {
+        return missingPages == 0;
     }
 
     byte[] result() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (byte[] p : pages) {
-            out.writeBytes(p);
+        for (byte[] page : pages) {
+            out.writeBytes(page);
         }
         return out.toByteArray();
     }
--- a/frontend/src/main/java/quincespar/routing/AttemptCounters.java
+++ b/frontend/src/main/java/quincespar/routing/AttemptCounters.java
@@ -7,45 +7,45 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts what becomes of attempts and answers, by cause and class: which class loses how many attempts to what.
- * Names are few by construction: a fixed word, a cause from an enum, a class from the settings.
+ * Counters of attempts, by cause and class and by engine. The number of counter names is bounded: each is made of a fixed
+ * word, an enum constant and a class from the settings.
  */
 final class AttemptCounters {
-    /** Engines come and go for as long as the program runs; beyond so many they are counted together. */
-    static final int MOST_ENGINES = 256;
+    /** Engines are replaced for as long as the process runs; beyond this many they are counted together. */
+    static final int MAX_ENGINES = 256;
 
-    private final Map<String, AtomicLong> counts = new ConcurrentHashMap<>();
-    private final Map<String, Map<String, AtomicLong>> engines = new ConcurrentHashMap<>();
+    private final Map<String, AtomicLong> byClass = new ConcurrentHashMap<>();
+    private final Map<String, Map<String, AtomicLong>> byEngine = new ConcurrentHashMap<>();
 
-    /** Counts one; the name is {@code what.cause.cls} in lower case. */
-    void count(String what, Enum<?> cause, String cls) {
-        add(what, cause, cls, 1);
+    /** Adds one to the counter {@code kind.cause.className}; the cause is in lower case. */
+    void count(String kind, Enum<?> cause, String className) {
+        add(kind, cause, className, 1);
     }
 
-    /** Adds to a sum; the name is {@code what.cause.cls} in lower case. */
-    void add(String what, Enum<?> cause, String cls, long more) {
-        counts.computeIfAbsent(what + "." + cause.name().toLowerCase(Locale.ROOT) + "." + cls,
-                name -> new AtomicLong()).addAndGet(more);
+    /** Adds to the counter {@code kind.cause.className}; the cause is in lower case. */
+    void add(String kind, Enum<?> cause, String className, long amount) {
+        byClass.computeIfAbsent(kind + "." + cause.name().toLowerCase(Locale.ROOT) + "." + className,
+                name -> new AtomicLong()).addAndGet(amount);
     }
 
-    /** Counts one at an engine, by what it was; {@code what} is a fixed word or an outcome's. */
-    void engine(String id, String what) {
-        String name = engines.containsKey(id) || engines.size() < MOST_ENGINES ? id : "others";
-        engines.computeIfAbsent(name, n -> new ConcurrentHashMap<>())
-                .computeIfAbsent(what.toLowerCase(Locale.ROOT), w -> new AtomicLong()).incrementAndGet();
+    /** Adds one to a counter of an engine; {@code kind} is a fixed word or the name of an outcome. */
+    void countAtEngine(String id, String kind) {
+        String name = byEngine.containsKey(id) || byEngine.size() < MAX_ENGINES ? id : "others";
+        byEngine.computeIfAbsent(name, n -> new ConcurrentHashMap<>())
+                .computeIfAbsent(kind.toLowerCase(Locale.ROOT), k -> new AtomicLong()).incrementAndGet();
     }
 
-    /** What has been counted at engines, as {@code id.what}; may be asked for on any thread. */
-    Map<String, Long> engines() {
+    /** The counters of engines as {@code id.kind}; may be called on any thread. */
+    Map<String, Long> byEngine() {
         Map<String, Long> out = new TreeMap<>();
-        engines.forEach((id, counted) -> counted.forEach((what, n) -> out.put(id + "." + what, n.get())));
+        byEngine.forEach((id, counters) -> counters.forEach((kind, n) -> out.put(id + "." + kind, n.get())));
         return out;
     }
 
-    /** All that have been counted, by name; may be asked for on any thread. */
-    Map<String, Long> all() {
+    /** The counters by cause and class; may be called on any thread. */
+    Map<String, Long> byClass() {
         Map<String, Long> out = new TreeMap<>();
-        counts.forEach((name, n) -> out.put(name, n.get()));
+        byClass.forEach((name, n) -> out.put(name, n.get()));
         return out;
     }
 }
--- a/frontend/src/main/java/quincespar/routing/AttemptKey.java
+++ b/frontend/src/main/java/quincespar/routing/AttemptKey.java
@@ -1,4 +1,4 @@
 package quincespar.routing;
 
-/** One attempt: the module's number of its request, and which attempt of that request it is, from 0. */
+/** Identifies an attempt: the number of its request, and its index among the attempts of that request, from 0. */
 public record AttemptKey(long request, int attempt) { }
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -4,281 +4,294 @@
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Outcome;
 
-/** What is sent to engines for a request, one at a time, and how each sending ends. */
+/** The attempts of all requests: sends them to engines and decides how each ends. */
 final class Attempts {
-    /** How long a cancel may wait in an outbox before its link is taken for stuck. */
-    private static final double CANCEL = 1000;
-    private static final int MOST_BYTES = 48_000;
+    /** How long a cancel may wait in an outbox before its link counts as blocked. */
+    private static final double CANCEL_TIMEOUT_MS = 1000;
+    private static final int MAX_RESULT_BYTES = 48_000;
 
-    private final StepContext turn;
+    private final StepContext context;
     private final Requests requests;
-    private final EngineRegistry fleet;
-    private final AttemptCounters tally;
-    private final RecoveryCoordinator returning;
+    private final EngineRegistry engines;
+    private final AttemptCounters counters;
+    private final RecoveryCoordinator recovery;
     private Links links;
 
-    Attempts(StepContext turn, Requests requests, EngineRegistry fleet, AttemptCounters tally, RecoveryCoordinator returning) {
-        this.returning = returning;
-        this.turn = turn;
+    Attempts(StepContext context, Requests requests, EngineRegistry engines, AttemptCounters counters,
+            RecoveryCoordinator recovery) {
+        this.context = context;
         this.requests = requests;
-        this.fleet = fleet;
-        this.tally = tally;
+        this.engines = engines;
+        this.counters = counters;
+        this.recovery = recovery;
     }
 
-    /** What carries them; the two know each other, as do these and the requests. */
-    void over(Links carrying) {
-        links = carrying;
-        requests.with(this);
+    /** Sets the links that carry the attempts: links and attempts use each other, as do attempts and requests. */
+    void setLinks(Links carriers) {
+        links = carriers;
+        requests.setAttempts(this);
     }
 
-    /** Its cancel has been written. */
-    void cancelled(Attempt a) {
-        if (a != null && a.outcome == null && a.givenUp != null) {
-            end(a, a.givenUp);
+    /** The cancel of an attempt has been written. */
+    void cancelWritten(Attempt attempt) {
+        if (attempt != null && attempt.outcome == null && attempt.cancelOutcome != null) {
+            end(attempt, attempt.cancelOutcome);
         }
     }
 
-    /** The module gives it up. */
-    void cut(Attempt a, Gateway.Why why) {
-        if (a != null) {
-            tally.count("cut", why, a.request.spec.name());
-            giveUp(a, Outcome.CANCELLED);
+    /** The decision module cancels an attempt. */
+    void cancelByModule(Attempt attempt, Gateway.Why why) {
+        if (attempt != null) {
+            counters.count("cut", why, attempt.request.spec.name());
+            stop(attempt, Outcome.CANCELLED);
         }
     }
 
-    /** It has had its time. */
-    void due(Attempt a) {
-        if (a != null) {
-            giveUp(a, Outcome.TIMEOUT);
+    /** An attempt has run for as long as it may. */
+    void timedOut(Attempt attempt) {
+        if (attempt != null) {
+            stop(attempt, Outcome.TIMEOUT);
         }
     }
 
-    /** Its cancel ought to be written by now: closing gives up all that is open on its link. */
-    void cancelDue(Attempt a) {
-        if (a != null && a.outcome == null) {
-            links.drop(a.link, "it takes no cancel");
+    /** The cancel of an attempt has not been written in time: its link is closed, which ends all attempts on it. */
+    void cancelTimedOut(Attempt attempt) {
+        if (attempt != null && attempt.outcome == null) {
+            links.close(attempt.link, "it takes no cancel");
         }
     }
 
-    void refuse(OpenRequest r, double comeBack) {
-        if (r != null && !r.refusable()) { // a refusal says that a repeat is harmless
-            turn.effect(new Effect.Log("refusal of " + r.query.txn() + ", which may have run, was made a failure"));
-            requests.answer(r, new Reply.Failed());
+    void refuse(OpenRequest request, double retryAfterMs) {
+        if (request != null && !request.refusable()) { // a refusal tells the client that a retry is safe
+            context.addEffect(new Effect.Log("request " + request.query.txn()
+                    + " may have run; it is answered as failed instead of refused"));
+            requests.answer(request, new Reply.Failed());
         } else {
-            requests.answer(r, new Reply.Refused(comeBack));
+            requests.answer(request, new Reply.Refused(retryAfterMs));
         }
     }
 
-    void send(OpenRequest r, Gateway.Send s) {
-        boolean twice = r != null && (r.unsafe() && r.mayHaveRun()
-                || r.running() && !turn.site.decision().limits().secondCopies());
-        if (r == null || r.over || twice) { // a load never twice, and never two at once
-            turn.effect(new Effect.Log("the module's " + s + " was not carried out"));
+    /** Sends the next attempt of a request as the decision module asks. */
+    void send(OpenRequest request, Gateway.Send action) {
+        // an unsafe request is never sent twice, and none has two attempts at once unless the settings allow it
+        boolean duplicate = request != null && (request.unsafe() && request.mayHaveRun()
+                || request.running() && !context.settings.decision().limits().secondCopies());
+        if (request == null || request.closed || duplicate) {
+            context.addEffect(new Effect.Log("ignored an invalid action of the decision module: " + action));
             return;
         }
-        double until = s.timeout() > 0 ? Math.min(r.until, turn.now + s.timeout()) : r.until;
-        Attempt a = new Attempt(r, r.attempts.size(), s.engine(), turn.now, until,
-                r.beginBy() - turn.site.decision().tick());
-        r.attempts.add(a);
-        EngineRegistry.Engine e = fleet.get(s.engine());
-        if (e == null || !e.ready() || turn.now >= a.beginBy) {
-            end(a, Outcome.CONNECT_FAILED);
+        double timeoutAt = action.timeout() > 0 ? Math.min(request.deadline, context.now + action.timeout()) : request.deadline;
+        Attempt attempt = new Attempt(request, request.attempts.size(), action.engine(), context.now, timeoutAt,
+                request.startDeadline() - context.settings.decision().tick());
+        request.attempts.add(attempt);
+        EngineRegistry.Engine engine = engines.get(action.engine());
+        if (engine == null || !engine.ready() || context.now >= attempt.startDeadline) {
+            end(attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        turn.timer(new TimerKey.AttemptTimeout(a.key), until - turn.now);
-        if (a.beginBy < until) {
-            turn.timer(new TimerKey.StartDeadline(a.key), a.beginBy - turn.now);
+        context.startTimer(new TimerKey.AttemptTimeout(attempt.key), timeoutAt - context.now);
+        if (attempt.startDeadline < timeoutAt) {
+            context.startTimer(new TimerKey.StartDeadline(attempt.key), attempt.startDeadline - context.now);
         }
-        a.link = links.link(e, r.query.txn(), r.unsafe());
-        if (a.link == null) {
-            end(a, Outcome.CONNECT_FAILED);
+        attempt.link = links.select(engine, request.query.txn(), request.unsafe());
+        if (attempt.link == null) {
+            end(attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        a.link.open.put(r.query.txn(), a);
-        returning.sent(r, e);
-        if (a.link.up) {
-            write(a);
+        attempt.link.open.put(request.query.txn(), attempt);
+        recovery.requestSent(request, engine);
+        if (attempt.link.up) {
+            write(attempt);
         }
     }
 
-    void write(Attempt a) {
-        if (turn.now >= a.beginBy) {
-            withdraw(a, Outcome.CONNECT_FAILED);
+    /** Writes an attempt to its link, which is up. */
+    void write(Attempt attempt) {
+        if (context.now >= attempt.startDeadline) {
+            withdraw(attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        Query q = a.request.query;
-        tally.engine(a.link.engine.listed.id(), "sent");
-        turn.trace(() -> "request " + q.txn() + ": attempt " + a.key.attempt() + " goes to " + a.link.engine.listed.id()
-                + " on connection " + a.link.id);
-        turn.effect(new Effect.Send(a.link.id, a.key, q.txn(), a.request.spec.name(), q.idempotencyKey(),
-                Math.max(1, Math.round(a.until - turn.now)), q.statement(), a.write));
+        Query query = attempt.request.query;
+        String engine = attempt.link.engine.listed.id();
+        counters.countAtEngine(engine, "sent");
+        context.trace(() -> "request " + query.txn() + ": attempt " + attempt.key.attempt() + " sent to " + engine
+                + " on connection " + attempt.link.id);
+        context.addEffect(new Effect.Send(attempt.link.id, attempt.key, query.txn(), attempt.request.spec.name(),
+                query.idempotencyKey(), Math.max(1, Math.round(attempt.timeoutAt - context.now)), query.statement(),
+                attempt.write));
     }
 
-    /** It ought to have begun by now. */
-    void beginDue(Attempt a) {
-        if (a != null) {
-            withdraw(a, Outcome.CONNECT_FAILED);
+    /** The time in which an attempt may start is over. */
+    void startDeadlinePassed(Attempt attempt) {
+        if (attempt != null) {
+            withdraw(attempt, Outcome.CONNECT_FAILED);
         }
     }
 
-    /** What of a request has not begun will not: nobody waits for it any more. */
-    void withdraw(OpenRequest r) {
-        List.copyOf(r.attempts).forEach(a -> withdraw(a, Outcome.MOOT));
+    /** Withdraws the attempts of a request that have not started: it has been answered, or its client has left. */
+    void withdrawAll(OpenRequest request) {
+        List.copyOf(request.attempts).forEach(a -> withdraw(a, Outcome.MOOT));
     }
 
     /**
-     * Ends an attempt of which no byte has gone out, with the proof that none ever will; false where it has begun. The
-     * one way for all that takes a queued attempt back: its client, its engine or its time may be gone by then.
+     * Ends an attempt of which no byte has been written, which proves that it never ran; false where it has started. This is
+     * the only way to take back a queued attempt, whether its client, its engine or its time is gone.
      */
-    boolean withdraw(Attempt a, Outcome as) {
-        if (a.outcome == null && a.write.withdraw()) {
-            end(a, as);
+    boolean withdraw(Attempt attempt, Outcome outcome) {
+        if (attempt.outcome == null && attempt.write.withdraw()) {
+            end(attempt, outcome);
             return true;
         }
         return false;
     }
 
-    /** Ends an attempt from here. The module hears of it once the cancel is written, and not before. */
-    void giveUp(Attempt a, Outcome as) {
-        if (a.outcome != null || a.givenUp != null) {
+    /** Stops an attempt. If a cancel is needed, the decision module is told of the end only once the cancel is written. */
+    void stop(Attempt attempt, Outcome outcome) {
+        if (attempt.outcome != null || attempt.cancelOutcome != null) {
             return;
         }
-        if (withdraw(a, as == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : as)) {
+        if (withdraw(attempt, outcome == Outcome.TIMEOUT ? Outcome.CONNECT_FAILED : outcome)) {
             return;
         }
-        if (a.done()) {
-            turn.effect(new Effect.Release(a.link.id, a.txn()));
-            end(a, as);
+        if (attempt.done()) {
+            context.addEffect(new Effect.Release(attempt.link.id, attempt.txn()));
+            end(attempt, outcome);
         } else {
-            cancel(a, as);
+            cancel(attempt, outcome);
         }
     }
 
-    void end(Attempt a, Outcome outcome) {
-        if (a.outcome != null) {
+    void end(Attempt attempt, Outcome outcome) {
+        if (attempt.outcome != null) {
             return;
         }
-        a.outcome = outcome;
-        turn.trace(() -> "request " + a.txn() + ": attempt " + a.key.attempt() + " ends " + outcome + " after "
-                + Math.round(turn.now - a.at) + " ms" + (a.link == null ? ", never sent" : " at " + a.link.engine.listed.id()));
-        tally.count(a.link == null ? "unsent" : "ended", outcome, a.request.spec.name());
-        tally.add("ms", outcome, a.request.spec.name(), Math.round(turn.now - a.at));
-        if (a.link != null) {
-            tally.engine(a.link.engine.listed.id(), outcome.name());
-        }
-        turn.stop(new TimerKey.AttemptTimeout(a.key));
-        if (a.beginBy < a.until) {
-            turn.stop(new TimerKey.StartDeadline(a.key));
-        }
-        if (a.givenUp != null) {
-            turn.stop(new TimerKey.CancelTimeout(a.key));
-        }
-        if (a.link != null && a.link.open.remove(a.txn(), a)) {
-            // silent since before it was sent: what is sent next tries a new connection, which proves more
-            a.link.suspect |= a.givenUp != null && a.link.heardAt < a.at;
-            links.rest(a.link);
-        }
-        turn.event(new Gateway.Ended(a.key.request(), a.key.attempt(), a.engine, outcome, turn.now - a.at,
-                a.request.over, Double.NaN, Double.NaN, a.load));
-        requests.forget(a.request);
+        attempt.outcome = outcome;
+        count(attempt, outcome);
+        context.stopTimer(new TimerKey.AttemptTimeout(attempt.key));
+        if (attempt.startDeadline < attempt.timeoutAt) {
+            context.stopTimer(new TimerKey.StartDeadline(attempt.key));
+        }
+        if (attempt.cancelOutcome != null) {
+            context.stopTimer(new TimerKey.CancelTimeout(attempt.key));
+        }
+        if (attempt.link != null && attempt.link.open.remove(attempt.txn(), attempt)) {
+            // the next request then tries a new link, which shows whether the engine or only this link is unreachable
+            attempt.link.suspect |= attempt.cancelOutcome != null && attempt.link.lastHeardAt < attempt.createdAt;
+            links.startIdleTimer(attempt.link);
+        }
+        context.addEvent(new Gateway.Ended(attempt.key.request(), attempt.key.attempt(), attempt.engine, outcome,
+                context.now - attempt.createdAt, attempt.request.closed, Double.NaN, Double.NaN, attempt.load));
+        requests.removeIfEnded(attempt.request);
+    }
+
+    private void count(Attempt attempt, Outcome outcome) {
+        long durationMs = Math.round(context.now - attempt.createdAt);
+        context.trace(() -> "request " + attempt.txn() + ": attempt " + attempt.key.attempt() + " ended as " + outcome + " after "
+                + durationMs + " ms" + (attempt.link == null ? ", never sent" : " at " + attempt.link.engine.listed.id()));
+        counters.count(attempt.link == null ? "unsent" : "ended", outcome, attempt.request.spec.name());
+        counters.add("ms", outcome, attempt.request.spec.name(), durationMs);
+        if (attempt.link != null) {
+            counters.countAtEngine(attempt.link.engine.listed.id(), outcome.name());
+        }
     }
 
-    void said(Input.EngineMessageReceived x) {
-        Link l = links.get(x.link());
-        if (l == null) {
+    void received(Input.EngineMessageReceived input) {
+        Link link = links.get(input.link());
+        if (link == null) {
             return;
         }
-        l.heardAt = turn.now;
-        EngineMessage news = x.message();
-        if (news instanceof EngineMessage.Malformed u) {
-            if (l.open.containsKey(u.id())) { // under an id that is not open it is no news, readable or not
-                links.drop(l, Links.MALFORMED + u.reason());
+        link.lastHeardAt = context.now;
+        EngineMessage message = input.message();
+        if (message instanceof EngineMessage.Malformed malformed) {
+            if (link.open.containsKey(malformed.id())) { // for an id that is not open, no message matters
+                links.close(link, Links.MALFORMED + malformed.reason());
             }
             return;
         }
-        if (news instanceof EngineMessage.Health h) {
-            links.probed(h.id(), h.healthy(), h.load());
+        if (message instanceof EngineMessage.Health health) {
+            links.probeEnded(health.id(), health.healthy(), health.load());
             return;
         }
-        Attempt a = l.open.get(news.id());
-        if (a == null) {
-            return; // late: its attempt has ended, and nothing of it may pass for another's
-        }
-        if (news instanceof EngineMessage.Note n) {
-            turn.event(new Gateway.Note(a.key.request(), a.key.attempt(), a.engine, n.kind(), n.value()));
-        } else if (news instanceof EngineMessage.Done d) {
-            done(a, d);
-        } else if (news instanceof EngineMessage.Page p && a.done()) {
-            if (a.add(p.number(), p.content())) {
-                serveIfWhole(a);
+        Attempt attempt = link.open.get(message.id());
+        if (attempt == null) {
+            return; // late: its attempt has ended, and another attempt must not take it for its own
+        }
+        if (message instanceof EngineMessage.Note note) {
+            context.addEvent(new Gateway.Note(attempt.key.request(), attempt.key.attempt(), attempt.engine, note.kind(),
+                    note.value()));
+        } else if (message instanceof EngineMessage.Done done) {
+            resultStarted(attempt, done);
+        } else if (message instanceof EngineMessage.Page page && attempt.done()) {
+            if (attempt.addPage(page.number(), page.content())) {
+                answerIfComplete(attempt);
             } else {
-                links.drop(l, Links.MALFORMED + "page " + p.number() + " of " + a.pageCount());
+                links.close(link, Links.MALFORMED + "page " + page.number() + " of " + attempt.pageCount());
             }
-        } else if (news instanceof EngineMessage.Full f && !a.done()) { // said after DONE it proves nothing
-            a.load = f.load();
-            l.answered.add(a.txn());
-            end(a, Outcome.FULL);
-        } else if (news instanceof EngineMessage.Expired p && !a.done()) {
-            a.load = p.load();
-            l.answered.add(a.txn());
-            end(a, Outcome.MOOT);
-        } else if (news instanceof EngineMessage.Failed b) {
-            a.load = b.load().isEmpty() ? a.load : b.load();
-            if (a.done()) {
-                turn.effect(new Effect.Release(l.id, news.id()));
+        } else if (message instanceof EngineMessage.Full full && !attempt.done()) { // after Done it proves nothing
+            attempt.load = full.load();
+            link.answered.add(attempt.txn());
+            end(attempt, Outcome.FULL);
+        } else if (message instanceof EngineMessage.Expired expired && !attempt.done()) {
+            attempt.load = expired.load();
+            link.answered.add(attempt.txn());
+            end(attempt, Outcome.MOOT);
+        } else if (message instanceof EngineMessage.Failed failed) {
+            attempt.load = failed.load().isEmpty() ? attempt.load : failed.load();
+            if (attempt.done()) {
+                context.addEffect(new Effect.Release(link.id, message.id()));
             }
-            l.answered.add(a.txn());
-            fail(a); // also where a page is lost: the query ran
+            link.answered.add(attempt.txn());
+            fail(attempt); // also where only a page is lost: the query has run
         }
     }
 
     /**
-     * An error of an attempt. On a link where the request was given up before, it may be that one's, crossing
-     * its cancel, and then this attempt still runs: it is cancelled too before another goes out.
+     * An attempt has failed. Where an earlier attempt of its request was cancelled on its link, the error may belong to that
+     * one and have crossed its cancel on the wire; then this one still runs, and is cancelled before another is sent.
      */
-    void fail(Attempt a) {
-        if (a.follows()) {
-            cancel(a, Outcome.ERROR);
+    private void fail(Attempt attempt) {
+        if (attempt.followsCancelled()) {
+            cancel(attempt, Outcome.ERROR);
         } else {
-            end(a, Outcome.ERROR);
+            end(attempt, Outcome.ERROR);
         }
     }
 
-    void cancel(Attempt a, Outcome as) {
-        a.givenUp = as;
-        a.link.abandoned.add(a.txn());
-        turn.timer(new TimerKey.CancelTimeout(a.key), CANCEL);
-        turn.effect(new Effect.Cancel(a.link.id, a.key, a.txn()));
+    private void cancel(Attempt attempt, Outcome outcome) {
+        attempt.cancelOutcome = outcome;
+        attempt.link.cancelled.add(attempt.txn());
+        context.startTimer(new TimerKey.CancelTimeout(attempt.key), CANCEL_TIMEOUT_MS);
+        context.addEffect(new Effect.Cancel(attempt.link.id, attempt.key, attempt.txn()));
     }
 
-    void done(Attempt a, EngineMessage.Done d) {
-        if (a.done() || a.givenUp != null && d.pageCount() > 1) {
-            return; // said twice; or given up meanwhile, and its further pages with it
+    private void resultStarted(Attempt attempt, EngineMessage.Done done) {
+        if (attempt.done() || attempt.cancelOutcome != null && done.pageCount() > 1) {
+            return; // repeated; or cancelled in the meantime, and its further pages with it
         }
-        a.load = d.load();
-        a.begin(d.pageCount(), d.firstPage());
-        for (int p = 1; p < d.pageCount(); p++) {
-            turn.effect(new Effect.ReadPage(a.link.id, d.id(), p));
+        attempt.load = done.load();
+        attempt.startResult(done.pageCount(), done.firstPage());
+        for (int page = 1; page < done.pageCount(); page++) {
+            context.addEffect(new Effect.ReadPage(attempt.link.id, done.id(), page));
         }
-        serveIfWhole(a);
+        answerIfComplete(attempt);
     }
 
-    void serveIfWhole(Attempt a) {
-        if (!a.whole()) {
+    private void answerIfComplete(Attempt attempt) {
+        if (!attempt.hasAllPages()) {
             return;
         }
-        if (a.pageCount() > 1) {
-            turn.effect(new Effect.Release(a.link.id, a.txn()));
+        if (attempt.pageCount() > 1) {
+            context.addEffect(new Effect.Release(attempt.link.id, attempt.txn()));
         }
-        byte[] result = a.result();
-        if (result.length > MOST_BYTES) {
-            fail(a);
+        byte[] result = attempt.result();
+        if (result.length > MAX_RESULT_BYTES) {
+            fail(attempt);
             return;
         }
-        if (a.follows()) { // it may be the answer to the one given up
-            turn.effect(new Effect.Cancel(a.link.id, a.key, a.txn()));
+        if (attempt.followsCancelled()) { // it may be the answer to the cancelled attempt, so that this one still runs
+            context.addEffect(new Effect.Cancel(attempt.link.id, attempt.key, attempt.txn()));
         }
-        requests.answer(a.request, new Reply.Served(result));
-        end(a, Outcome.OK);
+        requests.answer(attempt.request, new Reply.Served(result));
+        end(attempt, Outcome.OK);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Bounds.java
+++ b/frontend/src/main/java/quincespar/routing/Bounds.java
@@ -3,23 +3,28 @@
 import quincespar.membership.PollTiming;
 
 /**
- * What clients and links may hold and how long they may take: {@code callers} connections and {@code requests} open over
- * all of them, which vary with the limits of a start; times in milliseconds.
+ * Limits on what clients and links may use; times in milliseconds. {@code maxCallers} and {@code maxRequests} depend on the
+ * descriptors and the memory that the process has.
  *
- * @param firstRequestMs    a client that has sent no whole request by then is closed
- * @param callerIdleMs   connections with nothing open go after this: some clients ask once and keep theirs for good
- * @param maxLinksPerEngine connections to one engine at the most
- * @param maxSharedPerLink  requests that share one while the engine may have another
- * @param partialMessageMs       how long the rest of an engine's message may take: behind one that stops short nothing comes
- * @param changes        how the change log is followed
+ * @param maxCallers       client connections
+ * @param maxRequests      open requests of all clients together
+ * @param firstRequestMs   a client that has sent no complete request by then is disconnected
+ * @param callerIdleMs     a client's connection without an open request is closed after this: some clients send one request
+ *                         and never close
+ * @param maxLinksPerEngine connections to one engine
+ * @param maxSharedPerLink requests that share a link while the engine may have another link
+ * @param partialMessageMs how long the rest of an engine's message may take, as a message that stops short blocks all that
+ *                         follow on its link
+ * @param polling          how the change log is polled
  */
 public record Bounds(int maxCallers, int maxRequests, double firstRequestMs, double callerIdleMs, int maxLinksPerEngine,
         int maxSharedPerLink, double partialMessageMs, PollTiming polling) {
-    /** About 2 KB a request, statement and bookkeeping: a sixteenth of the memory. */
+    /** At about 2 KB a request, statement and bookkeeping, this is a sixteenth of the memory. */
     private static final int REQUESTS_PER_MB = 32;
+    private static final int MIN_REQUESTS = 64;
 
-    /** Open requests that fit into so much memory. */
+    /** How many open requests fit into that much memory. */
     public static int maxRequestsFor(int memoryMb) {
-        return Math.max(64, memoryMb * REQUESTS_PER_MB);
+        return Math.max(MIN_REQUESTS, memoryMb * REQUESTS_PER_MB);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Caller.java
+++ b/frontend/src/main/java/quincespar/routing/Caller.java
@@ -1,4 +1,4 @@
 package quincespar.routing;
 
-/** Who waits for an answer: a front connection, and the number that this connection gave its request. */
+/** The source of a request, to which the answer goes: a client's connection and the client's number for the call on it. */
 public record Caller(long connection, int call) { }
--- a/frontend/src/main/java/quincespar/routing/CallerConnections.java
+++ b/frontend/src/main/java/quincespar/routing/CallerConnections.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The clients' connections as the reducer sees them: what is open on each, and which could be spared. */
+/** The clients' connections: what is open on each, and which could be closed to make room for another. */
 final class CallerConnections {
     /** A client's connection. */
     static final class CallerConnection {
@@ -18,58 +18,60 @@
         }
     }
 
-    private final Map<Long, CallerConnection> all = new HashMap<>();
-    /** Those that have not asked anything yet, and those with nothing open: the longest so come first. */
-    private final Set<CallerConnection> silent = new LinkedHashSet<>(), idle = new LinkedHashSet<>();
+    private final Map<Long, CallerConnection> byId = new HashMap<>();
+    /** Connections that have not sent a request yet, oldest first. */
+    private final Set<CallerConnection> unused = new LinkedHashSet<>();
+    /** Connections whose requests have all been answered, longest idle first. */
+    private final Set<CallerConnection> idle = new LinkedHashSet<>();
 
     int size() {
-        return all.size();
+        return byId.size();
     }
 
     CallerConnection get(long id) {
-        return all.get(id);
+        return byId.get(id);
     }
 
-    void up(long id) {
-        CallerConnection f = new CallerConnection(id);
-        if (all.putIfAbsent(id, f) == null) {
-            silent.add(f);
+    void connected(long id) {
+        CallerConnection connection = new CallerConnection(id);
+        if (byId.putIfAbsent(id, connection) == null) {
+            unused.add(connection);
         }
     }
 
-    void opened(OpenRequest r) {
-        CallerConnection f = all.computeIfAbsent(r.caller.connection(), CallerConnection::new);
-        silent.remove(f);
-        idle.remove(f);
-        f.open.add(r);
+    void requestOpened(OpenRequest request) {
+        CallerConnection connection = byId.computeIfAbsent(request.caller.connection(), CallerConnection::new);
+        unused.remove(connection);
+        idle.remove(connection);
+        connection.open.add(request);
     }
 
-    /** True where this was the last one open on its connection. */
-    boolean closed(OpenRequest r) {
-        CallerConnection f = all.get(r.caller.connection());
-        if (f == null || !f.open.remove(r) || !f.open.isEmpty()) {
+    /** True where the connection has no other open request. */
+    boolean requestClosed(OpenRequest request) {
+        CallerConnection connection = byId.get(request.caller.connection());
+        if (connection == null || !connection.open.remove(request) || !connection.open.isEmpty()) {
             return false;
         }
-        idle.add(f);
+        idle.add(connection);
         return true;
     }
 
     CallerConnection remove(long id) {
-        CallerConnection f = all.remove(id);
-        silent.remove(f);
-        idle.remove(f);
-        return f;
+        CallerConnection connection = byId.remove(id);
+        unused.remove(connection);
+        idle.remove(connection);
+        return connection;
     }
 
     /**
-     * Whom to close so that the newest may stay: one that has said nothing, else one with nothing open, the
-     * longest so first; the newest itself only where all others have requests open.
+     * Which connection to close so that the newest may stay: the oldest without a request so far, else the one that has been
+     * idle for longest; the newest itself only where all others have requests open.
      */
-    long spare(long newest) {
-        for (Set<CallerConnection> some : List.of(silent, idle)) {
-            for (CallerConnection f : some) {
-                if (f.id != newest) {
-                    return f.id;
+    long leastNeeded(long newest) {
+        for (Set<CallerConnection> candidates : List.of(unused, idle)) {
+            for (CallerConnection connection : candidates) {
+                if (connection.id != newest) {
+                    return connection.id;
                 }
             }
         }
--- a/frontend/src/main/java/quincespar/routing/ClientProtocol.java
+++ b/frontend/src/main/java/quincespar/routing/ClientProtocol.java
@@ -1,8 +1,8 @@
 package quincespar.routing;
 
-/** A protocol that clients speak. It posts what they ask as inputs and words the replies; it decides nothing. */
+/** The server side of a protocol that clients speak. It posts requests as inputs and encodes the replies; it decides nothing. */
 public interface ClientProtocol {
-    /** Words and queues the final answer; a caller that has gone is passed over. */
+    /** Encodes and queues the final answer; does nothing where the caller's connection has ended. */
     void reply(Caller caller, Reply reply);
 
     /** Answers whether requests can be served now. */
--- a/frontend/src/main/java/quincespar/routing/ClusterState.java
+++ b/frontend/src/main/java/quincespar/routing/ClusterState.java
@@ -4,192 +4,197 @@
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Outcome;
 import quincespar.membership.Membership;
-import quincespar.metrics.MetricsSnapshot;
 import quincespar.metrics.MetricsRecorder;
+import quincespar.metrics.MetricsSnapshot;
 import quincespar.protocol.FleetEvent;
 
-/** Who there is and by which settings: the list of engines as the change log tells it, the other front ends, the settings. */
+/** What the cluster consists of: the engines as the change log lists them, the other front ends, and the settings. */
 final class ClusterState {
-    private final StepContext turn;
-    private final EngineRegistry fleet;
+    private final StepContext context;
+    private final EngineRegistry engines;
     private final Links links;
     private final Attempts attempts;
-    private final MetricsRecorder ledger;
+    private final MetricsRecorder metrics;
     private final Membership membership;
-    private final PeerShares fellows;
-    private final RecoveryCoordinator returning;
-    private long reread;
-
-    ClusterState(StepContext turn, Bounds bounds, EngineRegistry fleet, Links links, Attempts attempts, MetricsRecorder ledger, RecoveryCoordinator returning) {
-        this.returning = returning;
-        this.turn = turn;
-        this.fleet = fleet;
+    private final PeerShares peers;
+    private final RecoveryCoordinator recovery;
+    /** The last reload of the configuration; what an earlier one has read is ignored. */
+    private long reloadId;
+
+    ClusterState(StepContext context, Bounds bounds, EngineRegistry engines, Links links, Attempts attempts,
+            MetricsRecorder metrics, RecoveryCoordinator recovery) {
+        this.context = context;
+        this.engines = engines;
         this.links = links;
         this.attempts = attempts;
-        this.ledger = ledger;
+        this.metrics = metrics;
+        this.recovery = recovery;
         membership = new Membership(bounds.polling());
-        membership.drainGraceMs(turn.site.decision().rules().drainGrace());
-        fellows = new PeerShares(turn.site);
+        membership.drainGraceMs(context.settings.decision().rules().drainGrace());
+        peers = new PeerShares(context.settings);
     }
 
-    void start(String changeLogAt, List<FleetEvent> known) {
-        follow(membership.start(turn.now, changeLogAt, known));
+    void start(String changeLogAddress, List<FleetEvent> known) {
+        perform(membership.start(context.now, changeLogAddress, known));
     }
 
     boolean answeredOnce() {
         return membership.answeredOnce();
     }
 
-    double age(double time) {
+    double ageMs(double time) {
         return membership.ageMs(time);
     }
 
-    void answered(Input.ChangesReceived x) {
-        follow(membership.answered(turn.now, x.pollId(), x.seq(), x.events()));
-        returning.answered();
+    void changesReceived(Input.ChangesReceived input) {
+        perform(membership.answered(context.now, input.pollId(), input.seq(), input.events()));
+        recovery.changeLogAnswered();
     }
 
-    void failed(Input.PollFailed x) {
-        follow(membership.failed(turn.now, x.pollId(), x.failure(), x.cause()));
+    void pollFailed(Input.PollFailed input) {
+        perform(membership.failed(context.now, input.pollId(), input.failure(), input.cause()));
     }
 
-    void due(long changes) {
-        follow(membership.timerFired(turn.now, changes));
+    void changeLogTimerFired(long timerId) {
+        perform(membership.timerFired(context.now, timerId));
     }
 
-    void news(Input.FleetChanged x) {
-        fellows.take(turn.now, x);
-        returning.fleet(x.view());
-        share();
+    void fleetChanged(Input.FleetChanged input) {
+        peers.fleetChanged(context.now, input);
+        recovery.fleetChanged(input.view());
+        updateShares();
     }
 
-    /** Fewer front ends have been known for a while: shares may grow. */
-    void sharesDue() {
-        fellows.due(turn.now);
-        share();
+    /** Fewer front ends have been known for long enough: this one's share may grow. */
+    void shareTimerFired() {
+        peers.timerFired(context.now);
+        updateShares();
     }
 
-    /** The configuration has been replaced; of several words at once the last counts. */
-    void hangup() {
-        reread = turn.number();
-        turn.effect(new Effect.ReloadConfiguration(reread));
+    /** Reads the configuration again. Of several requests at once only the last one's result is used. */
+    void reload() {
+        reloadId = context.nextId();
+        context.addEffect(new Effect.ReloadConfiguration(reloadId));
     }
 
-    void reconfigured(Input.ConfigurationLoaded x) {
-        if (x.reloadId() == reread) {
-            ledger.loaded();
-            turn.effect(new Effect.ConfigurationAccepted(x.document()));
-            // requests, links and the fleet stay as they are; the file may be replaced again soon, the last one counts
-            fellows.configured(x.settings().keepingNumbersOf(turn.site));
-            adopt(fellows.site());
-            follow(membership.addressChanged(turn.now, x.changeLogAddress()));
+    void configurationLoaded(Input.ConfigurationLoaded input) {
+        if (input.reloadId() == reloadId) {
+            metrics.configurationLoaded();
+            context.addEffect(new Effect.ConfigurationAccepted(input.document()));
+            // open requests, links and what is known of the fleet are kept
+            peers.configure(input.settings().keepingNumbersOf(context.settings));
+            apply(peers.settings());
+            perform(membership.addressChanged(context.now, input.changeLogAddress()));
         }
     }
 
-    void reconfigureFailed(Input.ConfigurationRejected x) {
-        if (x.reloadId() == reread) {
-            ledger.invalid();
-            turn.effect(new Effect.Log("the configuration stays as it was: " + x.cause()));
+    void configurationRejected(Input.ConfigurationRejected input) {
+        if (input.reloadId() == reloadId) {
+            metrics.configurationRejected();
+            context.addEffect(new Effect.Log("the new configuration is rejected and the old one stays in force: "
+                    + input.cause()));
         }
     }
 
-    /** Carries out what following the change log takes, and passes on what it has told. */
-    private void follow(List<Membership.Action> acts) {
-        boolean news = false;
-        for (Membership.Action act : acts) {
-            if (act instanceof Membership.Poll a) {
-                turn.effect(new Effect.PollChangeLog(a.pollId(), a.address(), a.afterEvent(), a.waitMs(), a.connectTimeoutMs()));
-            } else if (act instanceof Membership.CancelPoll) {
-                turn.effect(new Effect.CancelPoll());
-            } else if (act instanceof Membership.StartTimer a) {
-                turn.timer(new TimerKey.ChangeLogTimer(a.timerId()), a.delayMs());
-            } else if (act instanceof Membership.StopTimer a) {
-                turn.stop(new TimerKey.ChangeLogTimer(a.timerId()));
-            } else if (act instanceof Membership.EventReceived a) {
-                sayWhoLeaves(a);
-                turn.event(fleet.take(a.event(), a.removed(), turn.now));
-                news = true;
-            } else if (act instanceof Membership.HoldSends a) {
-                fleet.hold(a.held());
-                turn.event(fleet.adopt(turn.site));
-                news = true;
-            } else if (act instanceof Membership.Log a) {
-                turn.effect(new Effect.Log(a.line()));
+    /** Carries out what following the change log requires, and applies the events that it has received. */
+    private void perform(List<Membership.Action> actions) {
+        boolean changed = false;
+        for (Membership.Action action : actions) {
+            if (action instanceof Membership.Poll a) {
+                context.addEffect(new Effect.PollChangeLog(a.pollId(), a.address(), a.afterEvent(), a.waitMs(),
+                        a.connectTimeoutMs()));
+            } else if (action instanceof Membership.CancelPoll) {
+                context.addEffect(new Effect.CancelPoll());
+            } else if (action instanceof Membership.StartTimer a) {
+                context.startTimer(new TimerKey.ChangeLogTimer(a.timerId()), a.delayMs());
+            } else if (action instanceof Membership.StopTimer a) {
+                context.stopTimer(new TimerKey.ChangeLogTimer(a.timerId()));
+            } else if (action instanceof Membership.EventReceived a) {
+                logPhaseChanges(a);
+                context.addEvent(engines.apply(a.event(), a.removed(), context.now));
+                changed = true;
+            } else if (action instanceof Membership.HoldSends a) {
+                engines.hold(a.held());
+                context.addEvent(engines.relist(context.settings));
+                changed = true;
+            } else if (action instanceof Membership.Log a) {
+                context.addEffect(new Effect.Log(a.line()));
             }
         }
-        if (news) {
-            fleet.all().forEach(this::review);
-            fleet.tidy();
+        if (changed) {
+            engines.all().forEach(this::applyState);
+            engines.dropRemoved();
         }
     }
 
-    /** Engines that take nothing new from now on, with what is out there, before the event is taken. */
-    private void sayWhoLeaves(Membership.EventReceived a) {
-        for (FleetEvent.Member m : a.event().members()) {
-            if (m.phase() != FleetEvent.Phase.UP) {
-                sayWhoLeaves(m, a.event().seq());
+    /** Logs, before an event is applied, which engines take no new work from now on, and what is open there. */
+    private void logPhaseChanges(Membership.EventReceived received) {
+        for (FleetEvent.Member member : received.event().members()) {
+            if (member.phase() != FleetEvent.Phase.UP) {
+                logPhaseChange(member, received.event().seq());
             }
         }
-        a.removed().forEach(m -> sayWhoLeaves(m, a.event().seq()));
+        received.removed().forEach(m -> logPhaseChange(m, received.event().seq()));
     }
 
-    private void sayWhoLeaves(FleetEvent.Member m, long event) {
-        EngineRegistry.Engine e = fleet.named(m.id());
-        if (e != null && e.listed.phase() != m.phase()) {
-            int open = e.links.stream().mapToInt(l -> l.open.size()).sum();
-            turn.effect(new Effect.Log("server " + m.id() + ": " + e.listed.phase() + " -> " + m.phase() + " by event "
-                    + event + ", " + open + " attempts out on " + e.links.size() + " connections"));
+    private void logPhaseChange(FleetEvent.Member member, long event) {
+        EngineRegistry.Engine engine = engines.byId(member.id());
+        if (engine != null && engine.listed.phase() != member.phase()) {
+            int open = engine.links.stream().mapToInt(l -> l.open.size()).sum();
+            context.addEffect(new Effect.Log("engine " + member.id() + ": " + engine.listed.phase() + " -> " + member.phase()
+                    + " by event " + event + ", " + open + " attempts open on " + engine.links.size() + " links"));
         }
     }
 
-    /** How the change log is followed, for what is reported. */
-    MetricsSnapshot.ChangeLogStatus watch() {
-        return new MetricsSnapshot.ChangeLogStatus(membership.lastEvent(), Math.round(membership.ageMs(turn.now)), membership.failureCount());
+    /** How the change log is followed, for the metrics. */
+    MetricsSnapshot.ChangeLogStatus changeLogStatus() {
+        return new MetricsSnapshot.ChangeLogStatus(membership.lastEvent(), Math.round(membership.ageMs(context.now)),
+                membership.failureCount());
     }
 
-    /** After news of an engine: nothing goes out to one that is not ready, and old processes' links end. */
-    private void review(EngineRegistry.Engine e) {
-        for (Link l : List.copyOf(e.links)) {
-            if (e.ready() && l.dialledAt < e.startedAt) {
-                links.drop(l, "to a process that has ended");
-            } else if (!e.ready() && !l.up) {
-                links.drop(l, "its engine takes nothing new"); // a connect must not outlive the grace
-            } else if (!e.ready()) {
-                List.copyOf(l.open.values()).forEach(a -> attempts.withdraw(a, Outcome.CONNECT_FAILED));
-                links.rest(l);
+    /** Adapts links to an engine's state: one that takes no work is sent none, and links to an old process are closed. */
+    private void applyState(EngineRegistry.Engine engine) {
+        for (Link link : List.copyOf(engine.links)) {
+            if (engine.ready() && link.openedAt < engine.startedAt) {
+                links.close(link, "to a process that has ended");
+            } else if (!engine.ready() && !link.up) {
+                links.close(link, "its engine takes nothing new"); // it must not connect after the drain grace
+            } else if (!engine.ready()) {
+                List.copyOf(link.open.values()).forEach(a -> attempts.withdraw(a, Outcome.CONNECT_FAILED));
+                links.startIdleTimer(link);
             }
         }
     }
 
-    /** Among how many the engines are shared may have changed, or does once a while has passed. */
-    private void share() {
-        adopt(fellows.site());
-        double wait = fellows.dueMs(turn.now);
-        if (wait < Double.POSITIVE_INFINITY) {
-            turn.timer(new TimerKey.ShareGrowth(), wait);
+    /** Applies the number of front ends that is in force now, and waits until it may change without an input. */
+    private void updateShares() {
+        apply(peers.settings());
+        double delayMs = peers.timerDelayMs(context.now);
+        if (delayMs < Double.POSITIVE_INFINITY) {
+            context.startTimer(new TimerKey.ShareGrowth(), delayMs);
         } else {
-            turn.stop(new TimerKey.ShareGrowth());
+            context.stopTimer(new TimerKey.ShareGrowth());
         }
     }
 
-    /** Which engines take work, or since when they count as started, may have changed by what a return has learned. */
-    void relist() {
-        if (returning.relists()) {
-            turn.event(fleet.adopt(turn.site));
-            fleet.all().forEach(this::review);
+    /** Tells the module the list again if recovery has changed which engines take work, or since when they count as started. */
+    void relistAfterRecovery() {
+        if (recovery.takeRelist()) {
+            context.addEvent(engines.relist(context.settings));
+            engines.all().forEach(this::applyState);
         }
     }
 
-    /** New settings bind whole, in one step; where nothing in them is new, the module hears nothing. */
-    private void adopt(RoutingSettings next) {
-        if (!next.equals(turn.site)) {
-            turn.site = next;
+    /** Applies new settings in one step; where nothing in them has changed, the module is told nothing. */
+    private void apply(RoutingSettings next) {
+        if (!next.equals(context.settings)) {
+            context.settings = next;
             membership.drainGraceMs(next.decision().rules().drainGrace());
-            ledger.classes(turn.site.classNames());
-            returning.classes(turn.site);
-            turn.effect(new Effect.ApplySettings(turn.site));
-            turn.event(new Gateway.Configured(turn.site.decision(), turn.site.droppedClasses()));
-            turn.event(fleet.adopt(turn.site));
+            metrics.setClasses(next.classNames());
+            recovery.setClasses(next);
+            context.addEffect(new Effect.ApplySettings(next));
+            context.addEvent(new Gateway.Configured(next.decision(), next.droppedClasses()));
+            context.addEvent(engines.relist(next));
         }
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Effect.java
+++ b/frontend/src/main/java/quincespar/routing/Effect.java
@@ -5,15 +5,15 @@
 import quincespar.recovery.Entry;
 import quincespar.transport.WithdrawableWrite;
 
-/** Something that the reducer asks to be done. None of it waits. */
+/** Something that the reducer asks the program to do. None of it blocks. */
 public sealed interface Effect {
-    /** Give a client its final answer. */
+    /** Send a client its final answer. */
     record Answer(Caller caller, Reply reply) implements Effect { }
 
-    /** Say whether requests can be served. */
+    /** Answer a health check: whether requests can be served. */
     record AnswerHealth(Caller caller) implements Effect { }
 
-    /** Close a client's connection, unless something has come on it that the reducer has not seen yet. */
+    /** Close a client's connection, unless data has arrived on it that the reducer has not seen yet. */
     record CloseCaller(long connection, String cause) implements Effect { }
 
     /** Connect to an engine. */
@@ -22,20 +22,20 @@
     /** Close a link at once. */
     record CloseLink(long link, String cause) implements Effect { }
 
-    /** Send an attempt, if {@code write} was not withdrawn when its first byte would go out. */
+    /** Send an attempt, unless {@code write} has been withdrawn before its first byte goes out. */
     record Send(long link, AttemptKey key, String txn, String queue, String idempotencyKey, long budgetMs, byte[] statement,
             WithdrawableWrite write) implements Effect { }
 
-    /** Give an attempt up, and say when that is written. */
+    /** Cancel an attempt, and report when the cancel is written ({@link Input.CancelWritten}). */
     record Cancel(long link, AttemptKey key, String txn) implements Effect { }
 
-    /** Ask for a further page. */
+    /** Ask an engine for a further page of a result. */
     record ReadPage(long link, String txn, int page) implements Effect { }
 
-    /** Want no more pages. */
+    /** Tell an engine that no more pages of a result are needed. */
     record Release(long link, String txn) implements Effect { }
 
-    /** Ask an engine how it is. */
+    /** Send an engine a health check. */
     record Probe(long link, String tag) implements Effect { }
 
     /** Start a timer. */
@@ -44,33 +44,37 @@
     /** Stop a timer. */
     record StopTimer(TimerKey key) implements Effect { }
 
-    /** Ask the change log at an address for what came after an event; a new connection may take so long to come up. */
-    record PollChangeLog(long pollId, String address, long afterEvent, long waitMs, double connectTimeoutMs) implements Effect { }
+    /**
+     * Ask the change log at an address for the events after number {@code afterEvent}. It may hold the answer back for
+     * {@code waitMs} while there are none.
+     */
+    record PollChangeLog(long pollId, String address, long afterEvent, long waitMs, double connectTimeoutMs)
+            implements Effect { }
 
     /** Read the configuration again. */
     record ReloadConfiguration(long reloadId) implements Effect { }
 
-    /** This document is the one in force: the next is held against it. */
+    /** The configuration of this document is in force now: the next one is compared with it. */
     record ConfigurationAccepted(Map<String, Object> document) implements Effect { }
 
-    /** New settings bind: requests are read by them from now on. */
+    /** New settings are in force: requests are read by them from now on. */
     record ApplySettings(RoutingSettings settings) implements Effect { }
 
-    /** Give up what is asked of the change log. */
+    /** Abandon the open poll of the change log. */
     record CancelPoll() implements Effect { }
 
-    /** Keep this on disk, in order; the request, where that is not 0, waits for {@link Input.PersistFinished}. */
+    /** Append an entry to the recovery log; the request, where that is not 0, waits for {@link Input.PersistFinished}. */
     record PersistEntry(Entry entry, long request) implements Effect { }
 
-    /** Ask the fleet for what is agreed now; {@link Input.FleetStateReceived} is the answer. */
+    /** Read the state that the fleet has agreed on; {@link Input.FleetStateReceived} is the answer. */
     record FetchFleetState() implements Effect { }
 
-    /** Something went wrong in here that ought not to: tell the operators, and go on. */
+    /** An unexpected exception was caught during an activity: report it, and go on. */
     record UnexpectedError(String activity, RuntimeException error) implements Effect { }
 
-    /** Tell the operators. */
+    /** Write a log line for the operators. */
     record Log(String line) implements Effect { }
 
-    /** Tell whoever follows single requests; the line is made only where somebody does, and before the next step. */
+    /** Write a trace line on a single request. The text is made only if tracing is on, and before the next step. */
     record Trace(Supplier<String> line) implements Effect { }
 }
--- a/frontend/src/main/java/quincespar/routing/EngineMessage.java
+++ b/frontend/src/main/java/quincespar/routing/EngineMessage.java
@@ -3,32 +3,32 @@
 import java.util.List;
 import quincespar.decision.Gateway.NoteKind;
 
-/** What an engine says, in no protocol's terms; {@code id} is a request's txn or a probe's tag. */
+/** A message of an engine, independent of the wire protocol; {@code load} is the load report that came with it, or empty. */
 public sealed interface EngineMessage {
-    /** What it speaks of. */
+    /** What the message refers to: a request's txn or a probe's tag. */
     String id();
 
-    /** It was served: page 0 of {@code pages}. */
+    /** The query has succeeded; its result has {@code pageCount} pages. */
     record Done(String id, int pageCount, byte[] firstPage, List<Double> load) implements EngineMessage { }
 
-    /** A further page. */
+    /** A further page of a result. */
     record Page(String id, int number, byte[] content) implements EngineMessage { }
 
-    /** Turned away unseen. */
+    /** The engine has rejected the query for lack of capacity; it has not run. */
     record Full(String id, List<Double> load) implements EngineMessage { }
 
-    /** An error, of a query or of a page; it may have run. */
+    /** A query, or the reading of a page, has failed; the query may have run. */
     record Failed(String id, List<Double> load) implements EngineMessage { }
 
-    /** Over before it came; it never ran. */
+    /** The query's time was over when it arrived; it has not run. */
     record Expired(String id, List<Double> load) implements EngineMessage { }
 
-    /** Not yet over. */
+    /** Progress of a running query. */
     record Note(String id, NoteKind kind, double value) implements EngineMessage { }
 
-    /** An answer in its frame that makes no sense. */
+    /** A message in a valid frame whose content is invalid. */
     record Malformed(String id, String reason) implements EngineMessage { }
 
-    /** What a probe found. */
+    /** The answer to a probe. */
     record Health(String id, boolean healthy, List<Double> load) implements EngineMessage { }
 }
--- a/frontend/src/main/java/quincespar/routing/EngineNumber.java
+++ b/frontend/src/main/java/quincespar/routing/EngineNumber.java
@@ -1,19 +1,19 @@
 package quincespar.routing;
 
-/** The module's numbers for engines: hashes of their ids (FNV-1a, 48 bits), so that all front ends agree on them. */
+/** The decision module's numbers for engines: hashes of their ids (FNV-1a, 48 bits), so that all front ends use the same. */
 public final class EngineNumber {
-    private static final long BASIS = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
-    private static final long BITS = 0xffffffffffffL;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long MASK_48_BITS = 0xffffffffffffL;
 
     private EngineNumber() { }
 
-    /** The number of an id; where another engine has it already, the next free one is taken instead. */
+    /** The number for an id. Ids may collide: {@link EngineRegistry} then takes the next free number. */
     public static long of(String id) {
-        long h = BASIS;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < id.length(); i++) {
-            h = (h ^ id.charAt(i)) * PRIME;
+            hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
-        return (h ^ h >>> 48) & BITS;
+        return (hash ^ hash >>> 48) & MASK_48_BITS;
     }
 }
--- a/frontend/src/main/java/quincespar/routing/EngineRegistry.java
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -11,8 +11,8 @@
 import quincespar.protocol.FleetEvent.Phase;
 
 /**
- * The engines by their id. Never by address: a new engine may take the address of one that has gone, and what
- * was sent to the old one must not be taken for the new one's.
+ * The engines by their id. Never by address: a new engine may take over the address of one that is gone, and what was sent to
+ * the old one must not be taken for the new one's.
  */
 final class EngineRegistry {
     /** An engine, and the links to it. */
@@ -20,9 +20,9 @@
         final long number;
         final List<Link> links = new ArrayList<>();
         FleetEvent.Member listed;
-        /** When it started by this program's clock, 0 where that is long ago. */
+        /** When it started by this process's clock, 0 where that is long ago. */
         double startedAt;
-        /** It takes nothing all the same: it had left before a loss of power, or all are held. */
+        /** It gets no work although it is listed as up: it had drained before a power loss, or all sends are on hold. */
         boolean withheld;
 
         Engine(long number, FleetEvent.Member listed, double startedAt) {
@@ -31,124 +31,132 @@
             this.startedAt = startedAt;
         }
 
+        /** Whether it takes new work. */
         boolean ready() {
             return listed.phase() == Phase.UP && !withheld;
         }
     }
 
-    /** News of a start that comes later than this tells of an engine that is warm, or of clocks that differ. */
-    private static final double LATEST_NEWS_MS = 30_000;
+    /** A start that is reported later than this is due to a clock that was stepped. */
+    private static final double MAX_START_REPORT_DELAY_MS = 30_000;
 
-    private final RecoveryCoordinator returning;
-    private RoutingSettings site;
+    private final RecoveryCoordinator recovery;
+    private RoutingSettings settings;
     private long revision;
-    private final Map<Long, Engine> engines = new LinkedHashMap<>();
-    private boolean listed;
+    private final Map<Long, Engine> byNumber = new LinkedHashMap<>();
+    /** Whether a list has been received. */
+    private boolean listReceived;
+    /** All sends are on hold. */
     private boolean held;
 
-    EngineRegistry(RoutingSettings site, RecoveryCoordinator returning) {
-        this.returning = returning;
-        this.site = site;
+    EngineRegistry(RoutingSettings settings, RecoveryCoordinator recovery) {
+        this.recovery = recovery;
+        this.settings = settings;
     }
 
     Engine get(long number) {
-        return engines.get(number);
+        return byNumber.get(number);
     }
 
-    /** The engine of that id in the list, null where there is none. */
-    Engine named(String id) {
-        return engines.get(number(id));
+    /** The engine with that id, null where there is none. */
+    Engine byId(String id) {
+        return byNumber.get(number(id));
     }
 
     Collection<Engine> all() {
-        return List.copyOf(engines.values());
+        return List.copyOf(byNumber.values());
     }
 
+    /** Whether any engine takes new work. */
     boolean canServe() {
-        return engines.values().stream().anyMatch(Engine::ready);
+        return byNumber.values().stream().anyMatch(Engine::ready);
     }
 
-    /** A connection to an engine has come up. */
-    void met(Engine e) {
-        returning.met(e.listed);
+    /** A link to an engine has been established. */
+    void reached(Engine engine) {
+        recovery.engineReached(engine.listed);
     }
 
-    /** How many engines are in the list: up or draining. */
-    int listed() {
-        int n = 0;
-        for (Engine e : engines.values()) {
-            n += e.listed.phase() == Phase.REMOVED ? 0 : 1;
+    /** How many engines are listed as up or draining. */
+    int listedCount() {
+        int count = 0;
+        for (Engine engine : byNumber.values()) {
+            count += engine.listed.phase() == Phase.REMOVED ? 0 : 1;
         }
-        return n;
+        return count;
     }
 
-    /** Takes one event of the change log and whom it leaves out, and words it for the module. */
-    Gateway.Listed take(FleetEvent event, List<FleetEvent.Member> removed, double now) {
+    /** Applies one event of the change log, with the engines that its list leaves out, and makes the module's event of it. */
+    Gateway.Listed apply(FleetEvent event, List<FleetEvent.Member> removed, double now) {
         Gateway.ListKind kind = !event.complete() ? Gateway.ListKind.DELTA
-                : listed ? Gateway.ListKind.FULL : Gateway.ListKind.CACHED;
-        listed = true;
+                : listReceived ? Gateway.ListKind.FULL : Gateway.ListKind.CACHED;
+        listReceived = true;
         revision = event.revision();
-        List<Gateway.Engine> told = new ArrayList<>();
-        event.members().forEach(m -> told.add(word(engine(m, kind, now))));
-        removed.forEach(m -> engine(m, kind, now));
-        return new Gateway.Listed(kind, event.revision(), told);
+        List<Gateway.Engine> changed = new ArrayList<>();
+        event.members().forEach(m -> changed.add(toGateway(update(m, kind, now))));
+        removed.forEach(m -> update(m, kind, now));
+        return new Gateway.Listed(kind, event.revision(), changed);
     }
 
-    /** None takes anything new from the next {@link #adopt} on, or each does again as it is listed. */
+    /** Puts all sends on hold, or ends that; takes effect with the next {@link #relist}. */
     void hold(boolean on) {
         held = on;
     }
 
-    /** Drops engines that are gone and have no link left. */
-    void tidy() {
-        engines.values().removeIf(e -> e.listed.phase() == Phase.REMOVED && e.links.isEmpty());
+    /** Drops engines that are removed from the list and have no link left. */
+    void dropRemoved() {
+        byNumber.values().removeIf(e -> e.listed.phase() == Phase.REMOVED && e.links.isEmpty());
     }
 
-    /** The whole list again, as the names of these settings number zones and kinds. */
-    Gateway.Listed adopt(RoutingSettings next) {
-        site = next;
-        engines.values().forEach(e -> e.withheld = held || returning.withholds(e.listed));
-        return new Gateway.Listed(Gateway.ListKind.FULL, revision, engines.values().stream()
-                .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::word).toList());
+    /** The whole list again, with zones and kinds numbered as in these settings. */
+    Gateway.Listed relist(RoutingSettings next) {
+        settings = next;
+        byNumber.values().forEach(e -> e.withheld = held || recovery.withholds(e.listed));
+        return new Gateway.Listed(Gateway.ListKind.FULL, revision, byNumber.values().stream()
+                .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::toGateway).toList());
     }
 
-    private Engine engine(FleetEvent.Member m, Gateway.ListKind kind, double now) {
+    private Engine update(FleetEvent.Member member, Gateway.ListKind kind, double now) {
         boolean change = kind == Gateway.ListKind.DELTA;
-        Engine e = engines.computeIfAbsent(number(m.id()), n -> new Engine(n, m, startedAt(m, change, now)));
-        if (m.startedAt() != e.listed.startedAt()) {
-            e.startedAt = startedAt(m, change, now);
+        Engine engine = byNumber.computeIfAbsent(number(member.id()),
+                n -> new Engine(n, member, startedAt(member, change, now)));
+        if (member.startedAt() != engine.listed.startedAt()) {
+            engine.startedAt = startedAt(member, change, now);
         }
-        e.listed = m;
-        returning.engine(m);
-        e.withheld = held || returning.withholds(m);
-        return e;
+        engine.listed = member;
+        recovery.engineListed(member);
+        engine.withheld = held || recovery.withholds(member);
+        return engine;
     }
 
     /**
-     * A start that is told as a change was a moment ago, whatever the clocks say: one that is stamped as later than now, or as
-     * too long ago for a change, comes from a clock that has stepped. Taken for warm, a cold engine would be overloaded.
+     * When an engine started. A start that is reported as a change happened a moment ago: a time stamp in the future, or too
+     * old for a change, comes from a clock that was stepped, and now is used instead. A cold engine that is taken for a warm
+     * one would be overloaded.
      */
-    private static double startedAt(FleetEvent.Member m, boolean change, double now) {
-        boolean stepped = m.startedAt() > now || change && now - m.startedAt() > LATEST_NEWS_MS;
-        return m.startedAt() <= 0 ? 0 : stepped ? now : m.startedAt();
+    private static double startedAt(FleetEvent.Member member, boolean change, double now) {
+        boolean clockStepped = member.startedAt() > now || change && now - member.startedAt() > MAX_START_REPORT_DELAY_MS;
+        return member.startedAt() <= 0 ? 0 : clockStepped ? now : member.startedAt();
     }
 
+    /** The number of an id; where another engine has it already, the next free one. */
     private long number(String id) {
-        long h = EngineNumber.of(id);
-        while (engines.containsKey(h) && !engines.get(h).listed.id().equals(id)) {
-            h++;
+        long number = EngineNumber.of(id);
+        while (byNumber.containsKey(number) && !byNumber.get(number).listed.id().equals(id)) {
+            number++;
         }
-        return h;
+        return number;
     }
 
-    private Gateway.Engine word(Engine e) {
-        FleetEvent.Member m = e.listed;
-        EngineState state = switch (m.phase()) {
-            case UP -> e.withheld ? EngineState.DRAINING : EngineState.READY;
+    private Gateway.Engine toGateway(Engine engine) {
+        FleetEvent.Member member = engine.listed;
+        EngineState state = switch (member.phase()) {
+            case UP -> engine.withheld ? EngineState.DRAINING : EngineState.READY;
             case DRAINING -> EngineState.DRAINING;
             case REMOVED -> EngineState.GONE;
         };
-        return new Gateway.Engine(e.number, Math.max(0, site.zones().indexOf(m.zone())),
-                Math.max(0, site.kinds().indexOf(m.kind())), m.cell(), state, m.size(), returning.startedAt(m.id(), e.startedAt));
+        return new Gateway.Engine(engine.number, Math.max(0, settings.zones().indexOf(member.zone())),
+                Math.max(0, settings.kinds().indexOf(member.kind())), member.cell(), state, member.size(),
+                recovery.startedAt(member.id(), engine.startedAt));
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -14,87 +14,88 @@
     /** A client has connected. */
     record CallerConnected(long connection) implements Input { }
 
-    /** A client's connection that was to be closed as idle stays up: something came on it meanwhile. */
+    /** A client's connection that was to be closed as idle stays open, as data had arrived on it in the meantime. */
     record CallerNotClosed(long connection) implements Input { }
 
-    /** A client's request has come whole; {@code receivedAt} is when its last byte did. */
+    /** A client's request is complete; {@code receivedAt} is when its last byte arrived. */
     record RequestReceived(Caller caller, Query query, double receivedAt) implements Input { }
 
-    /** A client has stopped waiting for one request. */
+    /** A client has cancelled one request. */
     record RequestCancelled(Caller caller) implements Input { }
 
-    /** A front connection is over. */
+    /** A client's connection has ended. */
     record CallerDisconnected(long connection) implements Input { }
 
-    /** A client or the front layer asks whether requests can be served. */
+    /** A client or the load balancer in front asks whether requests can be served. */
     record HealthRequested(Caller caller) implements Input { }
 
-    /** A link to an engine is up. */
+    /** A link to an engine is established. */
     record LinkUp(long link) implements Input { }
 
-    /** A link is over, or never came up. */
+    /** A link has ended, or could not be established. */
     record LinkDown(long link, String cause) implements Input { }
 
-    /** An engine has said something. */
+    /** An engine has sent a message. */
     record EngineMessageReceived(long link, EngineMessage message) implements Input { }
 
-    /** An engine's message has begun and not ended, or has ended. */
+    /** A message has arrived in part on a link ({@code pending}), or that message is complete now. */
     record PartialMessage(long link, boolean pending) implements Input { }
 
-    /** An attempt has been written whole. */
+    /** An attempt has been written completely. */
     record SendWritten(AttemptKey key) implements Input { }
 
     /** The cancel of an attempt has been written. */
     record CancelWritten(AttemptKey key) implements Input { }
 
-    /** The change log has answered. */
+    /** The change log has answered a poll with the events up to number {@code seq}. */
     record ChangesReceived(long pollId, long seq, List<FleetEvent> events) implements Input { }
 
-    /** The change log did not answer, or with what can't be read. */
+    /** A poll of the change log had no answer, or one that can't be read. */
     record PollFailed(long pollId, PollFailure failure, String cause) implements Input { }
 
-    /** So many clients' connections may be held from now on; more make room for each other. */
+    /** At most this many client connections may be held from now on; beyond it a new one displaces an unused one. */
     record CallerLimitChanged(int maxCallers) implements Input { }
 
-    /** This process ends at that time whatever is open: each request has its answer by then. */
+    /** The process ends at that time even if requests are open: each must be answered before. */
     record ShutdownScheduled(double time) implements Input { }
 
-    /** Clients have had their time to hear of the end: what still comes is refused, as it never ran. */
+    /** New requests are refused from now on. They have not run, so that clients may repeat them elsewhere. */
     record RefuseNewRequests() implements Input { }
 
-    /** The operators say that the configuration has been replaced. */
+    /** The operators ask for the configuration to be read again (SIGHUP). */
     record ReloadRequested() implements Input { }
 
     /**
-     * The new configuration can be used; {@code changeLog} is where the change log is from now on. The {@code document} is
-     * what it was read from, given back as {@link Effect.ConfigurationAccepted} if it is taken.
+     * The new configuration is valid. The {@code document} is what it was read from; it is handed back in
+     * {@link Effect.ConfigurationAccepted} if this configuration is applied.
      */
-    record ConfigurationLoaded(long reloadId, String changeLogAddress, RoutingSettings settings, Map<String, Object> document) implements Input { }
+    record ConfigurationLoaded(long reloadId, String changeLogAddress, RoutingSettings settings, Map<String, Object> document)
+            implements Input { }
 
     /** The new configuration can't be used. */
     record ConfigurationRejected(long reloadId, String cause) implements Input { }
 
     /**
-     * What is known of the fleet has changed; {@code self} is this instance's name there, and {@code holdMs} how long
-     * fewer must be known before shares grow.
+     * What is known of the fleet has changed; {@code instanceName} is this instance's name there, and {@code shareHoldMs} how
+     * long fewer front ends must be known before this one's share of the engines grows.
      */
     record FleetChanged(FleetView view, String instanceName, double shareHoldMs) implements Input { }
 
-    /** What the folder holds from before; {@code why} it was found so, empty where it is whole. */
+    /** The recovery folder has been read; {@code reason} explains the finding and is empty where the folder is intact. */
     record RecoveryLogRead(Trust.Finding finding, List<Entry> entries, String reason) implements Input { }
 
-    /** What a request waits for has been written; {@code kept} where it is on disk for certain. */
+    /** Writing the entry that a request waits for has ended; {@code durable} where it is certainly on disk. */
     record PersistFinished(long request, boolean durable) implements Input { }
 
-    /** What the fleet has agreed on now, null where nobody could say. */
+    /** The state that the fleet has agreed on, null where it could not be read. */
     record FleetStateReceived(Snapshot state) implements Input { }
 
-    /** Staff have looked into a load that was in doubt. */
+    /** The operators have dealt with a load that may have run before a power loss. */
     record LoadAcknowledged(String txn) implements Input { }
 
-    /** Staff say that an engine which takes nothing since a loss takes work again. */
+    /** The operators allow new work on an engine that was withheld after a power loss. */
     record EngineAllowed(String engine) implements Input { }
 
-    /** A timer came due. */
+    /** A timer has fired. */
     record TimerFired(TimerKey key) implements Input { }
 }
--- a/frontend/src/main/java/quincespar/routing/Link.java
+++ b/frontend/src/main/java/quincespar/routing/Link.java
@@ -5,30 +5,31 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A connection to an engine as the reducer sees it: what is open on it, by the engine's name for it. */
+/** A connection to an engine, with its open attempts by the engine's name for their requests. */
 final class Link {
     final long id;
     final EngineRegistry.Engine engine;
-    final double dialledAt;
+    final double openedAt;
     final Map<String, Attempt> open = new LinkedHashMap<>();
     final Set<String> probes = new HashSet<>();
-    /** Requests that were given up here: a late answer to one would pass for an answer to its next attempt. */
-    final Set<String> abandoned = new HashSet<>();
-    /** Requests that had their last word here: it may be said again, and would pass for that of their next attempt. */
+    /** Requests of which an attempt was cancelled here: its late answer would be taken for one to the next attempt. */
+    final Set<String> cancelled = new HashSet<>();
+    /** Requests of which an attempt was answered here: a repeated answer would be taken for one to the next attempt. */
     final Set<String> answered = new HashSet<>();
     boolean up;
+    /** An attempt was cancelled here, and the link had been silent since that attempt was made: it may be broken. */
     boolean suspect;
-    double heardAt;
+    double lastHeardAt;
 
     Link(long id, EngineRegistry.Engine engine, double now) {
         this.id = id;
         this.engine = engine;
-        dialledAt = now;
+        openedAt = now;
     }
 
-    /** Nothing of a request is out any more. */
+    /** Forgets a request of which no attempt is open any more. */
     void forget(String txn) {
-        abandoned.remove(txn);
+        cancelled.remove(txn);
         answered.remove(txn);
     }
 
--- a/frontend/src/main/java/quincespar/routing/Links.java
+++ b/frontend/src/main/java/quincespar/routing/Links.java
@@ -6,201 +6,211 @@
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Outcome;
 
-/** Connections to engines: which carries what, when one ends, and the probes on them. */
+/** Links to engines: which link carries which attempt, when a link ends, and the probes on them. */
 final class Links {
-    /** How the cause of a link's end begins where what the engine said made no sense. */
+    /** Prefix of the cause of a link's end where the engine sent something invalid. */
     static final String MALFORMED = "malformed: ";
-    private static final double LEAST_CONNECT = 50;
-    private static final double PROBE = 250;
-    /** Links are closed here well before their engines close them, so that no send meets such a close. */
+    private static final double MIN_CONNECT_TIMEOUT_MS = 50;
+    private static final double PROBE_TIMEOUT_MS = 250;
+    /** Links are closed here well before their engines close them as idle, so that no attempt meets such a close. */
     private static final double IDLE_SHARE = 0.6;
-    private static final double SUSPECT = 2000;
+    private static final double SUSPECT_IDLE_MS = 2000;
 
     private final Map<Long, Link> byId = new LinkedHashMap<>();
-    private final Map<String, Link> probes = new LinkedHashMap<>();
-    private final StepContext turn;
+    private final Map<String, Link> byProbe = new LinkedHashMap<>();
+    private final StepContext context;
     private final Bounds bounds;
     private final Attempts attempts;
-    private final EngineRegistry fleet;
-    private final AttemptCounters tally;
-    /** Whether an engine's answer has ever come spoilt: it may again. */
-    private boolean spoilt;
+    private final EngineRegistry engines;
+    private final AttemptCounters counters;
+    /** Whether any engine has ever sent a malformed answer: it may happen again. */
+    private boolean seenMalformed;
 
-    Links(StepContext turn, Bounds bounds, Attempts attempts, EngineRegistry fleet, AttemptCounters tally) {
-        this.turn = turn;
+    Links(StepContext context, Bounds bounds, Attempts attempts, EngineRegistry engines, AttemptCounters counters) {
+        this.context = context;
         this.bounds = bounds;
         this.attempts = attempts;
-        this.fleet = fleet;
-        this.tally = tally;
+        this.engines = engines;
+        this.counters = counters;
     }
 
     Link get(long id) {
         return byId.get(id);
     }
 
-    void held(Map<String, Integer> out) {
+    void addRetainedCounts(Map<String, Integer> out) {
         out.put("held.links", byId.size());
-        out.put("held.probes", probes.size());
+        out.put("held.probes", byProbe.size());
     }
 
-    void up(long id) {
-        up(byId.get(id));
-    }
-
-    /** It is over, or never came up. */
+    /** A link has ended, or could not be established. */
     void down(long id, String cause) {
-        Link l = byId.get(id);
-        if (l != null && !l.up) {
-            tally.engine(l.engine.listed.id(), "refused");
+        Link link = byId.get(id);
+        if (link != null && !link.up) {
+            counters.countAtEngine(link.engine.listed.id(), "refused");
         }
-        down(l, cause);
+        down(link, cause);
     }
 
-    /** An engine's message on it has begun and not ended, or has ended. */
-    void midway(long id, boolean unfinished) {
-        if (byId.containsKey(id) && unfinished) {
-            turn.timer(new TimerKey.PartialMessage(id), bounds.partialMessageMs());
+    /** A message has arrived in part on a link ({@code pending}), or is complete now. */
+    void partialMessage(long id, boolean pending) {
+        if (byId.containsKey(id) && pending) {
+            context.startTimer(new TimerKey.PartialMessage(id), bounds.partialMessageMs());
         } else if (byId.containsKey(id)) {
-            turn.stop(new TimerKey.PartialMessage(id));
+            context.stopTimer(new TimerKey.PartialMessage(id));
         }
     }
 
-    /** What has begun ought to be whole by now; what else is open there waits in vain. */
-    void midwayDue(long id) {
+    /** The rest of a message has not come in time; it blocks the answers to all else that is open on its link. */
+    void partialMessageTimedOut(long id) {
         if (byId.containsKey(id)) {
-            drop(byId.get(id), MALFORMED + "an answer that stopped short");
+            close(byId.get(id), MALFORMED + "incomplete message");
         }
     }
 
-    /** It ought to be up by now. */
-    void connectDue(long id) {
-        Link l = byId.get(id);
-        if (l != null && !l.up) {
-            drop(l, "no connection in time");
+    /** A link must be established by now. */
+    void connectTimedOut(long id) {
+        Link link = byId.get(id);
+        if (link != null && !link.up) {
+            close(link, "no connection in time");
         }
     }
 
-    /** It has carried nothing for a while. */
-    void idleDue(long id) {
-        Link l = byId.get(id);
-        if (l != null && l.idle()) {
-            drop(l, "idle");
+    /** A link has had nothing open for too long. */
+    void idleTimedOut(long id) {
+        Link link = byId.get(id);
+        if (link != null && link.idle()) {
+            close(link, "idle");
         }
     }
 
     /**
-     * The least used link that may carry this request, or a new one; null where the engine has enough of them.
-     * An engine reads its connections in any order: sent on another than its cancel, a request given up there
-     * could come in before that cancel and be a second copy. So it stays on that link. One that was answered there
-     * goes on another: engines have been seen to answer twice, and the second answer would end the next attempt.
+     * The least used link that may carry this request, or a new one; null where the engine has the maximum of links.
      *
-     * A link that ends takes all that is open on it along, and an answer that arrives spoilt ends it. So few share
-     * one while others are to be had, and what may not run twice goes alone, as it would be lost; but only once an
-     * answer has come spoilt: over a large fleet that is nearly twice the links, and each costs a handshake.
+     * <p>An engine reads its links in any order. If a request was cancelled on a link and its next attempt went out on
+     * another, the engine could see the attempt before the cancel and run both; so the attempt stays on that link. If a
+     * request was answered on a link, its next attempt uses another: engines may send an answer twice, and the second one
+     * would end that attempt.
+     *
+     * <p>A link that ends takes all attempts on it along, and a malformed answer ends its link. So few requests share a link
+     * while the engine may have more links, and a request that must not run twice has one to itself, as it would be lost;
+     * but only once an answer has been malformed, as in a large fleet this nearly doubles the links, and each costs a
+     * handshake.
      */
-    Link link(EngineRegistry.Engine e, String txn, boolean alone) {
+    Link select(EngineRegistry.Engine engine, String txn, boolean exclusive) {
         Link best = null;
-        for (Link l : e.links) {
-            boolean usable = l.open.size() < turn.site.maxStreamsPerLink() && !l.open.containsKey(txn);
-            if (usable && l.abandoned.contains(txn)) {
-                return l;
+        for (Link link : engine.links) {
+            boolean usable = link.open.size() < context.settings.maxStreamsPerLink() && !link.open.containsKey(txn);
+            if (usable && link.cancelled.contains(txn)) {
+                return link;
             }
-            if (usable && !l.suspect && !l.answered.contains(txn) && (best == null || shared(l) < shared(best))) {
-                best = l;
+            if (usable && !link.suspect && !link.answered.contains(txn)
+                    && (best == null || sharing(link) < sharing(best))) {
+                best = link;
             }
         }
-        if ((best == null || shared(best) >= (alone && spoilt ? 1 : bounds.maxSharedPerLink()))
-                && e.links.size() < bounds.maxLinksPerEngine()) {
-            best = new Link(turn.number(), e, turn.now);
-            e.links.add(best);
-            byId.put(best.id, best);
-            tally.engine(e.listed.id(), "links");
-            turn.effect(new Effect.OpenLink(best.id, e.listed.address()));
-            turn.timer(new TimerKey.ConnectTimeout(best.id), Math.max(LEAST_CONNECT,
-                    turn.site.decision().limits().connectTimeout()));
+        if ((best == null || sharing(best) >= (exclusive && seenMalformed ? 1 : bounds.maxSharedPerLink()))
+                && engine.links.size() < bounds.maxLinksPerEngine()) {
+            best = open(engine);
         }
         if (best != null) {
-            turn.stop(new TimerKey.LinkIdle(best.id));
+            context.stopTimer(new TimerKey.LinkIdle(best.id));
         }
         return best;
     }
 
-    /** How much is lost if the link ends; one that carries what may not run twice is full. */
-    private int shared(Link l) {
-        boolean dear = spoilt && l.open.values().stream().anyMatch(a -> a.request.unsafe());
-        return l.open.size() + (dear ? bounds.maxSharedPerLink() : 0);
+    private Link open(EngineRegistry.Engine engine) {
+        Link link = new Link(context.nextId(), engine, context.now);
+        engine.links.add(link);
+        byId.put(link.id, link);
+        counters.countAtEngine(engine.listed.id(), "links");
+        context.addEffect(new Effect.OpenLink(link.id, engine.listed.address()));
+        context.startTimer(new TimerKey.ConnectTimeout(link.id), Math.max(MIN_CONNECT_TIMEOUT_MS,
+                context.settings.decision().limits().connectTimeout()));
+        return link;
     }
 
-    private void up(Link l) {
-        if (l != null) {
-            l.up = true;
-            l.heardAt = turn.now;
-            fleet.met(l.engine);
-            turn.stop(new TimerKey.ConnectTimeout(l.id));
-            List.copyOf(l.open.values()).forEach(attempts::write);
-            l.probes.forEach(tag -> turn.effect(new Effect.Probe(l.id, tag)));
-            rest(l);
-        }
+    /** How many requests share a link; one with a request that must not run twice counts as full. */
+    private int sharing(Link link) {
+        boolean reserved = seenMalformed && link.open.values().stream().anyMatch(a -> a.request.unsafe());
+        return link.open.size() + (reserved ? bounds.maxSharedPerLink() : 0);
     }
 
-    /** Each attempt ends by its proof: nothing written never ran, all else may have run. */
-    void down(Link l, String why) {
-        spoilt |= why.startsWith(MALFORMED);
-        if (l == null) {
+    /** A link is established: what was queued for it is written. */
+    void up(long id) {
+        Link link = byId.get(id);
+        if (link != null) {
+            link.up = true;
+            link.lastHeardAt = context.now;
+            engines.reached(link.engine);
+            context.stopTimer(new TimerKey.ConnectTimeout(link.id));
+            List.copyOf(link.open.values()).forEach(attempts::write);
+            link.probes.forEach(tag -> context.addEffect(new Effect.Probe(link.id, tag)));
+            startIdleTimer(link);
+        }
+    }
+
+    /** Ends the attempts on a link: those of which nothing was written have not run, all others may have. */
+    private void down(Link link, String cause) {
+        seenMalformed |= cause.startsWith(MALFORMED);
+        if (link == null) {
             return;
         }
-        byId.remove(l.id);
-        l.engine.links.remove(l);
-        turn.stop(new TimerKey.ConnectTimeout(l.id));
-        turn.stop(new TimerKey.LinkIdle(l.id));
-        turn.stop(new TimerKey.PartialMessage(l.id));
-        for (Attempt a : List.copyOf(l.open.values())) {
-            if (!attempts.withdraw(a, Outcome.CONNECT_FAILED)) {
-                attempts.end(a, a.givenUp != null ? a.givenUp : a.done() ? Outcome.ERROR : Outcome.RESET);
+        byId.remove(link.id);
+        link.engine.links.remove(link);
+        context.stopTimer(new TimerKey.ConnectTimeout(link.id));
+        context.stopTimer(new TimerKey.LinkIdle(link.id));
+        context.stopTimer(new TimerKey.PartialMessage(link.id));
+        for (Attempt attempt : List.copyOf(link.open.values())) {
+            if (!attempts.withdraw(attempt, Outcome.CONNECT_FAILED)) {
+                attempts.end(attempt, attempt.cancelOutcome != null ? attempt.cancelOutcome
+                        : attempt.done() ? Outcome.ERROR : Outcome.RESET);
             }
         }
-        List.copyOf(l.probes).forEach(tag -> probed(tag, false, List.of()));
-        fleet.tidy();
+        List.copyOf(link.probes).forEach(tag -> probeEnded(tag, false, List.of()));
+        engines.dropRemoved();
     }
 
-    void drop(Link l, String why) {
-        if (!l.up) {
-            tally.engine(l.engine.listed.id(), "unreached");
+    void close(Link link, String cause) {
+        if (!link.up) {
+            counters.countAtEngine(link.engine.listed.id(), "unreached");
         }
-        turn.effect(new Effect.CloseLink(l.id, why));
-        down(l, why);
+        context.addEffect(new Effect.CloseLink(link.id, cause));
+        down(link, cause);
     }
 
-    /** A link with nothing open waits for the next send for a while, or closes where none will come. */
-    void rest(Link l) {
-        if (!l.idle() || !byId.containsKey(l.id)) {
+    /** Closes a link that has nothing open once it has been idle for a while. */
+    void startIdleTimer(Link link) {
+        if (!link.idle() || !byId.containsKey(link.id)) {
             return;
         }
-        // a suspect one stays for a retry of what was cancelled there, which must come in behind its cancel
-        turn.timer(new TimerKey.LinkIdle(l.id), l.suspect ? SUSPECT : IDLE_SHARE * turn.site.linkIdleMs());
+        // a suspect link is kept for the retry of a request that was cancelled there, which must follow its cancel
+        context.startTimer(new TimerKey.LinkIdle(link.id),
+                link.suspect ? SUSPECT_IDLE_MS : IDLE_SHARE * context.settings.linkIdleMs());
     }
 
-    void probe(EngineRegistry.Engine e) {
-        Link l = e == null ? null : link(e, "", false);
-        String tag = "p" + turn.number();
-        if (l == null) {
+    void probe(EngineRegistry.Engine engine) {
+        Link link = engine == null ? null : select(engine, "", false);
+        String tag = "p" + context.nextId();
+        if (link == null) {
             return;
         }
-        l.probes.add(tag);
-        probes.put(tag, l);
-        turn.timer(new TimerKey.ProbeTimeout(tag), PROBE);
-        if (l.up) {
-            turn.effect(new Effect.Probe(l.id, tag));
+        link.probes.add(tag);
+        byProbe.put(tag, link);
+        context.startTimer(new TimerKey.ProbeTimeout(tag), PROBE_TIMEOUT_MS);
+        if (link.up) {
+            context.addEffect(new Effect.Probe(link.id, tag));
         }
     }
 
-    void probed(String tag, boolean fit, List<Double> load) {
-        Link l = probes.remove(tag);
-        if (l != null) {
-            l.probes.remove(tag);
-            turn.stop(new TimerKey.ProbeTimeout(tag));
-            turn.event(new Gateway.Probed(l.engine.number, fit, 0, load));
-            rest(l);
+    /** A probe was answered, or failed. */
+    void probeEnded(String tag, boolean healthy, List<Double> load) {
+        Link link = byProbe.remove(tag);
+        if (link != null) {
+            link.probes.remove(tag);
+            context.stopTimer(new TimerKey.ProbeTimeout(tag));
+            context.addEvent(new Gateway.Probed(link.engine.number, healthy, 0, load));
+            startIdleTimer(link);
         }
     }
 }
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -6,44 +6,46 @@
 import quincespar.decision.Gateway.Effect;
 import quincespar.decision.Gateway.Scope;
 
-/** A request that was taken, until it is answered and nothing of it is out. */
+/** A request from its arrival until it is answered and none of its attempts is open. */
 final class OpenRequest {
     final long id;
     final Caller caller;
     final Query query;
-    /** The terms of its class as they stood when it was taken; they are its own to the end. */
+    /** The settings of its class when it arrived; they hold for this request until its end. */
     final ClassSpec spec;
-    /** The module's deadline: the client's, less the time it takes to write an answer. */
-    final double until;
+    /** The decision module's deadline: the client's, less the time that it takes to deliver an answer. */
+    final double deadline;
     /** The last moment for an answer of any kind. */
-    final double last;
+    final double answerDeadline;
     final List<Attempt> attempts = new ArrayList<>(1);
-    boolean over;
-    /** It waits until it is on disk that it may run; the module has not heard of it. */
-    boolean parked;
+    /** It has been answered, or its client has left. */
+    boolean closed;
+    /** It waits for its recovery entry to be on disk; the decision module has not been told of it. */
+    boolean awaitingDisk;
 
-    OpenRequest(long id, Caller caller, Query query, ClassSpec spec, double until, double last) {
+    OpenRequest(long id, Caller caller, Query query, ClassSpec spec, double deadline, double answerDeadline) {
         this.id = id;
         this.caller = caller;
         this.query = query;
         this.spec = spec;
-        this.until = until;
-        this.last = last;
+        this.deadline = deadline;
+        this.answerDeadline = answerDeadline;
     }
 
+    /** Whether it must not run twice. */
     boolean unsafe() {
         return spec.effect() == Effect.UNSAFE;
     }
 
-    /** Whether its client may be told that a repeat is harmless. */
+    /** Whether it may be refused, which tells its client that a retry is safe. */
     boolean refusable() {
         return spec.effect() == Effect.SAFE || spec.effect() == Effect.KEYED && spec.scope() == Scope.ALL || !mayHaveRun();
     }
 
-    /** When a further attempt must have begun at the latest, as a repeat is discarded only within its class's window. */
-    double beginBy() {
+    /** Until when a further attempt may start: engines drop a repeat of a keyed request only within its class's window. */
+    double startDeadline() {
         return spec.effect() != Effect.KEYED ? Double.POSITIVE_INFINITY : attempts.stream()
-                .filter(a -> a.outcome == null || !a.outcome.neverRan).mapToDouble(a -> a.at + spec.repeatWindow())
+                .filter(a -> a.outcome == null || !a.outcome.neverRan).mapToDouble(a -> a.createdAt + spec.repeatWindow())
                 .min().orElse(Double.POSITIVE_INFINITY);
     }
 
--- a/frontend/src/main/java/quincespar/routing/PeerShares.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -3,19 +3,23 @@
 import quincespar.fleet.FleetView;
 import quincespar.fleet.Shares;
 
-/** What is known of the other front ends, and among how many of them the engines are shared; nothing while there is no fleet. */
+/**
+ * The number of front ends that share the engines, and this one's place among them. They come from the configuration, or
+ * from the fleet once anything is known of it.
+ */
 final class PeerShares {
+    /** Null while nothing is known of the fleet. */
     private Shares shares;
     private RoutingSettings configured;
     private FleetView view = FleetView.NONE;
-    private String self = "";
+    private String instanceName = "";
 
-    PeerShares(RoutingSettings site) {
-        configured = site;
+    PeerShares(RoutingSettings configured) {
+        this.configured = configured;
     }
 
     /** These settings are configured from now on. */
-    void configured(RoutingSettings next) {
+    void configure(RoutingSettings next) {
         if (shares != null && (next.decision().routers() != configured.decision().routers()
                 || next.decision().me() != configured.decision().me())) {
             shares = new Shares(next.decision().routers(), next.decision().me(), shares.holdMs());
@@ -23,28 +27,28 @@
         configured = next;
     }
 
-    /** The configured settings, among as many as are known to be there. */
-    RoutingSettings site() {
-        return shares == null ? configured : configured.among(shares.share().among(), shares.share().place());
+    /** The configured settings, with the number of front ends that is in force now. */
+    RoutingSettings settings() {
+        return shares == null ? configured : configured.sharedAmong(shares.share().among(), shares.share().place());
     }
 
-    /** News of the fleet. */
-    void take(double now, Input.FleetChanged news) {
+    /** What is known of the fleet has changed. */
+    void fleetChanged(double now, Input.FleetChanged change) {
         if (shares == null) {
-            shares = new Shares(configured.decision().routers(), configured.decision().me(), news.shareHoldMs());
+            shares = new Shares(configured.decision().routers(), configured.decision().me(), change.shareHoldMs());
         }
-        view = news.view();
-        self = news.instanceName();
-        shares.step(now, view, self);
+        view = change.view();
+        instanceName = change.instanceName();
+        shares.step(now, view, instanceName);
     }
 
-    /** Time has passed without news. */
-    void due(double now) {
-        shares.step(now, view, self);
+    /** Time has passed without a change of the fleet. */
+    void timerFired(double now) {
+        shares.step(now, view, instanceName);
     }
 
-    /** When {@link #due} is to be called, in milliseconds from {@code now}; infinite where not. */
-    double dueMs(double now) {
+    /** In how many milliseconds {@link #timerFired} is to be called; infinite where not. */
+    double timerDelayMs(double now) {
         return shares == null ? Double.POSITIVE_INFINITY : shares.dueMs(now);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
@@ -13,199 +13,210 @@
 import quincespar.recovery.Recovery.Source;
 import quincespar.recovery.Terms;
 
-/** The reducer's holder of a return from a loss of power: carries out what {@link Recovery} wants. Where there is none, nothing is held back. */
+/**
+ * Connects the reducer to the {@link Recovery} from a power loss: passes on what happens, and carries out what it asks for.
+ * Where recovery is off, nothing is held back or persisted.
+ */
 final class RecoveryCoordinator {
     private static final int DIGEST_BYTES = 8;
 
-    private final StepContext turn;
-    /** Null where nothing of this is on. */
+    private final StepContext context;
+    /** Null where recovery is off. */
     private final Recovery recovery;
-    private final boolean notesLoads;
+    private final boolean persistsLoads;
     private Source source = Source.SNAPSHOT;
     private boolean relist;
-    private boolean news = true;
-    private long unkept;
+    private boolean reportOutdated = true;
+    private long unpersistedLoads;
     private RecoveryReport report;
 
-    RecoveryCoordinator(StepContext turn, Recovery recovery, boolean notesLoads) {
-        this.turn = turn;
+    RecoveryCoordinator(StepContext context, Recovery recovery, boolean persistsLoads) {
+        this.context = context;
         this.recovery = recovery;
-        this.notesLoads = notesLoads;
+        this.persistsLoads = persistsLoads;
     }
 
-    /** Classes as a return needs them. */
-    static List<Terms> terms(RoutingSettings site) {
-        return site.decision().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(),
-                c.aim())).toList();
+    /** What recovery needs to know of the classes in these settings. */
+    static List<Terms> terms(RoutingSettings settings) {
+        return settings.decision().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(),
+                c.worth(), c.aim())).toList();
     }
 
-    boolean on() {
+    private boolean enabled() {
         return recovery != null;
     }
 
     private void perform(List<Act> acts) {
         for (Act act : acts) {
-            // what one load goes through changes nothing that is told: a list of doubts must not be copied for each
-            news |= !(act instanceof Act.Keep k && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
+            // the course of a single load is not reported, so that the list of doubtful loads is not copied for each
+            reportOutdated |= !(act instanceof Act.Keep k
+                    && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
             if (act instanceof Act.Await a) {
-                turn.timer(new TimerKey.Recovery(a.number()), a.ms());
+                context.startTimer(new TimerKey.Recovery(a.number()), a.ms());
             } else if (act instanceof Act.AskFleet) {
-                turn.effect(new Effect.FetchFleetState());
+                context.addEffect(new Effect.FetchFleetState());
             } else if (act instanceof Act.Keep a) {
-                turn.effect(new Effect.PersistEntry(a.entry(), 0));
+                context.addEffect(new Effect.PersistEntry(a.entry(), 0));
             } else if (act instanceof Act.Say a) {
-                turn.effect(new Effect.Log("recovery: " + a.line()));
+                context.addEffect(new Effect.Log("recovery: " + a.line()));
             } else if (act instanceof Act.Relist) {
                 relist = true;
             }
         }
     }
 
-    void start(boolean beside) {
-        if (on()) {
-            perform(recovery.start(turn.now, beside));
+    void start(boolean besideOlderProcess) {
+        if (enabled()) {
+            perform(recovery.start(context.now, besideOlderProcess));
         }
     }
 
-    void read(Input.RecoveryLogRead x) {
-        perform(recovery.read(turn.now, x.finding(), x.entries(), x.reason()));
+    void logRead(Input.RecoveryLogRead input) {
+        perform(recovery.read(context.now, input.finding(), input.entries(), input.reason()));
     }
 
-    void agreed(Input.FleetStateReceived x) {
-        perform(recovery.agreed(turn.now, x.state()));
+    void fleetStateReceived(Input.FleetStateReceived input) {
+        perform(recovery.agreed(context.now, input.state()));
     }
 
-    void due(long number) {
-        perform(recovery.due(turn.now, number));
+    void timerFired(long number) {
+        perform(recovery.due(context.now, number));
     }
 
-    void fleet(FleetView view) {
-        if (on()) {
-            perform(recovery.fleet(turn.now, view));
+    void fleetChanged(FleetView view) {
+        if (enabled()) {
+            perform(recovery.fleet(context.now, view));
         }
     }
 
-    void classes(RoutingSettings site) {
-        if (on()) {
-            recovery.classes(terms(site));
-            news = true;
+    void setClasses(RoutingSettings settings) {
+        if (enabled()) {
+            recovery.classes(terms(settings));
+            reportOutdated = true;
         }
     }
 
-    /** The change log has answered whole; what it tells from now on is news. */
-    void answered() {
-        if (on() && source == Source.SNAPSHOT) {
+    /** The change log has answered: what it reports from now on is newer than the start of this process. */
+    void changeLogAnswered() {
+        if (enabled() && source == Source.SNAPSHOT) {
             source = Source.NEWS;
-            perform(recovery.answered(turn.now));
+            perform(recovery.answered(context.now));
         }
     }
 
-    /** Whether the list is to be told anew; asked once. */
-    boolean relists() {
-        boolean out = relist;
+    /** Whether the list of engines must be passed to the module again; true once for each time that it must. */
+    boolean takeRelist() {
+        boolean taken = relist;
         relist = false;
-        return out;
+        return taken;
     }
 
-    /** The list has this of an engine. */
-    void engine(FleetEvent.Member m) {
-        if (on()) {
-            perform(recovery.engine(source, m.id(), m.phase() == FleetEvent.Phase.UP, m.startedAt()));
+    /** The change log, or the list of the start, has reported an engine. */
+    void engineListed(FleetEvent.Member member) {
+        if (enabled()) {
+            perform(recovery.engine(source, member.id(), member.phase() == FleetEvent.Phase.UP, member.startedAt()));
         }
     }
 
-    boolean withholds(FleetEvent.Member m) {
-        return on() && recovery.withholds(m.id());
+    /** Whether an engine gets no work although it is listed as up. */
+    boolean withholds(FleetEvent.Member member) {
+        return enabled() && recovery.withholds(member.id());
     }
 
+    /** Since when an engine counts as started: after a power loss perhaps later than the change log says. */
     double startedAt(String id, double startedAt) {
-        return on() ? recovery.coldFrom(id, startedAt) : startedAt;
+        return enabled() ? recovery.coldFrom(id, startedAt) : startedAt;
     }
 
-    /** A connection to it has come up. */
-    void met(FleetEvent.Member m) {
-        if (on()) {
-            perform(recovery.met(turn.now, m.id()));
+    /** A link to an engine has been established. */
+    void engineReached(FleetEvent.Member member) {
+        if (enabled()) {
+            perform(recovery.met(context.now, member.id()));
         }
     }
 
     /** Whether anything may be sent yet. */
     boolean maySend() {
-        return !on() || recovery.maySend();
+        return !enabled() || recovery.maySend();
     }
 
-    /** What a request that may not go yet is told: when to come back, as far as the settings let a client be told; NaN where it may go. */
-    double turnsAway(Query q) {
-        double wait = on() ? recovery.waitMs(turn.now, q.classNumber(), q.tables()) : 0;
-        if (wait <= 0) {
+    /**
+     * The retry delay in milliseconds for a request that may not be sent yet, 0 where the settings allow none to be told; NaN
+     * where the request may be sent.
+     */
+    double refusalRetryAfterMs(Query query) {
+        double waitMs = enabled() ? recovery.waitMs(context.now, query.classNumber(), query.tables()) : 0;
+        if (waitMs <= 0) {
             return Double.NaN;
         }
-        Gateway.Limits l = turn.site.decision().limits();
-        double back = recovery.comeBackMs(wait, q.txn());
-        return !l.retryAfter() ? 0 : l.maxRetryAfter() > 0 ? Math.min(back, l.maxRetryAfter()) : back;
+        Gateway.Limits limits = context.settings.decision().limits();
+        double retryAfterMs = recovery.comeBackMs(waitMs, query.txn());
+        return !limits.retryAfter() ? 0
+                : limits.maxRetryAfter() > 0 ? Math.min(retryAfterMs, limits.maxRetryAfter()) : retryAfterMs;
     }
 
-    /** Whether it is to be on disk before such a request can go that it may run. */
-    boolean notes(OpenRequest r) {
-        return on() && notesLoads && r.unsafe();
+    /** Whether the start of such a request must be on disk before it is sent. */
+    boolean persists(OpenRequest request) {
+        return enabled() && persistsLoads && request.unsafe();
     }
 
-    /** It may run once {@link Input.PersistFinished} has come for it. */
-    void begins(OpenRequest r) {
-        Query q = r.query;
-        Entry.Begun e = recovery.begun(q.txn(), q.classNumber(), turn.site.decision().tenants().get(q.tenantNumber()).name(), digest(q.statement()), q.tables(),
-                q.timeoutMs(), Math.round(turn.now));
-        recovery.note(e); // the effect below carries it, with who waits for it
-        turn.effect(new Effect.PersistEntry(e, r.id));
+    /** Writes that a request may run from now on; it may be sent after {@link Input.PersistFinished}. */
+    void persistStart(OpenRequest request) {
+        Query query = request.query;
+        Entry.Begun entry = recovery.begun(query.txn(), query.classNumber(),
+                context.settings.decision().tenants().get(query.tenantNumber()).name(), digest(query.statement()), query.tables(),
+                query.timeoutMs(), Math.round(context.now));
+        recovery.note(entry); // its acts are not needed: the effect below writes the entry and names the request that waits
+        context.addEffect(new Effect.PersistEntry(entry, request.id));
     }
 
     private static String digest(byte[] statement) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(statement), 0, DIGEST_BYTES);
-        } catch (NoSuchAlgorithmException e) { // every platform has it
+        } catch (NoSuchAlgorithmException e) { // every Java platform has it
             throw new IllegalStateException(e);
         }
     }
 
-    void sent(OpenRequest r, EngineRegistry.Engine e) {
-        if (notes(r)) {
-            perform(recovery.note(new Entry.SentTo(r.query.txn(), e.listed.id())));
+    void requestSent(OpenRequest request, EngineRegistry.Engine engine) {
+        if (persists(request)) {
+            perform(recovery.note(new Entry.SentTo(request.query.txn(), engine.listed.id())));
         }
     }
 
-    /** Its client has its answer and nothing of it is out. */
-    void ended(OpenRequest r) {
-        if (notes(r)) {
-            perform(recovery.note(new Entry.Ended(r.query.txn())));
+    /** A request is closed and has no open attempt. */
+    void requestEnded(OpenRequest request) {
+        if (persists(request)) {
+            perform(recovery.note(new Entry.Ended(request.query.txn())));
         }
     }
 
-    /** Whether what was noted is on disk; where the disk refuses, service goes on and the list of doubts is not whole. */
-    void noted(boolean kept) {
-        unkept += kept ? 0 : 1;
-        news |= !kept;
+    /** An entry was written, or could not be: then service goes on, and the list of doubtful loads is incomplete. */
+    void persistFinished(boolean durable) {
+        unpersistedLoads += durable ? 0 : 1;
+        reportOutdated |= !durable;
     }
 
-    /** Staff have looked into a load that was in doubt. */
-    void acknowledged(String txn) {
-        if (on()) {
+    /** The operators have dealt with a doubtful load. */
+    void loadAcknowledged(String txn) {
+        if (enabled()) {
             perform(recovery.note(new Entry.Acknowledged(txn)));
         }
     }
 
-    /** Staff say that an engine takes work again. */
-    void allowed(String engine) {
-        if (on()) {
+    /** The operators allow new work on an engine. */
+    void engineAllowed(String engine) {
+        if (enabled()) {
             perform(recovery.note(new Entry.Back(engine)));
             relist = true;
         }
     }
 
-    /** As it stands; the same object while nothing has changed. Null where nothing of this is on. */
+    /** The state of the recovery; the same object while nothing has changed, null where recovery is off. */
     RecoveryReport report() {
-        if (on() && news) {
-            news = false;
-            report = new RecoveryReport(recovery.view(turn.now), List.copyOf(recovery.kept().doubtful()), unkept);
+        if (enabled() && reportOutdated) {
+            reportOutdated = false;
+            report = new RecoveryReport(recovery.view(context.now), List.copyOf(recovery.kept().doubtful()), unpersistedLoads);
         }
         return report;
     }
--- a/frontend/src/main/java/quincespar/routing/RecoveryReport.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryReport.java
@@ -5,9 +5,9 @@
 import quincespar.recovery.Recovery;
 
 /**
- * Where a return from a loss of power stands.
+ * The state of the recovery from a power loss.
  *
- * @param doubtful loads that may have run before the loss
- * @param unkept loads that went out though the disk did not take that they may run
+ * @param doubtfulLoads    loads that may have run before the loss
+ * @param unpersistedLoads how many loads were sent although their entry could not be written to disk
  */
 public record RecoveryReport(Recovery.View view, List<Kept.Load> doubtfulLoads, long unpersistedLoads) { }
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -5,219 +5,229 @@
 import java.util.Map;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Action;
-import quincespar.metrics.MetricsSnapshot;
 import quincespar.metrics.MetricsRecorder;
+import quincespar.metrics.MetricsSnapshot;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.Recovery;
 import quincespar.recovery.Terms;
 
 /**
- * The one place where inputs are handed on to who holds the state that they change ({@link Requests}, {@link Attempts},
- * {@link Links}, {@link ClusterState}): tells the module of them as its events, turns the module's actions into effects. It
- * decides nothing that the module decides; it keeps the rules that need sockets to be seen. One thread calls it, and it
- * does no reading or writing itself.
+ * The only place where inputs change state. It passes each {@link Input} to the part of the state that it concerns
+ * ({@link Requests}, {@link Attempts}, {@link Links}, {@link ClusterState}), hands the events that result to the decision
+ * module, and turns the module's actions into {@link Effect}s. It decides nothing that is the module's to decide, but keeps
+ * the rules that depend on the state of connections. It is used by one thread and does no I/O.
  */
 public final class Reducer {
-    private final StepContext turn;
+    private final StepContext context;
     private final Gateway gateway;
-    private final EngineRegistry fleet;
+    private final EngineRegistry engines;
     private final Requests requests;
     private final Attempts attempts;
     private final Links links;
-    private final ClusterState roster;
-    private final RecoveryCoordinator returning;
-    private final AttemptCounters tally = new AttemptCounters();
-    private final MetricsRecorder ledger = new MetricsRecorder();
+    private final ClusterState cluster;
+    private final RecoveryCoordinator recovery;
+    private final AttemptCounters counters = new AttemptCounters();
+    private final MetricsRecorder metrics = new MetricsRecorder();
     private double decidedAt;
-    private boolean tickAsked;
+    private boolean tickScheduled;
 
-    /** A reducer round one module. */
-    public Reducer(RoutingSettings site, Bounds bounds, Gateway gateway) {
-        this(site, bounds, gateway, null, false);
+    /** A reducer without recovery from power losses. */
+    public Reducer(RoutingSettings settings, Bounds bounds, Gateway gateway) {
+        this(settings, bounds, gateway, null, false);
     }
 
-    /** One that returns from a loss of power, null where none is looked for; {@code notesLoads} where loads wait for the disk. */
-    public Reducer(RoutingSettings site, Bounds bounds, Gateway gateway, Recovery recovery, boolean notesLoads) {
+    /**
+     * A reducer with recovery from power losses.
+     *
+     * @param recovery      null for none
+     * @param persistsLoads whether loads are sent only once an entry of them is on disk
+     */
+    public Reducer(RoutingSettings settings, Bounds bounds, Gateway gateway, Recovery recovery, boolean persistsLoads) {
         this.gateway = gateway;
-        turn = new StepContext(site);
-        returning = new RecoveryCoordinator(turn, recovery, notesLoads);
-        fleet = new EngineRegistry(site, returning);
-        ledger.classes(site.classNames());
-        requests = new Requests(turn, bounds, ledger, returning);
-        attempts = new Attempts(turn, requests, fleet, tally, returning);
-        links = new Links(turn, bounds, attempts, fleet, tally);
-        attempts.over(links);
-        roster = new ClusterState(turn, bounds, fleet, links, attempts, ledger, returning);
+        context = new StepContext(settings);
+        this.recovery = new RecoveryCoordinator(context, recovery, persistsLoads);
+        engines = new EngineRegistry(settings, this.recovery);
+        metrics.setClasses(settings.classNames());
+        requests = new Requests(context, bounds, metrics, this.recovery);
+        attempts = new Attempts(context, requests, engines, counters, this.recovery);
+        links = new Links(context, bounds, attempts, engines, counters);
+        attempts.setLinks(links);
+        cluster = new ClusterState(context, bounds, engines, links, attempts, metrics, this.recovery);
     }
 
-    /** A site's classes as a return from a loss of power needs them. */
-    public static List<Terms> recoveryTerms(RoutingSettings site) {
-        return RecoveryCoordinator.terms(site);
+    /** What recovery needs to know of the classes in these settings. */
+    public static List<Terms> recoveryTerms(RoutingSettings settings) {
+        return RecoveryCoordinator.terms(settings);
     }
 
-    /** The first step: the events of the start, and the first question to the change log. */
-    public List<Effect> start(double time, String changeLogAt, List<FleetEvent> known) {
-        return start(time, changeLogAt, known, false);
+    /** The first step: applies the events that are known at the start, and polls the change log. */
+    public List<Effect> start(double time, String changeLogAddress, List<FleetEvent> known) {
+        return start(time, changeLogAddress, known, false);
     }
 
-    /** The same; {@code beside} an older process, as in an upgrade, no loss is looked for. */
-    public List<Effect> start(double time, String changeLogAt, List<FleetEvent> known, boolean beside) {
-        turn.now = time;
-        returning.start(beside);
-        roster.start(changeLogAt, known);
+    /**
+     * The first step.
+     *
+     * @param besideOlderProcess whether an older process of this name still serves, as in an upgrade: then there was no
+     *                           power loss to recover from
+     */
+    public List<Effect> start(double time, String changeLogAddress, List<FleetEvent> known, boolean besideOlderProcess) {
+        context.now = time;
+        recovery.start(besideOlderProcess);
+        cluster.start(changeLogAddress, known);
         return decide();
     }
 
-    /** Takes what happened by {@code time}, in order; answers what is to be done. */
+    /** Applies inputs that happened by {@code time}, in order, and returns the effects to carry out. */
     public List<Effect> step(double time, List<Input> inputs) {
-        turn.now = Math.max(turn.now, time);
-        for (Input i : inputs) {
+        context.now = Math.max(context.now, time);
+        for (Input input : inputs) {
             try {
-                take(i);
+                apply(input);
             } catch (RuntimeException e) { // one input that fails must not lose the rest of its batch
-                turn.effect(new Effect.UnexpectedError("taking " + i.getClass().getSimpleName(), e));
+                context.addEffect(new Effect.UnexpectedError("applying " + input.getClass().getSimpleName(), e));
             }
         }
-        roster.relist();
+        cluster.relistAfterRecovery();
         return decide();
     }
 
-    /** Requests that are owed an answer. */
+    /** How many requests have not been answered yet. */
     public int openRequests() {
-        return requests.open();
+        return requests.unanswered();
     }
 
-    /** Whether an engine is listed that takes work. */
+    /** Whether any engine takes work, and anything may be sent. */
     public boolean canServe() {
-        return fleet.canServe() && returning.maySend();
+        return engines.canServe() && recovery.maySend();
     }
 
-    /** What is reported of the front end, as it stands after the last step. */
+    /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
-        return ledger.snapshot(requests.open(), fleet.listed(), gateway.avoided(), roster.watch());
+        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.avoided(), cluster.changeLogStatus());
     }
 
-    /** Whether the change log has answered whole since the start: until then the list may be an old one. */
+    /** Whether the change log has answered completely since the start: until then the list of engines may be outdated. */
     public boolean listConfirmed() {
-        return roster.answeredOnce();
+        return cluster.answeredOnce();
     }
 
-    /** Milliseconds since the change log last answered whole. */
+    /** Milliseconds since the change log last answered completely. */
     public double listAgeMs(double time) {
-        return roster.age(time);
+        return cluster.ageMs(time);
     }
 
-    /** What became of attempts and requests, by cause and class, for the counters. */
+    /** Counters of how attempts ended, by cause and class. */
     public Map<String, Long> attemptCounters() {
-        return tally.all();
+        return counters.byClass();
     }
 
     /**
-     * What was sent and how it ended by engine, and links: {@code links} opened, {@code refused}, and
-     * {@code unreached} in time. Counts since the start, as {@code id.what}; may be asked for on any thread.
+     * Counters by engine since the start, named {@code id.kind}: attempts sent and how they ended; {@code links} opened,
+     * {@code refused}, and {@code unreached} in time. May be called on any thread.
      */
     public Map<String, Long> engineCounters() {
-        return tally.engines();
+        return counters.byEngine();
     }
 
-    /** Where a return from a loss of power stands, null where none is looked for; the same while nothing has changed. */
+    /** The state of the recovery, null where recovery is off; the same object while nothing has changed. */
     public RecoveryReport recoveryReport() {
-        return returning.report();
+        return recovery.report();
     }
 
-    /** What is held, by name, for the counters. */
+    /** How many objects of each kind are held, by counter name. */
     public Map<String, Integer> retainedCounts() {
         Map<String, Integer> out = new LinkedHashMap<>();
-        requests.held(out);
-        links.held(out);
-        out.put("held.engines", fleet.all().size());
+        requests.addRetainedCounts(out);
+        links.addRetainedCounts(out);
+        out.put("held.engines", engines.all().size());
         return out;
     }
 
     /**
-     * Lets the module decide, at most once a tick as in the simulator: it looks at all that it holds each time,
-     * and asked at each input it would fill the one core, so that answers come late.
+     * Calls the decision module, at most once in a tick as in the simulator. The module looks at all of its state each time:
+     * called for each input it would use up the one core, and answers would be late.
      */
     private List<Effect> decide() {
-        double wait = decidedAt + turn.site.decision().tick() - turn.now;
-        if (turn.eventful() && wait > 0) {
-            if (!tickAsked) {
-                tickAsked = true;
-                turn.timer(new TimerKey.DecisionTick(), wait);
+        double wait = decidedAt + context.settings.decision().tick() - context.now;
+        if (context.hasEvents() && wait > 0) {
+            if (!tickScheduled) {
+                tickScheduled = true;
+                context.startTimer(new TimerKey.DecisionTick(), wait);
             }
-            return turn.effects();
+            return context.takeEffects();
         }
-        decidedAt = turn.eventful() ? turn.now : decidedAt;
-        while (turn.eventful()) { // an attempt that ends at once is an event in its turn
+        decidedAt = context.hasEvents() ? context.now : decidedAt;
+        while (context.hasEvents()) { // an attempt that ends at once is a new event
             try {
-                gateway.decide(turn.now, turn.events()).forEach(this::carryOut);
-            } catch (RuntimeException e) { // what is open then still has its timers
-                turn.effect(new Effect.UnexpectedError("deciding", e));
+                gateway.decide(context.now, context.takeEvents()).forEach(this::perform);
+            } catch (RuntimeException e) { // requests that are open then still have their timers
+                context.addEffect(new Effect.UnexpectedError("deciding", e));
             }
         }
-        return turn.effects();
+        return context.takeEffects();
     }
 
-    private void take(Input i) {
-        if (i instanceof Input.RequestReceived x) {
-            requests.asked(x);
-        } else if (i instanceof Input.EngineMessageReceived x) {
-            attempts.said(x);
-        } else if (i instanceof Input.TimerFired x) {
-            fired(x.key());
-        } else if (i instanceof Input.SendWritten) {
-            ledger.sent();
-        } else if (i instanceof Input.CancelWritten x) {
-            attempts.cancelled(requests.attempt(x.key()));
-        } else if (i instanceof Input.LinkUp x) {
-            links.up(x.link());
-        } else if (i instanceof Input.LinkDown x) {
-            links.down(x.link(), x.cause());
-        } else if (i instanceof Input.PartialMessage x) {
-            links.midway(x.link(), x.pending());
-        } else if (i instanceof Input.RequestCancelled x) {
-            requests.left(x.caller());
-        } else if (i instanceof Input.CallerDisconnected x) {
-            requests.gone(x.connection());
-        } else if (i instanceof Input.CallerConnected x) {
-            requests.callerUp(x.connection());
-        } else if (i instanceof Input.CallerNotClosed x) {
-            requests.callerStays(x.connection());
-        } else if (i instanceof Input.HealthRequested x) {
-            turn.effect(new Effect.AnswerHealth(x.caller()));
-        } else if (i instanceof Input.ChangesReceived x) {
-            roster.answered(x);
-        } else if (i instanceof Input.PollFailed x) {
-            roster.failed(x);
-        } else if (i instanceof Input.FleetChanged x) {
-            roster.news(x);
-        } else if (i instanceof Input.CallerLimitChanged x) {
-            requests.places(x.maxCallers());
-        } else if (i instanceof Input.ShutdownScheduled x) {
-            requests.endsAt(x.time());
-        } else if (i instanceof Input.RefuseNewRequests) {
-            requests.turnsAway();
-        } else if (i instanceof Input.ReloadRequested) {
-            roster.hangup();
-        } else if (i instanceof Input.ConfigurationLoaded x) {
-            roster.reconfigured(x);
-        } else if (i instanceof Input.PersistFinished x) {
-            returning.noted(x.durable());
-            requests.noted(requests.get(x.request()));
-        } else if (i instanceof Input.RecoveryLogRead x) {
-            returning.read(x);
-        } else if (i instanceof Input.FleetStateReceived x) {
-            returning.agreed(x);
-        } else if (i instanceof Input.LoadAcknowledged x) {
-            returning.acknowledged(x.txn());
-        } else if (i instanceof Input.EngineAllowed x) {
-            returning.allowed(x.engine());
-        } else if (i instanceof Input.ConfigurationRejected x) {
-            roster.reconfigureFailed(x);
+    private void apply(Input input) {
+        if (input instanceof Input.RequestReceived i) {
+            requests.received(i);
+        } else if (input instanceof Input.EngineMessageReceived i) {
+            attempts.received(i);
+        } else if (input instanceof Input.TimerFired i) {
+            timerFired(i.key());
+        } else if (input instanceof Input.SendWritten) {
+            metrics.attemptSent();
+        } else if (input instanceof Input.CancelWritten i) {
+            attempts.cancelWritten(requests.attempt(i.key()));
+        } else if (input instanceof Input.LinkUp i) {
+            links.up(i.link());
+        } else if (input instanceof Input.LinkDown i) {
+            links.down(i.link(), i.cause());
+        } else if (input instanceof Input.PartialMessage i) {
+            links.partialMessage(i.link(), i.pending());
+        } else if (input instanceof Input.RequestCancelled i) {
+            requests.cancelled(i.caller());
+        } else if (input instanceof Input.CallerDisconnected i) {
+            requests.callerDisconnected(i.connection());
+        } else if (input instanceof Input.CallerConnected i) {
+            requests.callerConnected(i.connection());
+        } else if (input instanceof Input.CallerNotClosed i) {
+            requests.callerNotClosed(i.connection());
+        } else if (input instanceof Input.HealthRequested i) {
+            context.addEffect(new Effect.AnswerHealth(i.caller()));
+        } else if (input instanceof Input.ChangesReceived i) {
+            cluster.changesReceived(i);
+        } else if (input instanceof Input.PollFailed i) {
+            cluster.pollFailed(i);
+        } else if (input instanceof Input.FleetChanged i) {
+            cluster.fleetChanged(i);
+        } else if (input instanceof Input.CallerLimitChanged i) {
+            requests.limitCallers(i.maxCallers());
+        } else if (input instanceof Input.ShutdownScheduled i) {
+            requests.scheduleShutdown(i.time());
+        } else if (input instanceof Input.RefuseNewRequests) {
+            requests.refuseNew();
+        } else if (input instanceof Input.ReloadRequested) {
+            cluster.reload();
+        } else if (input instanceof Input.ConfigurationLoaded i) {
+            cluster.configurationLoaded(i);
+        } else if (input instanceof Input.PersistFinished i) {
+            recovery.persistFinished(i.durable());
+            requests.persistFinished(requests.get(i.request()));
+        } else if (input instanceof Input.RecoveryLogRead i) {
+            recovery.logRead(i);
+        } else if (input instanceof Input.FleetStateReceived i) {
+            recovery.fleetStateReceived(i);
+        } else if (input instanceof Input.LoadAcknowledged i) {
+            recovery.loadAcknowledged(i.txn());
+        } else if (input instanceof Input.EngineAllowed i) {
+            recovery.engineAllowed(i.engine());
+        } else if (input instanceof Input.ConfigurationRejected i) {
+            cluster.configurationRejected(i);
         }
     }
 
-    private void carryOut(Action action) {
+    private void perform(Action action) {
         if (action instanceof Gateway.Send a) {
             attempts.send(requests.get(a.id()), a);
         } else if (action instanceof Gateway.Refuse a) {
@@ -225,46 +235,47 @@
         } else if (action instanceof Gateway.Fail a) {
             requests.answer(requests.get(a.id()), new Reply.Failed());
         } else if (action instanceof Gateway.Cancel a) {
-            attempts.cut(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.why());
+            attempts.cancelByModule(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.why());
         } else if (action instanceof Gateway.SetTimer a) {
-            turn.timer(new TimerKey.Gateway(a.token(), turn.number()), a.delay());
+            context.startTimer(new TimerKey.Gateway(a.token(), context.nextId()), a.delay());
         } else if (action instanceof Gateway.Probe a) {
-            links.probe(fleet.get(a.engine()));
+            links.probe(engines.get(a.engine()));
         } else if (!(action instanceof Gateway.Watch || action instanceof Gateway.Fetch)) {
-            // the change log is always followed; words between front ends and terms are not in the protocol
-            turn.effect(new Effect.Log("the module asks for what the protocol does not have: " + action));
+            // Watch and Fetch need nothing, as the change log is always followed; the protocol has no messages between front
+            // ends and no terms of an attempt
+            context.addEffect(new Effect.Log("ignored an action that the protocol does not support: " + action));
         }
     }
 
-    private void fired(TimerKey key) {
+    private void timerFired(TimerKey key) {
         if (key instanceof TimerKey.DecisionTick) {
-            tickAsked = false;
+            tickScheduled = false;
         } else if (key instanceof TimerKey.Gateway k) {
-            turn.event(new Gateway.Timer(k.token()));
+            context.addEvent(new Gateway.Timer(k.token()));
         } else if (key instanceof TimerKey.AttemptTimeout k) {
-            attempts.due(requests.attempt(k.key()));
+            attempts.timedOut(requests.attempt(k.key()));
         } else if (key instanceof TimerKey.StartDeadline k) {
-            attempts.beginDue(requests.attempt(k.key()));
+            attempts.startDeadlinePassed(requests.attempt(k.key()));
         } else if (key instanceof TimerKey.CancelTimeout k) {
-            attempts.cancelDue(requests.attempt(k.key()));
+            attempts.cancelTimedOut(requests.attempt(k.key()));
         } else if (key instanceof TimerKey.RequestDeadline k) {
-            requests.due(requests.get(k.id()));
+            requests.deadlinePassed(requests.get(k.id()));
         } else if (key instanceof TimerKey.ConnectTimeout k) {
-            links.connectDue(k.link());
+            links.connectTimedOut(k.link());
         } else if (key instanceof TimerKey.LinkIdle k) {
-            links.idleDue(k.link());
+            links.idleTimedOut(k.link());
         } else if (key instanceof TimerKey.PartialMessage k) {
-            links.midwayDue(k.link());
+            links.partialMessageTimedOut(k.link());
         } else if (key instanceof TimerKey.CallerIdle k) {
-            requests.frontDue(k.connection());
+            requests.callerIdle(k.connection());
         } else if (key instanceof TimerKey.ProbeTimeout k) {
-            links.probed(k.tag(), false, List.of());
+            links.probeEnded(k.tag(), false, List.of());
         } else if (key instanceof TimerKey.ChangeLogTimer k) {
-            roster.due(k.timerId());
+            cluster.changeLogTimerFired(k.timerId());
         } else if (key instanceof TimerKey.Recovery k) {
-            returning.due(k.number());
+            recovery.timerFired(k.number());
         } else if (key instanceof TimerKey.ShareGrowth) {
-            roster.sharesDue();
+            cluster.shareTimerFired();
         }
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Reply.java
+++ b/frontend/src/main/java/quincespar/routing/Reply.java
@@ -1,13 +1,13 @@
 package quincespar.routing;
 
-/** The final answer to a request, in no protocol's terms. */
+/** The final answer to a request, independent of the wire protocol. */
 public sealed interface Reply {
-    /** All rows of the result, in order and unchanged. */
+    /** The complete result: all pages in order, unchanged. */
     record Served(byte[] result) implements Reply { }
 
-    /** Turned away: trying again is harmless, after {@code retryAfterMs} where that is above 0. */
+    /** The request has not run, or may run again: a retry is safe, after {@code retryAfterMs} where that is above 0. */
     record Refused(double retryAfterMs) implements Reply { }
 
-    /** Ended with nothing promised. */
+    /** The request has failed, and may have run. */
     record Failed() implements Reply { }
 }
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -7,37 +7,37 @@
 import quincespar.decision.Gateway;
 import quincespar.metrics.MetricsRecorder;
 
-/** Requests from when they are taken until they are answered and nothing of them is out, and the clients that they are from. */
+/** Open requests, from their arrival until they are answered and none of their attempts is open, and their callers. */
 final class Requests {
-    /** What an answer's way out may take: the module must have answered this long before the client gives up. */
-    private static final double MARGIN = 60;
-    /** The last moment for an answer of any kind, before the client gives up. */
-    private static final double LAST = 15;
+    /** How long before its client gives up the decision module must have answered a request, to leave time for delivery. */
+    private static final double DELIVERY_MARGIN_MS = 60;
+    /** How long before its client gives up any answer must go out. */
+    private static final double LAST_ANSWER_MARGIN_MS = 15;
 
     private final Map<Long, OpenRequest> byId = new LinkedHashMap<>();
-    private final Map<Caller, OpenRequest> callers = new LinkedHashMap<>();
-    /** By the client's name for it, until nothing of it is out: an engine knows it by that name only. */
-    private final Map<String, OpenRequest> names = new HashMap<>();
-    private final CallerConnections fronts = new CallerConnections();
-    private final StepContext turn;
+    private final Map<Caller, OpenRequest> unanswered = new LinkedHashMap<>();
+    /** Until none of its attempts is open: an engine knows a request by its txn only. */
+    private final Map<String, OpenRequest> byTxn = new HashMap<>();
+    private final CallerConnections connections = new CallerConnections();
+    private final StepContext context;
     private final Bounds bounds;
-    private final MetricsRecorder ledger;
-    private final RecoveryCoordinator returning;
+    private final MetricsRecorder metrics;
+    private final RecoveryCoordinator recovery;
     private Attempts attempts;
-    private int places;
-    private boolean turnsAway;
-    /** When this process ends, whatever is open then. */
-    private double endsAt = Double.POSITIVE_INFINITY;
-
-    Requests(StepContext turn, Bounds bounds, MetricsRecorder ledger, RecoveryCoordinator returning) {
-        this.returning = returning;
-        this.turn = turn;
+    private int maxCallers;
+    private boolean refusing;
+    /** When this process ends, even if requests are open then. */
+    private double shutdownAt = Double.POSITIVE_INFINITY;
+
+    Requests(StepContext context, Bounds bounds, MetricsRecorder metrics, RecoveryCoordinator recovery) {
+        this.context = context;
         this.bounds = bounds;
-        this.ledger = ledger;
-        places = bounds.maxCallers();
+        this.metrics = metrics;
+        this.recovery = recovery;
+        maxCallers = bounds.maxCallers();
     }
 
-    void with(Attempts ofThese) {
+    void setAttempts(Attempts ofThese) {
         attempts = ofThese;
     }
 
@@ -46,175 +46,193 @@
     }
 
     Attempt attempt(AttemptKey key) {
-        OpenRequest r = byId.get(key.request());
-        return r == null || key.attempt() >= r.attempts.size() ? null : r.attempts.get(key.attempt());
+        OpenRequest request = byId.get(key.request());
+        return request == null || key.attempt() >= request.attempts.size() ? null : request.attempts.get(key.attempt());
     }
 
-    /** Requests that are owed an answer. */
-    int open() {
-        return callers.size();
+    /** How many requests have not been answered yet. */
+    int unanswered() {
+        return unanswered.size();
     }
 
-    void places(int most) {
-        places = most;
+    void limitCallers(int max) {
+        maxCallers = max;
     }
 
-    void turnsAway() {
-        turnsAway = true;
+    void refuseNew() {
+        refusing = true;
     }
 
-    void endsAt(double time) {
-        endsAt = time;
-        callers.values().forEach(r -> turn.timer(new TimerKey.RequestDeadline(r.id), Math.min(r.last, endsAt) - turn.now));
+    /** The process ends at that time: the deadlines of open requests are moved before it. */
+    void scheduleShutdown(double time) {
+        shutdownAt = time;
+        unanswered.values().forEach(r -> context.startTimer(new TimerKey.RequestDeadline(r.id),
+                Math.min(r.answerDeadline, shutdownAt) - context.now));
     }
 
-    void held(Map<String, Integer> out) {
+    void addRetainedCounts(Map<String, Integer> out) {
         out.put("held.requests", byId.size());
-        out.put("held.names", names.size());
-        out.put("held.callers", fronts.size());
+        out.put("held.names", byTxn.size());
+        out.put("held.callers", connections.size());
     }
 
-    /** Its client waits no longer: the module had its time, and no request may go without an answer. */
-    void due(OpenRequest r) {
-        if (r != null && !r.over) {
-            answer(r, new Reply.Failed());
-            forgets(r);
+    /** The client of a request gives up soon. The decision module has not answered in its time, so the request fails here. */
+    void deadlinePassed(OpenRequest request) {
+        if (request != null && !request.closed) {
+            answer(request, new Reply.Failed());
+            tellModuleClosed(request);
         }
     }
 
-    /** Nothing is owed any more, should the module have heard of it. */
-    private void forgets(OpenRequest r) {
-        if (!r.parked) {
-            turn.event(new Gateway.Left(r.id));
+    /** Tells the decision module, if it has been told of the request, that no answer is needed any more. */
+    private void tellModuleClosed(OpenRequest request) {
+        if (!request.awaitingDisk) {
+            context.addEvent(new Gateway.Left(request.id));
         }
     }
 
-    /** A client's connection has had nothing open for a while, or has not yet said anything. */
-    void frontDue(long connection) {
-        CallerConnections.CallerConnection f = fronts.get(connection);
-        if (f != null && f.open.isEmpty()) {
+    /** A client's connection has had no open request for too long, or has not yet sent one. */
+    void callerIdle(long connection) {
+        CallerConnections.CallerConnection found = connections.get(connection);
+        if (found != null && found.open.isEmpty()) {
             closeCaller(connection, "nothing open");
         }
     }
 
-    void callerUp(long connection) {
-        fronts.up(connection);
-        turn.timer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
-        if (fronts.size() > places) {
-            long spare = fronts.spare(connection);
-            closeCaller(spare, spare == connection ? "too many connections" : "its place is needed");
+    void callerConnected(long connection) {
+        connections.connected(connection);
+        context.startTimer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
+        if (connections.size() > maxCallers) {
+            long leastNeeded = connections.leastNeeded(connection);
+            closeCaller(leastNeeded, leastNeeded == connection ? "too many connections" : "its place is needed");
         }
     }
 
-    /** It was to be closed and was not: taken anew, with its time for a first word; the place is another's to make. */
-    void callerStays(long connection) {
-        fronts.up(connection);
-        turn.timer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
+    /**
+     * A connection that was to be closed stays open. It counts as a new one, but no connection is closed in its place: where
+     * none can be closed, the event loop and the reducer would repeat that for ever.
+     */
+    void callerNotClosed(long connection) {
+        connections.connected(connection);
+        context.startTimer(new TimerKey.CallerIdle(connection), bounds.firstRequestMs());
     }
 
-    void closeCaller(long connection, String why) {
-        turn.effect(new Effect.CloseCaller(connection, why));
-        gone(connection);
+    private void closeCaller(long connection, String cause) {
+        context.addEffect(new Effect.CloseCaller(connection, cause));
+        callerDisconnected(connection);
     }
 
-    void gone(long connection) {
-        turn.stop(new TimerKey.CallerIdle(connection));
-        CallerConnections.CallerConnection f = fronts.remove(connection);
-        if (f != null) {
-            List.copyOf(f.open).forEach(r -> left(r.caller));
+    void callerDisconnected(long connection) {
+        context.stopTimer(new TimerKey.CallerIdle(connection));
+        CallerConnections.CallerConnection removed = connections.remove(connection);
+        if (removed != null) {
+            List.copyOf(removed.open).forEach(r -> cancelled(r.caller));
         }
     }
 
-    void asked(Input.RequestReceived x) {
-        Query q = x.query();
-        if (callers.containsKey(x.caller()) || names.containsKey(q.txn())) {
-            // an engine would take the one for the other, and so might we take its answer
-            tell(x.caller(), q.classNumber(), new Reply.Failed());
+    void received(Input.RequestReceived input) {
+        Query query = input.query();
+        if (unanswered.containsKey(input.caller()) || byTxn.containsKey(query.txn())) {
+            // neither an engine nor this front end could tell the two requests apart
+            reply(input.caller(), query.classNumber(), new Reply.Failed());
             return;
         }
-        if (turnsAway || callers.size() >= bounds.maxRequests()) { // before it is known to anyone: it never ran
-            tell(x.caller(), q.classNumber(), new Reply.Refused(0));
+        if (refusing || unanswered.size() >= bounds.maxRequests()) { // not registered yet, so it has not run
+            reply(input.caller(), query.classNumber(), new Reply.Refused(0));
             return;
         }
-        double back = returning.turnsAway(q);
-        if (!Double.isNaN(back)) { // it never ran either
-            tell(x.caller(), q.classNumber(), new Reply.Refused(back));
+        double retryAfterMs = recovery.refusalRetryAfterMs(query);
+        if (!Double.isNaN(retryAfterMs)) { // it has not run either
+            reply(input.caller(), query.classNumber(), new Reply.Refused(retryAfterMs));
             return;
         }
-        double margin = Math.min(MARGIN, q.timeoutMs() / 10);
-        double last = Math.min(x.receivedAt() + q.timeoutMs() - Math.min(LAST, margin / 4), endsAt);
-        OpenRequest r = new OpenRequest(turn.number(), x.caller(), q, turn.site.decision().classes().get(q.classNumber()),
-                Math.min(x.receivedAt() + q.timeoutMs(), endsAt) - margin, last);
-        byId.put(r.id, r);
-        callers.put(r.caller, r);
-        names.put(q.txn(), r);
-        fronts.opened(r);
-        turn.stop(new TimerKey.CallerIdle(r.caller.connection()));
-        turn.timer(new TimerKey.RequestDeadline(r.id), last - turn.now);
-        r.parked = returning.notes(r);
-        if (r.parked) {
-            returning.begins(r);
+        OpenRequest request = open(input);
+        request.awaitingDisk = recovery.persists(request);
+        if (request.awaitingDisk) {
+            recovery.persistStart(request);
         } else {
-            tellModule(r);
+            tellModule(request);
         }
     }
 
-    private void tellModule(OpenRequest r) {
-        Query q = r.query;
-        turn.event(new Gateway.Request(r.id, q.classNumber(), q.tenantNumber(), Math.max(0, r.until - turn.now), q.work(),
-                q.memory(), q.tables(), 0, q.retry(), r.spec.loads()));
-    }
-
-    /** It is on disk now that this request may run; the module may send it. */
-    void noted(OpenRequest r) {
-        if (r != null && r.parked && !r.over) {
-            r.parked = false;
-            tellModule(r);
+    private OpenRequest open(Input.RequestReceived input) {
+        Query query = input.query();
+        double margin = Math.min(DELIVERY_MARGIN_MS, query.timeoutMs() / 10);
+        double answerDeadline = Math.min(input.receivedAt() + query.timeoutMs() - Math.min(LAST_ANSWER_MARGIN_MS, margin / 4),
+                shutdownAt);
+        OpenRequest request = new OpenRequest(context.nextId(), input.caller(), query,
+                context.settings.decision().classes().get(query.classNumber()),
+                Math.min(input.receivedAt() + query.timeoutMs(), shutdownAt) - margin, answerDeadline);
+        byId.put(request.id, request);
+        unanswered.put(request.caller, request);
+        byTxn.put(query.txn(), request);
+        connections.requestOpened(request);
+        context.stopTimer(new TimerKey.CallerIdle(request.caller.connection()));
+        context.startTimer(new TimerKey.RequestDeadline(request.id), answerDeadline - context.now);
+        return request;
+    }
+
+    private void tellModule(OpenRequest request) {
+        Query query = request.query;
+        context.addEvent(new Gateway.Request(request.id, query.classNumber(), query.tenantNumber(),
+                Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), 0, query.retry(),
+                request.spec.loads()));
+    }
+
+    /** The recovery entry of a request has been written, or could not be: the decision module may send the request now. */
+    void persistFinished(OpenRequest request) {
+        if (request != null && request.awaitingDisk && !request.closed) {
+            request.awaitingDisk = false;
+            tellModule(request);
         }
     }
 
-    void left(Caller c) {
-        OpenRequest r = callers.get(c);
-        if (r != null) {
-            turn.trace(() -> "request " + r.query.txn() + " of " + r.spec.name() + ": its client has gone or cancelled");
-            close(r);
-            forgets(r);
+    /** The client has cancelled a request, or has disconnected. */
+    void cancelled(Caller caller) {
+        OpenRequest request = unanswered.get(caller);
+        if (request != null) {
+            context.trace(() -> "request " + request.query.txn() + " of " + request.spec.name()
+                    + ": its client cancelled it or disconnected");
+            close(request);
+            tellModuleClosed(request);
         }
     }
 
-    /** Exactly one final answer: a request that is over gets none. */
-    void answer(OpenRequest r, Reply reply) {
-        if (r != null && !r.over) {
-            turn.trace(() -> "request " + r.query.txn() + " of " + r.spec.name() + ": " + reply.getClass().getSimpleName()
-                    + " after " + r.attempts.size() + " attempts" + r.attempts.stream().map(a -> " " + a.outcome).toList());
-            tell(r.caller, r.query.classNumber(), reply);
-            close(r);
+    /** Gives a request its final answer; one that is closed already gets none. */
+    void answer(OpenRequest request, Reply reply) {
+        if (request != null && !request.closed) {
+            context.trace(() -> "request " + request.query.txn() + " of " + request.spec.name() + ": "
+                    + reply.getClass().getSimpleName() + " after " + request.attempts.size() + " attempts"
+                    + request.attempts.stream().map(a -> " " + a.outcome).toList());
+            reply(request.caller, request.query.classNumber(), reply);
+            close(request);
         }
     }
 
-    /** The one place where a request gets its final answer. */
-    void tell(Caller caller, int cls, Reply reply) {
-        ledger.ended(cls, reply instanceof Reply.Served ? MetricsRecorder.FinalAnswer.ANSWERED
+    /** The only place where answers go out and are counted. */
+    private void reply(Caller caller, int classNumber, Reply reply) {
+        metrics.answered(classNumber, reply instanceof Reply.Served ? MetricsRecorder.FinalAnswer.ANSWERED
                 : reply instanceof Reply.Refused ? MetricsRecorder.FinalAnswer.DEFERRED : MetricsRecorder.FinalAnswer.ERRORED);
-        turn.effect(new Effect.Answer(caller, reply));
+        context.addEffect(new Effect.Answer(caller, reply));
     }
 
-    void close(OpenRequest r) {
-        r.over = true;
-        callers.remove(r.caller);
-        if (fronts.closed(r)) {
-            turn.timer(new TimerKey.CallerIdle(r.caller.connection()), bounds.callerIdleMs());
+    private void close(OpenRequest request) {
+        request.closed = true;
+        unanswered.remove(request.caller);
+        if (connections.requestClosed(request)) {
+            context.startTimer(new TimerKey.CallerIdle(request.caller.connection()), bounds.callerIdleMs());
         }
-        turn.stop(new TimerKey.RequestDeadline(r.id));
-        attempts.withdraw(r);
-        forget(r);
+        context.stopTimer(new TimerKey.RequestDeadline(request.id));
+        attempts.withdrawAll(request);
+        removeIfEnded(request);
     }
 
-    void forget(OpenRequest r) {
-        if (r.over && !r.running() && byId.remove(r.id) != null) {
-            names.remove(r.query.txn(), r);
-            returning.ended(r);
-            r.attempts.stream().filter(a -> a.link != null).forEach(a -> a.link.forget(r.query.txn()));
+    /** Forgets a request that is closed and has no open attempt. */
+    void removeIfEnded(OpenRequest request) {
+        if (request.closed && !request.running() && byId.remove(request.id) != null) {
+            byTxn.remove(request.query.txn(), request);
+            recovery.requestEnded(request);
+            request.attempts.stream().filter(a -> a.link != null).forEach(a -> a.link.forget(request.query.txn()));
         }
     }
 }
