--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -9,77 +9,86 @@
 import quincespar.decision.SettingsParser;
 
 /**
- * The settings: those of the module, and those that only a front end on sockets needs. Classes and tenants are known by
- * name: a name has one number for as long as the program runs, however the settings that follow list it.
+ * The settings of the decision module, and those that only a front end on sockets needs. Classes and tenants are known by
+ * name: a name keeps its number for as long as the process runs, in whatever order later settings list it.
  *
- * @param classes the numbers of the classes that a request may name; the module's list may hold more, which were dropped
- * @param tenants the numbers of the tenants, alike
+ * @param decision          the settings of the decision module
+ * @param zones             the names of the zones; a zone's number is its place
+ * @param kinds             the names of the kinds of engines; a kind's number is its place
+ * @param linkIdleMs        after how long engines close an idle link, in milliseconds
+ * @param maxStreamsPerLink how many attempts may be open on one link
+ * @param classNumbers      the numbers of the classes that a request may name; the module's list may hold dropped ones too
+ * @param tenantNumbers     the numbers of the tenants that a request may name, likewise
  */
-public record RoutingSettings(Gateway.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs, int maxStreamsPerLink,
-        Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
-    private static final double IDLE = 15_000;
-    private static final int STREAMS = 100;
+public record RoutingSettings(Gateway.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs,
+        int maxStreamsPerLink, Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
+    private static final double DEFAULT_LINK_IDLE_MS = 15_000;
+    private static final int DEFAULT_MAX_STREAMS = 100;
 
     /**
-     * Reads pairs of path and value, as the adapter does; throws {@link IllegalArgumentException}. The protocol has no words
-     * between front ends: a module that may use them would count on what nobody has told it.
+     * Reads pairs of path and value, as the adapter does. The protocol carries no messages between front ends, so the module
+     * is told that it has none: it would rely on reports that never arrive.
+     *
+     * @throws IllegalArgumentException if a value is missing or invalid
      */
     public static RoutingSettings of(Map<String, String> pairs) {
-        SettingsParser settings = new SettingsParser(pairs);
-        Gateway.Settings module = settings.settings().unheard();
-        return new RoutingSettings(module, settings.words("localities"), settings.words("kinds"),
-                aboveZero(settings.number("limits.connIdle", IDLE), IDLE),
-                (int) aboveZero(settings.number("limits.maxStreams", STREAMS), STREAMS),
-                numbers(module.classes(), Gateway.ClassSpec::name), numbers(module.tenants(), Gateway.Tenant::name));
+        SettingsParser parser = new SettingsParser(pairs);
+        Gateway.Settings decision = parser.settings().unheard();
+        return new RoutingSettings(decision, parser.words("localities"), parser.words("kinds"),
+                positiveOr(parser.number("limits.connIdle", DEFAULT_LINK_IDLE_MS), DEFAULT_LINK_IDLE_MS),
+                (int) positiveOr(parser.number("limits.maxStreams", DEFAULT_MAX_STREAMS), DEFAULT_MAX_STREAMS),
+                indexByName(decision.classes(), Gateway.ClassSpec::name),
+                indexByName(decision.tenants(), Gateway.Tenant::name));
     }
 
-    /** The place of each name. */
-    private static <T> Map<String, Integer> numbers(List<T> all, Function<T, String> name) {
-        Map<String, Integer> out = new HashMap<>();
-        for (int i = 0; i < all.size(); i++) {
-            out.put(name.apply(all.get(i)), i);
+    private static <T> Map<String, Integer> indexByName(List<T> items, Function<T, String> name) {
+        Map<String, Integer> indexes = new HashMap<>();
+        for (int i = 0; i < items.size(); i++) {
+            indexes.put(name.apply(items.get(i)), i);
         }
-        return Map.copyOf(out);
+        return Map.copyOf(indexes);
     }
 
     /**
-     * These settings after those of {@code before}: what both know keeps the number that it has there, what is new comes
-     * behind, and what was dropped keeps its place with its last terms, for the requests that are still open.
+     * These settings with the numbers of {@code previous}: what both know keeps the number that it has there, what is new is
+     * appended, and what was dropped keeps its number and its last settings, for the requests that are still open.
      */
-    public RoutingSettings keepingNumbersOf(RoutingSettings before) {
-        List<Gateway.ClassSpec> specs = merged(before.decision.classes(), decision.classes(), Gateway.ClassSpec::name);
-        List<Gateway.Tenant> shops = merged(before.decision.tenants(), decision.tenants(), Gateway.Tenant::name);
-        Map<String, Integer> named = new HashMap<>(numbers(specs, Gateway.ClassSpec::name));
-        named.keySet().retainAll(classNumbers.keySet());
-        Map<String, Integer> known = new HashMap<>(numbers(shops, Gateway.Tenant::name));
-        known.keySet().retainAll(tenantNumbers.keySet());
-        return new RoutingSettings(decision.with(specs, shops), zones, kinds, linkIdleMs, maxStreamsPerLink, Map.copyOf(named), Map.copyOf(known));
+    public RoutingSettings keepingNumbersOf(RoutingSettings previous) {
+        List<Gateway.ClassSpec> mergedClasses = merge(previous.decision.classes(), decision.classes(), Gateway.ClassSpec::name);
+        List<Gateway.Tenant> mergedTenants = merge(previous.decision.tenants(), decision.tenants(), Gateway.Tenant::name);
+        Map<String, Integer> usableClasses = new HashMap<>(indexByName(mergedClasses, Gateway.ClassSpec::name));
+        usableClasses.keySet().retainAll(classNumbers.keySet());
+        Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Gateway.Tenant::name));
+        usableTenants.keySet().retainAll(tenantNumbers.keySet());
+        return new RoutingSettings(decision.with(mergedClasses, mergedTenants), zones, kinds, linkIdleMs, maxStreamsPerLink,
+                Map.copyOf(usableClasses), Map.copyOf(usableTenants));
     }
 
-    /** The same among so many front ends, as the one with this number. */
-    RoutingSettings among(int howMany, int number) {
-        Gateway.Settings m = decision.among(howMany, number);
-        return m == decision ? this : new RoutingSettings(m, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
+    /** These settings for the front end at place {@code index} among {@code count}. */
+    RoutingSettings sharedAmong(int count, int index) {
+        Gateway.Settings shared = decision.among(count, index);
+        return shared == decision ? this
+                : new RoutingSettings(shared, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
     }
 
-    private static <T> List<T> merged(List<T> before, List<T> next, Function<T, String> name) {
-        Map<String, Integer> at = numbers(next, name);
-        List<T> out = new ArrayList<>();
-        before.forEach(t -> out.add(at.containsKey(name.apply(t)) ? next.get(at.get(name.apply(t))) : t));
-        Map<String, Integer> had = numbers(before, name);
-        next.stream().filter(t -> !had.containsKey(name.apply(t))).forEach(out::add);
-        return List.copyOf(out);
+    private static <T> List<T> merge(List<T> previous, List<T> next, Function<T, String> name) {
+        Map<String, Integer> nextIndexes = indexByName(next, name);
+        Map<String, Integer> previousIndexes = indexByName(previous, name);
+        List<T> merged = new ArrayList<>();
+        previous.forEach(t -> merged.add(nextIndexes.containsKey(name.apply(t)) ? next.get(nextIndexes.get(name.apply(t))) : t));
+        next.stream().filter(t -> !previousIndexes.containsKey(name.apply(t))).forEach(merged::add);
+        return List.copyOf(merged);
     }
 
     /** The numbers of the classes that were dropped. */
     public List<Integer> droppedClasses() {
-        List<Integer> out = new ArrayList<>();
+        List<Integer> dropped = new ArrayList<>();
         for (int i = 0; i < decision.classes().size(); i++) {
             if (!classNumbers.containsKey(decision.classes().get(i).name())) {
-                out.add(i);
+                dropped.add(i);
             }
         }
-        return out;
+        return dropped;
     }
 
     /** The names of all classes by number, dropped ones too. */
@@ -87,7 +96,7 @@
         return decision.classes().stream().map(Gateway.ClassSpec::name).toList();
     }
 
-    private static double aboveZero(double n, double absent) {
-        return n > 0 ? n : absent;
+    private static double positiveOr(double value, double fallback) {
+        return value > 0 ? value : fallback;
     }
 }
--- a/frontend/src/main/java/quincespar/routing/StepContext.java
+++ b/frontend/src/main/java/quincespar/routing/StepContext.java
@@ -5,60 +5,63 @@
 import java.util.function.Supplier;
 import quincespar.decision.Gateway.Event;
 
-/** What all holders of state share: the time of the step, the settings in force, and what the step has brought about so far. */
+/**
+ * What all parts of the reducer's state share: the time of the step, the settings in force, and the effects and events that
+ * the step has produced so far.
+ */
 final class StepContext {
     double now;
-    RoutingSettings site;
+    RoutingSettings settings;
     private List<Effect> effects = new ArrayList<>();
     private List<Event> events = new ArrayList<>();
-    private long serial;
+    private long lastId;
 
-    StepContext(RoutingSettings site) {
-        this.site = site;
+    StepContext(RoutingSettings settings) {
+        this.settings = settings;
     }
 
     /** A number that is not used again. */
-    long number() {
-        return ++serial;
+    long nextId() {
+        return ++lastId;
     }
 
-    void effect(Effect e) {
-        effects.add(e);
+    void addEffect(Effect effect) {
+        effects.add(effect);
     }
 
-    /** Tells whoever follows single requests; the line is made before the next step, if at all. */
+    /** Writes a trace line. The text is made before the next step, if at all. */
     void trace(Supplier<String> line) {
         effects.add(new Effect.Trace(line));
     }
 
-    /** The module is to hear of this. */
-    void event(Event e) {
-        events.add(e);
+    /** Adds an event for the decision module. */
+    void addEvent(Event event) {
+        events.add(event);
     }
 
-    void timer(TimerKey key, double delay) {
-        effects.add(new Effect.StartTimer(key, Math.max(0, delay)));
+    void startTimer(TimerKey key, double delayMs) {
+        effects.add(new Effect.StartTimer(key, Math.max(0, delayMs)));
     }
 
-    void stop(TimerKey key) {
+    void stopTimer(TimerKey key) {
         effects.add(new Effect.StopTimer(key));
     }
 
-    boolean eventful() {
+    boolean hasEvents() {
         return !events.isEmpty();
     }
 
-    /** What the module has not heard yet; it has now. */
-    List<Event> events() {
-        List<Event> out = events;
+    /** Hands over the events that the decision module has not seen yet. */
+    List<Event> takeEvents() {
+        List<Event> taken = events;
         events = new ArrayList<>();
-        return out;
+        return taken;
     }
 
-    /** What is to be done; it is handed over with this. */
-    List<Effect> effects() {
-        List<Effect> out = effects;
+    /** Hands over the effects of this step. */
+    List<Effect> takeEffects() {
+        List<Effect> taken = effects;
         effects = new ArrayList<>();
-        return out;
+        return taken;
     }
 }
--- a/frontend/src/main/java/quincespar/routing/TimerKey.java
+++ b/frontend/src/main/java/quincespar/routing/TimerKey.java
@@ -1,46 +1,46 @@
 package quincespar.routing;
 
-/** What a timer is for; each wait has one of its own. */
+/** What a timer is for. At most one timer runs for each key. */
 public sealed interface TimerKey {
-    /** The module may decide again. */
+    /** The decision module may be called again. */
     record DecisionTick() implements TimerKey { }
 
-    /** The module asked to be woken. */
+    /** A timer that the decision module has asked for. */
     record Gateway(int token, long serial) implements TimerKey { }
 
-    /** A client's connection has had nothing open for a while, or has not yet said anything. */
+    /** A client's connection has had no open request for too long, or has not yet sent one. */
     record CallerIdle(long connection) implements TimerKey { }
 
-    /** An engine's message that has begun ought to be whole by now. */
+    /** A message that has arrived in part on a link must be complete by now. */
     record PartialMessage(long link) implements TimerKey { }
 
-    /** A request's client waits no longer. */
+    /** A request must be answered now. */
     record RequestDeadline(long id) implements TimerKey { }
 
-    /** An attempt has had its time. */
+    /** An attempt has run for as long as it may. */
     record AttemptTimeout(AttemptKey key) implements TimerKey { }
 
-    /** An attempt ought to have begun by now. */
+    /** An attempt of which no byte has been written must not be sent any more. */
     record StartDeadline(AttemptKey key) implements TimerKey { }
 
-    /** A cancel ought to be written by now. */
+    /** The cancel of an attempt must be written by now. */
     record CancelTimeout(AttemptKey key) implements TimerKey { }
 
-    /** A link ought to be up by now. */
+    /** A link must be established by now. */
     record ConnectTimeout(long link) implements TimerKey { }
 
-    /** A link has carried nothing for a while. */
+    /** A link has had nothing open for too long. */
     record LinkIdle(long link) implements TimerKey { }
 
-    /** A probe ought to be answered by now. */
+    /** A probe must be answered by now. */
     record ProbeTimeout(String tag) implements TimerKey { }
 
-    /** The change log ought to have answered by now, or may be asked again. */
+    /** A poll of the change log must be answered by now, or the next poll is due. */
     record ChangeLogTimer(long timerId) implements TimerKey { }
 
-    /** What a phase of a return waits for did not come. */
+    /** The phase of a recovery from a power loss has timed out. */
     record Recovery(long number) implements TimerKey { }
 
-    /** Fewer front ends have been known for a while: shares may grow. */
+    /** Fewer front ends have been known for long enough: this one's share of the engines may grow. */
     record ShareGrowth() implements TimerKey { }
 }
--- a/frontend/src/test/java/quincespar/metrics/MetricsTest.java
+++ b/frontend/src/test/java/quincespar/metrics/MetricsTest.java
@@ -12,34 +12,34 @@
 
     @Test
     void everyClassHasItsRowsFromZeroOnAndADroppedOneKeepsThem() {
-        ledger.classes(List.of("lookup", "load"));
-        assertThat(ledger.snapshot(0, 0, 0, WATCH).transactions()).containsOnlyKeys("lookup", "load");
-        ledger.ended(0, MetricsRecorder.FinalAnswer.ANSWERED);
-        ledger.ended(1, MetricsRecorder.FinalAnswer.DEFERRED);
-        ledger.classes(List.of("lookup", "load", "report"));
-        ledger.ended(1, MetricsRecorder.FinalAnswer.ERRORED);
-        assertThat(ledger.snapshot(0, 0, 0, WATCH).transactions()).containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
+        ledger.setClasses(List.of("lookup", "load"));
+        assertThat(ledger.snapshot(0, 0, 0, WATCH).answersByClass()).containsOnlyKeys("lookup", "load");
+        ledger.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        ledger.answered(1, MetricsRecorder.FinalAnswer.DEFERRED);
+        ledger.setClasses(List.of("lookup", "load", "report"));
+        ledger.answered(1, MetricsRecorder.FinalAnswer.ERRORED);
+        assertThat(ledger.snapshot(0, 0, 0, WATCH).answersByClass()).containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
                 .containsEntry("load", new MetricsSnapshot.AnswerCounts(0, 1, 1)).containsEntry("report", new MetricsSnapshot.AnswerCounts(0, 0, 0));
     }
 
     @Test
     void aViewDoesNotChangeWithWhatIsCountedLater() {
-        ledger.classes(List.of("lookup"));
+        ledger.setClasses(List.of("lookup"));
         MetricsSnapshot before = ledger.snapshot(1, 2, 1, WATCH);
-        ledger.ended(0, MetricsRecorder.FinalAnswer.ANSWERED);
-        ledger.sent();
-        assertThat(before.transactions().get("lookup")).isEqualTo(new MetricsSnapshot.AnswerCounts(0, 0, 0));
-        assertThat(before.sends()).isZero();
+        ledger.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        ledger.attemptSent();
+        assertThat(before.answersByClass().get("lookup")).isEqualTo(new MetricsSnapshot.AnswerCounts(0, 0, 0));
+        assertThat(before.attemptsSent()).isZero();
     }
 
     @Test
     void theTextHasEachMetricWithHelpAndTypeAndEscapedLabels() {
-        ledger.classes(List.of("a\"b\\c\nd"));
-        ledger.ended(0, MetricsRecorder.FinalAnswer.ERRORED);
-        ledger.sent();
-        ledger.loaded();
-        ledger.invalid();
-        ledger.invalid();
+        ledger.setClasses(List.of("a\"b\\c\nd"));
+        ledger.answered(0, MetricsRecorder.FinalAnswer.ERRORED);
+        ledger.attemptSent();
+        ledger.configurationLoaded();
+        ledger.configurationRejected();
+        ledger.configurationRejected();
         assertThat(PrometheusText.text(ledger.snapshot(14, 6, 2, WATCH)).lines()).containsExactly(
                 "# HELP gw_transactions_total Requests that got their final answer, by class: served, refused, failed.",
                 "# TYPE gw_transactions_total counter",
--- a/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
+++ b/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
@@ -79,7 +79,7 @@
         assertThat(w.site.classNumbers()).containsOnlyKeys("a");
         w.say(0, true);
         assertThat(w.replies.get(c)).isInstanceOf(Reply.Served.class);
-        assertThat(w.reducer.metrics().transactions()).containsEntry("b", new MetricsSnapshot.AnswerCounts(1, 0, 0));
+        assertThat(w.reducer.metrics().answersByClass()).containsEntry("b", new MetricsSnapshot.AnswerCounts(1, 0, 0));
     }
 
     @Test
@@ -130,7 +130,7 @@
                     w.retune(SimulatedRouter.site(1 + chance.nextInt(4), specs.toArray(new Spec[0])));
                 }
             }
-            Map<String, MetricsSnapshot.AnswerCounts> now = w.reducer.metrics().transactions();
+            Map<String, MetricsSnapshot.AnswerCounts> now = w.reducer.metrics().answersByClass();
             before.forEach((name, row) -> assertThat(now.get(name).answered() + now.get(name).errored()
                     + now.get(name).deferred()).isGreaterThanOrEqualTo(row.answered() + row.errored() + row.deferred()));
             before = now;
@@ -143,9 +143,9 @@
             }
         });
         MetricsSnapshot f = w.reducer.metrics();
-        assertThat(f.transactions().values().stream().mapToLong(r -> r.answered() + r.deferred() + r.errored()).sum())
+        assertThat(f.answersByClass().values().stream().mapToLong(r -> r.answered() + r.deferred() + r.errored()).sum())
                 .isEqualTo(w.asked);
-        assertThat(f.sends()).isEqualTo(w.sends.values().stream().mapToInt(n -> n).sum());
+        assertThat(f.attemptsSent()).isEqualTo(w.sends.values().stream().mapToInt(n -> n).sum());
         assertThat(f.openRequests()).isZero();
     }
 }
