--- /dev/null
+++ b/frontend/src/main/java/quincespar/protocol/http/package-info.java
@@ -0,0 +1,2 @@
+/** Incremental decoders of HTTP/1.1 requests and responses. */
+package quincespar.protocol.http;
--- a/frontend/src/main/java/quincespar/settings/package-info.java
+++ b/frontend/src/main/java/quincespar/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The operators' own file: a line-based form in the manner of classic daemons, read by an ANTLR grammar ({@code
- * Conf.g4}) and checked against one list of what can be set ({@link quincespar.settings.Keyword}). A file is taken whole
- * or not at all, and all that is wrong with it is said at once, each with file, line and column. It knows nothing of
- * what is done with the settings, reads no file by itself, and holds no state.
+ * The operators' settings file: a line-based format with blocks, parsed by an ANTLR grammar ({@code Conf.g4}) and checked
+ * against the list of settings in {@link quincespar.settings.Keyword}. A file is accepted as a whole or rejected with all
+ * its errors at once, each with file, line and column. The package does no file access, keeps no state and does not know
+ * what the settings are used for.
  */
 package quincespar.settings;
--- a/frontend/src/main/java/quincespar/transport/Connection.java
+++ b/frontend/src/main/java/quincespar/transport/Connection.java
@@ -17,33 +17,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One TCP connection on an {@link EventLoop}, with a bounded outbox, so that a peer that does not read holds up
- * nobody. It knows bytes and nothing else. Whoever sends writes at once as far as the system takes it; the loop
- * writes the rest. All that the owner is told comes on the loop's thread, but {@code written}, which comes on the
- * thread that wrote.
+ * A TCP connection on an {@link EventLoop}. It transports bytes and knows nothing of their meaning. The outbox is
+ * bounded, so that a peer that does not read blocks no other work. {@link #send} writes as much as the socket buffer
+ * takes on the caller's thread; the loop writes the rest. Callbacks run on the loop's thread, except {@code written},
+ * which runs on the thread that completed the write.
  */
 public final class Connection {
     private final Logger log = LoggerFactory.getLogger(Connection.class);
-    /** What the owner is told. */
+    /** Callbacks to the owner of the connection. */
     public interface Handler {
-        /** A connection that was dialled is up. */
+        /** An outbound connection has been established. */
         default void opened() { }
 
-        /** Bytes came; the array is used again after the call. */
+        /** Bytes were received; the array is reused after the call. */
         void received(byte[] bytes, int count);
 
-        /** All that lay there has been received, and the peer has not ended the connection behind it. */
+        /** All readable bytes of this pass have been delivered, and the peer has not closed the connection after them. */
         default void readComplete() { }
 
-        /** Whether something is open on it, as far as the owner has read. */
+        /** Whether a request is open on the connection, as far as the owner has decoded what it received. */
         default boolean busy() {
             return false;
         }
 
-        /** It was to be closed if quiet and was not: it is busy, or bytes lay unread and are received next. */
+        /** {@link #closeIfIdle} left it open: it is busy, or there were unread bytes, which are delivered next. */
         default void idleCloseDeclined() { }
 
-        /** The connection is over, nothing more goes out and nothing more is handed on; told once, last of all. */
+        /** The connection is closed; called once, as the last callback. */
         void closed(String cause);
     }
 
@@ -58,7 +58,7 @@
             this.written = written;
         }
 
-        /** Writes as much as the channel takes; false where it was withdrawn. */
+        /** Writes as much as the channel takes; false if the frame was withdrawn. */
         boolean write(SocketChannel to) throws IOException {
             if (write == null) {
                 to.write(bytes);
@@ -75,27 +75,27 @@
         }
     }
 
-    private enum Phase { NEW, DIALLING, OPEN, FINISHING, FINISHED, CLOSED }
+    private enum Phase { NEW, CONNECTING, OPEN, FINISHING, FINISHED, CLOSED }
 
-    /** What a read returns at the peer's end; other negative numbers stand for a call that a signal interrupted. */
+    /** Result of a read at the end of the stream; other negative results mean that a signal interrupted the call. */
     private static final int END_OF_STREAM = -1;
-    /** Reads of one connection in a pass: one that sends at full speed must not keep others waiting. */
-    private static final int READS = 4;
-    /** A peer that has taken nothing of what is queued for so long does not read. */
-    private static final long UNREAD_MS = 5000;
-    /** How long the peer may take to read what was written last, before the close. */
+    /** Limits the reads per pass, so that a peer that sends at full speed does not starve the other connections. */
+    private static final int MAX_READS_PER_PASS = 4;
+    /** A peer that has taken none of the queued bytes for this long is considered not to read. */
+    private static final long WRITE_STALL_TIMEOUT_MS = 5000;
+    /** Delay between the end of the output and the close, in which the peer can read the last bytes. */
     private static final long LINGER_MS = 200;
-    /** What is still read and dropped meanwhile. */
-    private static final int LINGER_BYTES = 64 * 1024;
+    /** Limit on the bytes that are read and discarded during a graceful close. */
+    private static final int MAX_LINGER_BYTES = 64 * 1024;
 
-    /** The cause of the end of a connection that was given so long to come up. */
-    public static final String CONNECT_TIMEOUT = "connect: not up in time";
+    /** Close cause of a connection that was not established within its timeout. */
+    public static final String CONNECT_TIMEOUT = "connect: timed out";
 
     private final EventLoop loop;
     private final String name;
-    private final OutboxLimit bound;
+    private final OutboxLimit limit;
     private final ArrayDeque<Frame> outbox = new ArrayDeque<>();
-    private final EventLoop.Ready ready = new EventLoop.Ready() {
+    private final EventLoop.ChannelHandler channelHandler = new EventLoop.ChannelHandler() {
         @Override
         public void ready(SelectionKey k) {
             Connection.this.ready(k);
@@ -110,65 +110,65 @@
     private SelectionKey key;
     private Handler handler;
     private Phase phase = Phase.NEW;
-    private boolean gone;
+    private boolean endedByPeer;
     private volatile boolean failedLocally;
-    private int pending;
-    private int dropped;
-    /** When the peer last took something of what is queued, or the first of it was queued. */
-    private long takenAt;
+    private int queuedBytes;
+    private int discardedBytes;
+    /** When the peer last took queued bytes, or when the first frame was queued; {@link System#nanoTime}. */
+    private long lastWriteProgressAt;
     private String cause = "closed here";
 
-    private Connection(EventLoop loop, SocketChannel channel, String name, OutboxLimit bound) {
+    private Connection(EventLoop loop, SocketChannel channel, String name, OutboxLimit limit) {
         this.loop = loop;
         this.channel = channel;
         this.name = name;
-        this.bound = bound;
+        this.limit = limit;
     }
 
-    /** Takes over a channel that was accepted; nothing is read or written before {@link #start}. */
-    public static Connection accepted(EventLoop loop, SocketChannel channel, String name, OutboxLimit bound) {
-        return new Connection(loop, channel, name, bound);
+    /** Wraps an accepted channel; nothing is read or written before {@link #start}. */
+    public static Connection accepted(EventLoop loop, SocketChannel channel, String name, OutboxLimit limit) {
+        return new Connection(loop, channel, name, limit);
     }
 
-    /** A connection that is not yet dialled; what is sent before it is up waits in the outbox. */
-    public static Connection outbound(EventLoop loop, String name, OutboxLimit bound) {
-        return new Connection(loop, null, name, bound);
+    /** An outbound connection that is not yet connecting; frames sent before it is established wait in the outbox. */
+    public static Connection outbound(EventLoop loop, String name, OutboxLimit limit) {
+        return new Connection(loop, null, name, limit);
     }
 
-    /** Begins to connect; the handler hears {@code opened} or {@code closed}. */
+    /** Begins to connect; the handler gets {@code opened} or {@code closed}. */
     public void connect(InetSocketAddress address, Handler to) {
         handler = to;
         loop.execute(() -> beginConnect(address));
     }
 
-    /** The same; one that is not up after so long is closed. */
-    public void connect(InetSocketAddress address, Handler to, long upWithinMs) {
+    /** Begins to connect, and closes the connection with {@link #CONNECT_TIMEOUT} if it is not established in time. */
+    public void connect(InetSocketAddress address, Handler to, long timeoutMs) {
         handler = to;
         loop.execute(() -> {
             beginConnect(address);
-            loop.after(upWithinMs, () -> {
-                if (phase() == Phase.DIALLING) {
+            loop.after(timeoutMs, () -> {
+                if (phase() == Phase.CONNECTING) {
                     close(CONNECT_TIMEOUT);
                 }
             });
         });
     }
 
-    /** Starts to read and write an accepted connection. */
+    /** Starts reading and writing an accepted connection. */
     public void start(Handler to) {
         handler = to;
         loop.execute(() -> {
             try {
-                prepare();
-                key = loop.register(channel, SelectionKey.OP_READ, ready);
-                up();
+                configureChannel();
+                key = loop.register(channel, SelectionKey.OP_READ, channelHandler);
+                markOpen();
             } catch (IOException e) {
                 close("start: " + e.getMessage());
             }
         });
     }
 
-    private void prepare() throws IOException {
+    private void configureChannel() throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
@@ -178,16 +178,16 @@
             if (phase != Phase.NEW) {
                 return;
             }
-            phase = Phase.DIALLING;
+            phase = Phase.CONNECTING;
         }
         try {
             channel = SocketChannel.open();
-            prepare();
-            boolean at = channel.connect(address);
-            key = loop.register(channel, at ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, ready);
-            if (at) {
+            configureChannel();
+            boolean connected = channel.connect(address);
+            key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, channelHandler);
+            if (connected) {
                 handler.opened();
-                up();
+                markOpen();
             }
         } catch (ConnectException | NoRouteToHostException e) {
             close("connect: " + e.getMessage());
@@ -197,74 +197,77 @@
         }
     }
 
-    /** Whether it is over because this machine could not even begin to connect, as where it has no address or descriptor left. */
+    /** Whether connecting failed on this machine, before reaching the peer: for example no free descriptor or local port. */
     public boolean failedLocally() {
         return failedLocally;
     }
 
-    /** Queues a frame; false where the outbox is full or the connection over, and then nothing goes out. */
+    /** Queues a frame; false if the outbox is full or the connection is closing, in which case nothing is sent. */
     public boolean send(byte[] bytes) {
         return send(bytes, null, null);
     }
 
-    /** As {@link #send(byte[])}: only if {@code write} was not withdrawn at the first byte; {@code written} follows. */
+    /**
+     * As {@link #send(byte[])}, but skips the frame if {@code write} is withdrawn before its first byte is written.
+     * {@code written} runs after the last byte.
+     */
     public boolean send(byte[] bytes, WithdrawableWrite write, Runnable written) {
-        List<Runnable> told = new ArrayList<>(1);
+        List<Runnable> callbacks = new ArrayList<>(1);
         synchronized (outbox) {
-            if (phase.compareTo(Phase.FINISHING) >= 0 || !bound.reserve(pending, bytes.length)) {
+            if (phase.compareTo(Phase.FINISHING) >= 0 || !limit.reserve(queuedBytes, bytes.length)) {
                 return false;
             }
-            pending += bytes.length;
+            queuedBytes += bytes.length;
             boolean first = outbox.isEmpty();
             outbox.add(new Frame(bytes, write, written));
-            takenAt = first ? System.nanoTime() : takenAt;
+            lastWriteProgressAt = first ? System.nanoTime() : lastWriteProgressAt;
             if (first && phase == Phase.OPEN) {
-                write(told);
+                write(callbacks);
             }
         }
-        told.forEach(Runnable::run); // without the lock: who is told may wait for room, and others send here
+        callbacks.forEach(Runnable::run); // outside the lock: a callback may block, and other threads send here
         return true;
     }
 
-    /** Writes as much as the system takes; the loop goes on with the rest. Called with the lock. */
-    private void write(List<Runnable> told) {
+    /** Writes as much as the socket buffer takes; the loop writes the rest. Called with the lock on the outbox held. */
+    private void write(List<Runnable> callbacks) {
         try {
             while (!outbox.isEmpty()) {
                 Frame f = outbox.peek();
                 int before = f.bytes.position();
                 if (f.write(channel)) {
-                    takenAt = f.bytes.position() > before ? System.nanoTime() : takenAt;
+                    lastWriteProgressAt = f.bytes.position() > before ? System.nanoTime() : lastWriteProgressAt;
                     if (f.bytes.hasRemaining()) {
-                        loop.execute(() -> interest(SelectionKey.OP_WRITE, true));
+                        loop.execute(() -> setInterest(SelectionKey.OP_WRITE, true));
                         return;
                     }
                     if (f.written != null) {
-                        told.add(f.written);
+                        callbacks.add(f.written);
                     }
                 }
                 outbox.poll();
-                pending -= f.size();
-                bound.release(f.size());
+                queuedBytes -= f.size();
+                limit.release(f.size());
             }
             if (phase == Phase.FINISHING) {
                 phase = Phase.FINISHED;
-                loop.now(this::linger);
+                loop.executeInLoop(this::shutDownOutput);
             }
         } catch (IOException e) {
-            gone("write: " + e.getMessage());
+            closeByPeer("write: " + e.getMessage());
         } catch (OutOfMemoryError e) {
             close("writing: " + e.getMessage());
         }
     }
 
-    private void interest(int op, boolean on) {
+    private void setInterest(int op, boolean on) {
         if (key != null && key.isValid()) {
             key.interestOps(on ? key.interestOps() | op : key.interestOps() & ~op);
         }
     }
 
-    /** All is written: tells the peer so, and gives it a moment to read that; a close at once might destroy it. */
-    private void linger() {
+    /** Ends the output after the last byte and closes after a delay: an immediate close could discard unread bytes. */
+    private void shutDownOutput() {
         try {
             channel.shutdownOutput();
             loop.after(LINGER_MS, () -> close("finished"));
@@ -273,9 +276,9 @@
         }
     }
 
-    private void up() {
+    private void markOpen() {
         synchronized (outbox) {
-            if (phase == Phase.NEW || phase == Phase.DIALLING) {
+            if (phase == Phase.NEW || phase == Phase.CONNECTING) {
                 phase = Phase.OPEN;
             }
         }
@@ -283,31 +286,31 @@
     }
 
     private void flush() {
-        List<Runnable> told = new ArrayList<>(1);
+        List<Runnable> callbacks = new ArrayList<>(1);
         synchronized (outbox) {
             if (phase == Phase.OPEN || phase == Phase.FINISHING) {
-                write(told);
+                write(callbacks);
             }
         }
-        told.forEach(Runnable::run);
+        callbacks.forEach(Runnable::run);
     }
 
-    private void gone(String why) {
+    private void closeByPeer(String why) {
         synchronized (outbox) {
-            gone |= phase != Phase.CLOSED;
+            endedByPeer |= phase != Phase.CLOSED;
             close(why);
         }
     }
 
-    /** Closes; what is queued is dropped. */
+    /** Closes the connection and drops the queued frames. */
     public void close(String why) {
-        if (closing(why)) {
-            loop.execute(this::over);
+        if (markClosed(why)) {
+            loop.execute(this::release);
         }
     }
 
-    /** False where it was closed before. */
-    private boolean closing(String why) {
+    /** Marks the connection as closed; false if it already was. */
+    private boolean markClosed(String why) {
         synchronized (outbox) {
             if (phase == Phase.CLOSED) {
                 return false;
@@ -315,57 +318,57 @@
             phase = Phase.CLOSED;
             cause = why;
             outbox.clear();
-            bound.release(pending); // with the end, what is still queued frees its room in the bound that others share
-            pending = 0;
+            limit.release(queuedBytes); // dropped frames no longer count against the shared limit
+            queuedBytes = 0;
             return true;
         }
     }
 
     /**
-     * Closes where the connection is quiet, and says {@link Handler#idleCloseDeclined} otherwise. Guards against closing for
-     * idleness what has just been asked on: on a busy core a request may have come and not have been read yet, or may
-     * still be on its way to whoever decides on the close; and an answer may lie here until the peer has read what is
-     * before it. The peer is told in the same task: what comes between the look and the end goes unanswered, and other
-     * connections' tasks would make that longer.
+     * Closes the connection if it is idle, and calls {@link Handler#idleCloseDeclined} otherwise. A connection can look
+     * idle to the caller and not be: on a busy core a request may have arrived without having been read or processed
+     * yet, and an answer may wait in the outbox for a slow peer. Check and close run in one task, because a request
+     * that arrives between them is lost, and tasks of other connections in between would widen that window.
      */
     public void closeIfIdle(String why) {
         loop.execute(() -> {
-            if (quiet(true) && closing(why)) {
-                over();
+            if (receiveAndCheckIdle(true) && markClosed(why)) {
+                release();
             }
         });
     }
 
-    /** Closes as {@link #finish} does where the connection is quiet; otherwise it stays. The peer is told in the same task. */
+    /** Calls {@link #finish} if the connection is idle, in the same task as the check; otherwise does nothing. */
     public void finishIfIdle() {
         loop.execute(() -> {
-            if (quiet(false)) {
+            if (receiveAndCheckIdle(false)) {
                 finish();
             }
         });
     }
 
     /**
-     * Whether it may end at this moment: nothing is open, nothing lies unread and nothing is still to be written. What
-     * lay unread is handed on. {@code told}: the owner hears where it may not.
+     * Whether no request is open and nothing is unread or unsent. Unread bytes are delivered to the handler. With
+     * {@code notify} the handler gets {@link Handler#idleCloseDeclined} if the connection is not idle.
      */
-    private boolean quiet(boolean told) {
+    private boolean receiveAndCheckIdle(boolean notify) {
         if (phase() != Phase.OPEN) {
-            return false; // its end is on its way
+            return false; // already closing, or not yet open
         }
-        if (handler.busy() || unsent()) {
-            if (told) {
+        if (handler.busy() || hasUnsentData()) {
+            if (notify) {
                 handler.idleCloseDeclined();
             }
             return false;
         }
-        return !receive(told) && phase() == Phase.OPEN;
+        return !receive(notify) && phase() == Phase.OPEN;
     }
 
-    /** Whether something is still to be written, to a peer that reads. */
-    private boolean unsent() {
+    /** Whether bytes are queued for a peer that still takes some. */
+    private boolean hasUnsentData() {
         synchronized (outbox) {
-            return !outbox.isEmpty() && System.nanoTime() - takenAt < TimeUnit.MILLISECONDS.toNanos(UNREAD_MS);
+            return !outbox.isEmpty() && System.nanoTime() - lastWriteProgressAt
+                    < TimeUnit.MILLISECONDS.toNanos(WRITE_STALL_TIMEOUT_MS);
         }
     }
 
@@ -375,14 +378,14 @@
         }
     }
 
-    /** Whether it is over because the peer closed or reset it, and not by a close from here. */
+    /** Whether the peer closed or reset the connection, as opposed to a close from this side. */
     public boolean closedByPeer() {
         synchronized (outbox) {
-            return phase == Phase.CLOSED && gone;
+            return phase == Phase.CLOSED && endedByPeer;
         }
     }
 
-    /** Closes once all that is queued has been written, and the peer has had a moment to read it. */
+    /** Closes gracefully: once all queued frames are written and the peer has had a short time to read them. */
     public void finish() {
         synchronized (outbox) {
             if (phase.compareTo(Phase.FINISHING) >= 0) {
@@ -391,25 +394,25 @@
             boolean open = phase == Phase.OPEN;
             phase = Phase.FINISHING;
             if (open && outbox.isEmpty()) {
-                write(new ArrayList<>(0)); // nothing is queued, so nobody is told
+                write(new ArrayList<>(0)); // no frames are queued, so there are no callbacks
                 return;
             }
         }
-        loop.execute(this::endUnread);
+        loop.execute(this::checkWriteProgress);
     }
 
-    /** What is queued last goes out for as long as the peer takes some of it. */
-    private void endUnread() {
+    /** Closes a finishing connection once the peer stops taking queued bytes. */
+    private void checkWriteProgress() {
         if (phase() == Phase.FINISHING) {
-            if (unsent()) {
-                loop.after(UNREAD_MS / 10, this::endUnread);
+            if (hasUnsentData()) {
+                loop.after(WRITE_STALL_TIMEOUT_MS / 10, this::checkWriteProgress);
             } else {
                 close("the peer does not read");
             }
         }
     }
 
-    private void over() {
+    private void release() {
         try {
             if (key != null) {
                 key.cancel();
@@ -418,7 +421,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            log.atWarn().addKeyValue("connection", name).log("closing: {}", e.getMessage());
+            log.atWarn().addKeyValue("connection", name).log("error while closing the channel: {}", e.getMessage());
         }
         if (handler != null) {
             handler.closed(cause);
@@ -427,10 +430,10 @@
 
     private void ready(SelectionKey k) {
         if (k.isConnectable()) {
-            connected();
+            finishConnect();
         }
         if (k.isValid() && k.isWritable()) {
-            interest(SelectionKey.OP_WRITE, false);
+            setInterest(SelectionKey.OP_WRITE, false);
             flush();
         }
         if (k.isValid() && k.isReadable()) {
@@ -439,73 +442,73 @@
     }
 
     /**
-     * Reads until nothing more lies there, within bounds, and hands it on; true where something came or may lie there. The owner hears at
-     * once whether the peer has ended the connection behind it, and not in a later pass: guards against work for one who
-     * has gone, as after a time in which nothing was read.
+     * Reads until the socket buffer is empty, up to the limit per pass, and delivers the bytes; true if some were read or
+     * may still be unread. Reading on to the end of the stream in the same pass tells the owner at once if the peer has
+     * closed the connection, which avoids work for a peer that is gone, for example after a pause of this process.
      */
-    private boolean receive(boolean toClose) {
-        boolean some = false;
+    private boolean receive(boolean notify) {
+        boolean received = false;
         boolean interrupted = false;
-        for (int i = 0; i < READS; i++) {
+        for (int i = 0; i < MAX_READS_PER_PASS; i++) {
             int n;
             try {
                 n = channel.read(loop.buffer());
             } catch (IOException e) {
-                gone("read: " + e.getMessage());
-                return some;
+                closeByPeer("read: " + e.getMessage());
+                return received;
             }
             if (n == END_OF_STREAM) {
-                gone("closed by the peer");
-                return some;
+                closeByPeer("closed by the peer");
+                return received;
             }
             if (n == 0) {
                 break;
             }
             interrupted |= n < 0;
             if (n > 0) {
-                if (toClose && !some) {
+                if (notify && !received) {
                     handler.idleCloseDeclined();
                 }
-                some = true;
-                handle(n);
+                received = true;
+                deliver(n);
             }
         }
-        if (some) {
+        if (received) {
             handler.readComplete();
-        } else if (interrupted && toClose) {
-            handler.idleCloseDeclined(); // something may lie there
+        } else if (interrupted && notify) {
+            handler.idleCloseDeclined(); // there may be unread bytes
         }
-        return some || interrupted;
+        return received || interrupted;
     }
 
-    private void connected() {
+    private void finishConnect() {
         try {
             if (!channel.finishConnect()) {
-                return; // a signal interrupted the look: the selector tells again
+                return; // interrupted by a signal: the selector reports the key again
             }
         } catch (IOException e) {
             close("connect: " + e.getMessage());
             return;
         }
-        interest(SelectionKey.OP_CONNECT, false);
-        interest(SelectionKey.OP_READ, true);
+        setInterest(SelectionKey.OP_CONNECT, false);
+        setInterest(SelectionKey.OP_READ, true);
         handler.opened();
-        up();
+        markOpen();
     }
 
-    private void handle(int n) {
-        boolean over;
+    private void deliver(int n) {
+        boolean closed;
         synchronized (outbox) {
-            over = phase == Phase.CLOSED;
+            closed = phase == Phase.CLOSED;
             if (phase == Phase.FINISHING || phase == Phase.FINISHED) {
-                over = true;
-                dropped += n;
+                closed = true;
+                discardedBytes += n;
             }
         }
-        if (!over) {
-            handler.received(loop.bytes(), n);
-        } else if (dropped > LINGER_BYTES) {
-            interest(SelectionKey.OP_READ, false);
+        if (!closed) {
+            handler.received(loop.bufferedBytes(), n);
+        } else if (discardedBytes > MAX_LINGER_BYTES) {
+            setInterest(SelectionKey.OP_READ, false);
         }
     }
 }
--- a/frontend/src/main/java/quincespar/transport/EventLoop.java
+++ b/frontend/src/main/java/quincespar/transport/EventLoop.java
@@ -18,65 +18,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that waits for many sockets at once and handles whichever is ready, so that a connection which says
- * nothing costs a descriptor and some hundred bytes and no thread. Guards against a crowd that connects and says
- * nothing: with a thread each, starting and ending those threads used up the front end's part of the core.
+ * A single-threaded event loop over a {@link Selector}. An idle connection costs a descriptor and a few hundred bytes
+ * but no thread: with a thread per connection, starting and ending the threads of many idle connections used up the
+ * front end's share of the core.
  */
 public final class EventLoop {
     private final Logger log = LoggerFactory.getLogger(EventLoop.class);
-    /** What is told when its channel is ready, on the loop's thread. */
-    interface Ready {
-        /** The channel of this key can be read, written, connected or accepted from. */
+    /** Handles the readiness of a channel, on the loop's thread. */
+    interface ChannelHandler {
+        /** The channel of this key is ready for an operation that it is registered for. */
         void ready(SelectionKey key);
 
-        /** Handling failed with something unforeseen; the channel must end, and nothing else. */
+        /** {@link #ready} threw; the handler must close its channel, and the loop continues. */
         void failed(Throwable error);
     }
 
-    private record Due(long at, Runnable task) { }
+    private record DelayedTask(long dueAtNanos, Runnable task) { }
 
-    /** Between two waits for events that fail. */
-    private static final long RETRY_MS = 10;
-    private static final int CHUNK = 16 * 1024;
+    /** Delay after a failed select. */
+    private static final long SELECT_RETRY_MS = 10;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     private final String name;
     private final Selector selector;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Due> delayed = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final AtomicBoolean woken = new AtomicBoolean();
-    private final ByteBuffer direct = ByteBuffer.allocateDirect(CHUNK);
-    private final byte[] chunk = new byte[CHUNK];
+    private final PriorityQueue<DelayedTask> delayedTasks =
+            new PriorityQueue<>(Comparator.comparingLong(DelayedTask::dueAtNanos));
+    private final AtomicBoolean wakeupPending = new AtomicBoolean();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+    private final byte[] readBytes = new byte[READ_BUFFER_BYTES];
     private final Thread thread;
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
-    /** A loop that is not yet started; throws {@link IOException} where the system gives no selector. */
+    /** Creates a loop that is not yet started; throws {@link IOException} if no selector can be opened. */
     public EventLoop(String name) throws IOException {
         this.name = name;
         selector = Retry.atStartup(Selector::open);
         thread = Threads.daemon(name, this::run);
     }
 
-    /** Starts the thread. */
     public void start() {
         thread.start();
     }
 
-    /** Ends the thread; channels that are registered stay as they are. */
+    /** Stops the thread; registered channels stay open. */
     public void stop() {
-        ended = true;
+        stopped = true;
         selector.wakeup();
     }
 
-    /** Runs a task on the loop's thread, in the order given. */
+    /** Runs a task on the loop's thread; tasks run in the order in which they were added. */
     public void execute(Runnable task) {
         tasks.add(task);
-        if (Thread.currentThread() != thread && woken.compareAndSet(false, true)) {
+        if (Thread.currentThread() != thread && wakeupPending.compareAndSet(false, true)) {
             selector.wakeup();
         }
     }
 
-    /** Runs a task on the loop's thread: at once where this is that thread, and else in its turn. */
-    void now(Runnable task) {
+    /** Runs a task on the loop's thread: immediately if called on it, and else queued as by {@link #execute}. */
+    void executeInLoop(Runnable task) {
         if (Thread.currentThread() == thread) {
             task.run();
         } else {
@@ -84,95 +84,95 @@
         }
     }
 
-    /** Runs a task on the loop's thread once all that is readable by now has been handled. */
+    /** Runs a task on the loop's thread once everything that is readable now has been handled. */
     public void executeAfterReads(Runnable task) {
         execute(() -> after(0, () -> after(0, task)));
     }
 
-    /** Runs a task after a delay in milliseconds; on the loop's thread only. */
+    /** Runs a task after a delay; call on the loop's thread only. */
     void after(long delayMs, Runnable task) {
-        delayed.add(new Due(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs), task));
+        delayedTasks.add(new DelayedTask(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs), task));
     }
 
-    SelectionKey register(SelectableChannel channel, int ops, Ready ready) throws IOException {
-        return channel.register(selector, ops, ready);
+    SelectionKey register(SelectableChannel channel, int ops, ChannelHandler handler) throws IOException {
+        return channel.register(selector, ops, handler);
     }
 
-    /** Takes a channel off the loop before the next wait; on the loop's thread only, from a task. */
-    void forget(SelectionKey key) throws IOException {
+    /** Deregisters a channel at once; call on the loop's thread only, from a task. */
+    void deregister(SelectionKey key) throws IOException {
         key.cancel();
-        selector.selectNow(this::ready); // only a further look drops what was cancelled
+        selector.selectNow(this::ready); // the selector drops cancelled keys only in a further select
     }
 
-    /** The buffer that all channels of this loop are read through, empty; on the loop's thread only. */
+    /** The read buffer shared by all channels of this loop, cleared; call on the loop's thread only. */
     ByteBuffer buffer() {
-        return direct.clear();
+        return readBuffer.clear();
     }
 
-    /** What {@link #buffer} holds, as an array that is used again; its length is the buffer's position. */
-    byte[] bytes() {
-        int n = direct.position();
-        direct.get(0, chunk, 0, n);
-        return chunk;
+    /** The contents of {@link #buffer} as an array that is reused; the buffer's position says how many bytes are valid. */
+    byte[] bufferedBytes() {
+        int length = readBuffer.position();
+        readBuffer.get(0, readBytes, 0, length);
+        return readBytes;
     }
 
     private void run() {
-        while (!ended) {
+        while (!stopped) {
             try {
-                woken.set(false);
-                work();
-                long wait = waitMs();
-                if (wait < 0) {
+                wakeupPending.set(false);
+                runTasks();
+                long timeoutMs = selectTimeoutMs();
+                if (timeoutMs < 0) {
                     selector.select(this::ready);
-                } else if (wait == 0) {
+                } else if (timeoutMs == 0) {
                     selector.selectNow(this::ready);
                 } else {
-                    selector.select(this::ready, wait);
+                    selector.select(this::ready, timeoutMs);
                 }
             } catch (ClosedSelectorException e) {
-                log.error("loop {}: its selector is closed, nothing can be served", name, e);
-                ended = true;
+                log.error("event loop {}: the selector is closed; the loop stops", name, e);
+                stopped = true;
             } catch (IOException e) {
-                log.error("loop {}: waiting failed, tried again in {} ms: {}", name, RETRY_MS, e.getMessage());
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_MS));
+                log.error("event loop {}: select failed; retrying in {} ms: {}", name, SELECT_RETRY_MS, e.getMessage());
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(SELECT_RETRY_MS));
             } catch (RuntimeException | OutOfMemoryError e) {
-                log.error("loop {}", name, e);
+                log.error("event loop {}: a task failed", name, e);
             }
         }
     }
 
-    private void work() {
-        for (Runnable t = tasks.poll(); t != null; t = tasks.poll()) {
-            t.run();
+    private void runTasks() {
+        for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+            task.run();
         }
         long now = System.nanoTime();
-        while (!delayed.isEmpty() && delayed.peek().at() - now <= 0) {
-            delayed.poll().task().run();
+        while (!delayedTasks.isEmpty() && delayedTasks.peek().dueAtNanos() - now <= 0) {
+            delayedTasks.poll().task().run();
         }
     }
 
-    /** How long nothing is due: negative for ever, 0 not at all. */
-    private long waitMs() {
+    /** Time until the next task is due: negative if there is none, 0 if it is due now. */
+    private long selectTimeoutMs() {
         if (!tasks.isEmpty()) {
             return 0;
         }
-        if (delayed.isEmpty()) {
+        if (delayedTasks.isEmpty()) {
             return -1;
         }
-        long nanos = delayed.peek().at() - System.nanoTime();
+        long nanos = delayedTasks.peek().dueAtNanos() - System.nanoTime();
         return nanos <= 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(nanos) + 1;
     }
 
     private void ready(SelectionKey key) {
-        Ready r = (Ready) key.attachment();
+        ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
-            r.ready(key);
-        } catch (CancelledKeyException e) { // closed by a task in this same pass: its end has been told
-            r.failed(e);
+            handler.ready(key);
+        } catch (CancelledKeyException e) { // closed by a task in this pass, and its owner was notified
+            handler.failed(e);
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
-            // what a peer sends must end its own connection at most
-            log.error("loop {}", name, e);
-            r.failed(e);
+            // input from a peer must at most close its own connection
+            log.error("event loop {}: a channel handler failed", name, e);
+            handler.failed(e);
         }
     }
 }
--- a/frontend/src/main/java/quincespar/transport/Listener.java
+++ b/frontend/src/main/java/quincespar/transport/Listener.java
@@ -10,87 +10,87 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts connections on one address, on an {@link EventLoop}, until it is closed. */
+/** Accepts connections on one address, on an {@link EventLoop}. */
 public final class Listener {
     private final Logger log = LoggerFactory.getLogger(Listener.class);
-    /** Takes what is accepted, on the loop's thread. */
+    /** Receives accepted connections, on the loop's thread. */
     public interface Acceptor {
-        /** Whether there is a place for one more; else new ones wait in the system's queue until {@link #resume}. */
+        /** Whether one more connection can be accepted; if not, others wait in the accept queue until {@link #resume}. */
         boolean hasCapacity();
 
-        /** Takes one over. */
+        /** Takes ownership of an accepted channel. */
         void accept(SocketChannel channel);
     }
 
     private static final int BACKLOG = 1024;
-    /** Accepted in a pass, so that a crowd that connects does not keep those waiting that have asked. */
-    private static final int ACCEPTS = 16;
-    private static final long PAUSE_MS = 20;
-    /** At the close, accepting is tried again for so long where it fails. */
+    /** Limits the accepts per pass, so that many new connections do not delay requests on existing ones. */
+    private static final int MAX_ACCEPTS_PER_PASS = 16;
+    private static final long RETRY_DELAY_MS = 20;
+    /** How long the close retries an accept that fails. */
     private static final long CLOSE_RETRY_MS = 1000;
-    /** At the close the queue has to look empty so often: a call that a signal interrupted looks the same. */
-    private static final int EMPTY_LOOKS = 5;
+    /** How often the close must find the accept queue empty: an accept interrupted by a signal looks the same. */
+    private static final int EMPTY_CHECKS = 5;
 
-    private enum Accepted { TAKEN, NONE_WAITS, FAILED }
+    private enum AcceptResult { ACCEPTED, QUEUE_EMPTY, FAILED }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final ServerSocketChannel channel;
-    private final EventLoop.Ready ready = new EventLoop.Ready() {
+    private final EventLoop.ChannelHandler channelHandler = new EventLoop.ChannelHandler() {
         @Override
         public void ready(SelectionKey k) {
-            accept(ACCEPTS);
+            accept(MAX_ACCEPTS_PER_PASS);
         }
 
         @Override
         public void failed(Throwable error) {
-            pause();
+            pauseAccepting();
         }
     };
     private SelectionKey key;
     private Acceptor acceptor;
 
-    /** A listener for an address, not yet bound; {@code shared}: other processes of this user may listen there too. */
+    /** Creates an unbound listener; with {@code shared} other processes of this user may listen on the address too. */
     public Listener(EventLoop loop, InetSocketAddress address, boolean shared) throws IOException {
         this.loop = loop;
         this.address = address;
         channel = Retry.atStartup(ServerSocketChannel::open);
         channel.configureBlocking(false);
-        channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // a planned restart binds it again at once
+        channel.setOption(StandardSocketOptions.SO_REUSEADDR, true); // allows a planned restart to bind the address at once
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
-        } catch (IOException | UnsupportedOperationException e) { // then the address can't be shared, all else goes on
-            log.info("listener: {} will not be shared: {}", address, e.getMessage());
+        } catch (IOException | UnsupportedOperationException e) { // without it only sharing the address is impossible
+            log.info("listener: {} can't be shared with other processes: {}", address, e.getMessage());
         }
     }
 
     /**
-     * Binds the address. From here on the system takes connections and they wait: another process that shares the
-     * address gets no more than its part, so this is done only when all is ready. Nothing is accepted before
-     * {@link #start}. Throws {@link IOException} where the address can't be bound.
+     * Binds the address. From here on the kernel queues connections for this listener, and of a shared address it takes
+     * its share from the other processes, so bind only when everything else is ready. Nothing is accepted before
+     * {@link #start}. Throws {@link IOException} if the address can't be bound.
      */
     public void bind() throws IOException {
         Retry.atStartup(() -> channel.bind(address, BACKLOG));
     }
 
-    /** The port that is bound. */
+    /** The bound port. */
     public int port() throws IOException {
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Begins to accept. */
-    public void start(Acceptor to) {
+    /** Starts accepting. */
+    public void start(Acceptor target) {
         loop.execute(() -> {
-            acceptor = to;
+            acceptor = target;
             try {
-                key = loop.register(channel, SelectionKey.OP_ACCEPT, ready);
+                key = loop.register(channel, SelectionKey.OP_ACCEPT, channelHandler);
             } catch (IOException e) {
-                log.warn("listener: {}", e.getMessage());
+                log.warn("listener: can't register with the event loop: {}", e.getMessage());
             }
         });
     }
 
-    /** There may be room again. */
+    /** Resumes accepting if the acceptor has capacity again. */
     public void resume() {
         loop.execute(() -> {
             if (key != null && key.isValid() && acceptor.hasCapacity()) {
@@ -99,83 +99,84 @@
         });
     }
 
-    private void accept(int most) {
-        for (int i = 0; i < most; i++) {
+    private void accept(int max) {
+        for (int i = 0; i < max; i++) {
             if (!acceptor.hasCapacity()) {
                 key.interestOps(0);
                 return;
             }
-            Accepted one = acceptOne();
-            if (one == Accepted.FAILED) {
-                pause();
+            AcceptResult result = acceptOne();
+            if (result == AcceptResult.FAILED) {
+                pauseAccepting();
             }
-            if (one != Accepted.TAKEN) {
+            if (result != AcceptResult.ACCEPTED) {
                 return;
             }
         }
     }
 
-    private Accepted acceptOne() {
+    private AcceptResult acceptOne() {
         try {
-            SocketChannel c = channel.accept();
-            if (c == null) {
-                return Accepted.NONE_WAITS;
+            SocketChannel accepted = channel.accept();
+            if (accepted == null) {
+                return AcceptResult.QUEUE_EMPTY;
             }
-            acceptor.accept(c);
-            return Accepted.TAKEN;
-        } catch (IOException e) { // out of descriptors, or a client gone before it was accepted
-            log.warn("listener: {}", e.getMessage());
-            return Accepted.FAILED;
+            acceptor.accept(accepted);
+            return AcceptResult.ACCEPTED;
+        } catch (IOException e) { // out of descriptors, or the client left before it was accepted
+            log.warn("listener: accept failed: {}", e.getMessage());
+            return AcceptResult.FAILED;
         }
     }
 
-    /** Guards against a loop that spins on a queue that it can't empty, as where descriptors have run out. */
-    private void pause() {
+    /** Pauses accepting, so that the loop does not spin while accepts fail, for example without free descriptors. */
+    private void pauseAccepting() {
         if (key != null && key.isValid()) {
             key.interestOps(0);
-            loop.after(PAUSE_MS, this::resume);
+            loop.after(RETRY_DELAY_MS, this::resume);
         }
     }
 
     /**
-     * Accepts all that wait in the system's queue, room or not, and then no more; {@code closed} follows. Where accepting
-     * fails for a moment it is tried again for a while, as the close resets whatever waits. What comes
-     * between the last accept and the close is reset by the system: guards against more than a moment there. A channel
-     * that is still on the loop is closed by the loop's next look only, so it is taken off first.
+     * Accepts all connections in the accept queue regardless of capacity, closes the listener and runs {@code closed}. An
+     * accept that fails is retried for a while, because closing resets every connection in the queue. The channel is
+     * deregistered first: a registered channel is only closed by the next select, and connections that arrive between
+     * the last accept and the close are reset.
      */
     public void close(Runnable closed) {
         loop.execute(() -> {
             log.info("closing the listener at {}", address);
             try {
                 if (key != null) {
-                    loop.forget(key);
+                    loop.deregister(key);
                 }
             } catch (IOException e) {
-                log.warn("listener: closing: {}", e.getMessage());
+                log.warn("listener: can't deregister from the event loop: {}", e.getMessage());
             }
             closeOnceEmpty(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_RETRY_MS), 1, closed);
         });
     }
 
-    private Accepted acceptAll() {
-        Accepted last = key == null ? Accepted.NONE_WAITS : acceptOne();
-        while (last == Accepted.TAKEN) {
+    private AcceptResult acceptAll() {
+        AcceptResult last = key == null ? AcceptResult.QUEUE_EMPTY : acceptOne();
+        while (last == AcceptResult.ACCEPTED) {
             last = acceptOne();
         }
         return last;
     }
 
-    private void closeOnceEmpty(long until, int looks, Runnable closed) {
-        Accepted last = acceptAll();
-        boolean again = last == Accepted.FAILED ? System.nanoTime() - until < 0 : looks < EMPTY_LOOKS;
-        if (again && key != null) {
-            loop.after(PAUSE_MS, () -> closeOnceEmpty(until, last == Accepted.FAILED ? 1 : looks + 1, closed));
+    private void closeOnceEmpty(long retryUntilNanos, int emptyChecks, Runnable closed) {
+        AcceptResult last = acceptAll();
+        boolean retry = last == AcceptResult.FAILED ? System.nanoTime() - retryUntilNanos < 0 : emptyChecks < EMPTY_CHECKS;
+        if (retry && key != null) {
+            int nextCheck = last == AcceptResult.FAILED ? 1 : emptyChecks + 1;
+            loop.after(RETRY_DELAY_MS, () -> closeOnceEmpty(retryUntilNanos, nextCheck, closed));
             return;
         }
         try {
             channel.close();
         } catch (IOException e) {
-            log.warn("listener: closing: {}", e.getMessage());
+            log.warn("listener: close failed: {}", e.getMessage());
         }
         closed.run();
     }
--- a/frontend/src/main/java/quincespar/transport/OutboxLimit.java
+++ b/frontend/src/main/java/quincespar/transport/OutboxLimit.java
@@ -3,32 +3,34 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds what waits to be written, for one connection and for all that share this object. Guards against many
- * peers that stop reading at once: each within its own bound, together they would fill the heap.
+ * Limits the bytes queued for writing, per connection and for all connections that share this object. The shared limit
+ * protects the heap when many peers stop reading at once, each within its own limit.
  */
 public final class OutboxLimit {
-    private final int each;
-    private final long all;
-    private final AtomicLong held = new AtomicLong();
+    private final int maxBytesPerOutbox;
+    private final long maxTotalBytes;
+    private final AtomicLong totalBytes = new AtomicLong();
 
-    /** At most {@code each} bytes in one outbox, and {@code all} in those that share this bound. */
-    public OutboxLimit(int each, long all) {
-        this.each = each;
-        this.all = all;
+    /** Allows {@code maxBytesPerOutbox} in one outbox, and {@code maxTotalBytes} in all outboxes that share this limit. */
+    public OutboxLimit(int maxBytesPerOutbox, long maxTotalBytes) {
+        this.maxBytesPerOutbox = maxBytesPerOutbox;
+        this.maxTotalBytes = maxTotalBytes;
     }
 
-    boolean reserve(int pending, int more) {
-        if (pending + more > each) {
+    /** Reserves space for a frame; false if it would exceed a limit. */
+    boolean reserve(int queuedBytes, int bytes) {
+        if (queuedBytes + bytes > maxBytesPerOutbox) {
             return false;
         }
-        if (held.addAndGet(more) > all) {
-            held.addAndGet(-more);
+        if (totalBytes.addAndGet(bytes) > maxTotalBytes) {
+            totalBytes.addAndGet(-bytes);
             return false;
         }
         return true;
     }
 
-    void release(int less) {
-        held.addAndGet(-less);
+    /** Frees the space of frames that were written or dropped. */
+    void release(int bytes) {
+        totalBytes.addAndGet(-bytes);
     }
 }
--- a/frontend/src/main/java/quincespar/transport/Retry.java
+++ b/frontend/src/main/java/quincespar/transport/Retry.java
@@ -4,29 +4,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** System calls of a start, which may fail for a moment while nothing else can be done: tried again before the start fails. */
+/** Retries system calls at startup that fail for a short time, for example while descriptors are exhausted. */
 public final class Retry {
-    private static final long PAUSE_MS = 20;
-    private static final long LONGEST_MS = 2000;
+    private static final long DELAY_MS = 20;
+    private static final long TIMEOUT_MS = 2000;
 
-    /** Something that calls the system. */
+    /** A call that may fail with an {@link IOException}. */
     public interface Call<T> {
         T run() throws IOException;
     }
 
     private Retry() { }
 
-    /** Its result; throws what it threw last, where it has failed for two seconds. */
+    /** Returns the result of the call, or throws its last exception after two seconds of failures. */
     public static <T> T atStartup(Call<T> call) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (true) {
             try {
                 return call.run();
             } catch (IOException e) {
-                if (System.nanoTime() - until >= 0) {
+                if (System.nanoTime() - deadlineNanos >= 0) {
                     throw e;
                 }
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MS));
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(DELAY_MS));
             }
         }
     }
--- a/frontend/src/main/java/quincespar/transport/WithdrawableWrite.java
+++ b/frontend/src/main/java/quincespar/transport/WithdrawableWrite.java
@@ -3,42 +3,42 @@
 import java.io.IOException;
 
 /**
- * A write that can be withdrawn until the first byte of its frame has gone out. A try that puts out nothing, as one into a
- * full buffer or one that fails, leaves it as it was. Whoever has withdrawn it holds the proof that nothing of the frame
+ * A write that can be withdrawn until the first byte of its frame has been written. An attempt that writes nothing, for
+ * example into a full socket buffer, leaves it queued. A successful {@link #withdraw} proves that no byte of the frame
  * was written.
  */
 public final class WithdrawableWrite {
-    private enum State { QUEUED, BEGUN, WITHDRAWN }
+    private enum State { QUEUED, STARTED, WITHDRAWN }
 
-    /** Puts out what the system takes now, without waiting. */
+    /** Writes as much of the frame as the channel takes, without blocking. */
     interface Output {
-        /** True where a byte of the frame is out. */
+        /** True if any byte of the frame has been written. */
         boolean write() throws IOException;
     }
 
     private State state = State.QUEUED;
 
-    /** The first byte goes out now; false where the write was withdrawn or has begun. */
+    /** Marks the write as started; false if it was withdrawn or has started before. */
     public synchronized boolean begin() {
         if (state != State.QUEUED) {
             return false;
         }
-        state = State.BEGUN;
+        state = State.STARTED;
         return true;
     }
 
-    /** Writes; false where it was withdrawn, and then nothing is written. */
+    /** Writes to the output; false if the write was withdrawn, in which case nothing is written. */
     synchronized boolean write(Output output) throws IOException {
         if (state == State.WITHDRAWN) {
             return false;
         }
         if (output.write()) {
-            state = State.BEGUN;
+            state = State.STARTED;
         }
         return true;
     }
 
-    /** Withdraws it; true where no byte of the frame has gone out, and then none ever will. */
+    /** Withdraws the write; true if no byte of the frame has been written, in which case none will be. */
     public synchronized boolean withdraw() {
         if (state == State.QUEUED) {
             state = State.WITHDRAWN;
--- a/frontend/src/test/java/quincespar/transport/ConnectionTest.java
+++ b/frontend/src/test/java/quincespar/transport/ConnectionTest.java
@@ -25,11 +25,11 @@
 @Timeout(30)
 class ConnectionTest {
     private final CountDownLatch closed = new CountDownLatch(1);
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> callbacks = new LinkedBlockingQueue<>();
     private final Connection.Handler handler = new Connection.Handler() {
         @Override
         public void received(byte[] bytes, int count) {
-            told.add("received " + count);
+            callbacks.add("received " + count);
         }
 
         @Override
@@ -39,12 +39,12 @@
 
         @Override
         public void idleCloseDeclined() {
-            told.add("not quiet");
+            callbacks.add("idle close declined");
         }
 
         @Override
         public void closed(String cause) {
-            told.add("closed: " + cause);
+            callbacks.add("closed: " + cause);
             closed.countDown();
         }
     };
@@ -69,11 +69,11 @@
         return new Socket(server.socket().getInetAddress(), server.socket().getLocalPort());
     }
 
-    private Connection accepted(OutboxLimit bound) throws IOException {
-        return Connection.accepted(loop, server.accept(), "c", bound);
+    private Connection accepted(OutboxLimit limit) throws IOException {
+        return Connection.accepted(loop, server.accept(), "c", limit);
     }
 
-    /** Sends until the outbox is full, which no call waits for. */
+    /** Sends frames until the outbox is full, and returns their number. */
     private static int fill(Connection c) {
         int n = 0;
         while (c.send(new byte[1 << 16])) {
@@ -83,19 +83,19 @@
     }
 
     @Test
-    void aPeerThatDoesNotReadFillsItsOutboxAndHoldsUpNobody() throws Exception {
-        OutboxLimit bound = new OutboxLimit(1 << 20, 3 << 19);
+    void aPeerThatDoesNotReadFillsItsOutboxAndBlocksNoOther() throws Exception {
+        OutboxLimit limit = new OutboxLimit(1 << 20, 3 << 19);
         try (Socket one = peer()) {
-            Connection first = accepted(bound);
+            Connection first = accepted(limit);
             assertThat(fill(first)).isEqualTo(16);
             try (Socket two = peer()) {
                 assertThat(two.isConnected()).isTrue();
-                Connection second = accepted(bound);
-                assertThat(fill(second)).isEqualTo(8); // what both hold together is bounded too
+                Connection second = accepted(limit);
+                assertThat(fill(second)).isEqualTo(8); // the shared limit applies
             }
             first.start(handler);
             int written = 0;
-            while (written < 1 << 20) { // the peer reads at last, and room comes back
+            while (written < 1 << 20) { // once the peer reads, there is space again
                 written += one.getInputStream().read(new byte[1 << 16]);
             }
             assertThat(first.send(new byte[1 << 16])).isTrue();
@@ -104,31 +104,31 @@
         }
     }
 
-    /** Ended at a quiet moment only: not while something is open, nor where something lies unread. */
+    /** finishIfIdle must not close a connection that is busy or has unread bytes. */
     @Test
-    void aConnectionIsFinishedOnceItIsQuietAndItsLastWordArrives() throws Exception {
+    void finishIfIdleClosesAnIdleConnectionAndItsLastFrameArrives() throws Exception {
         try (Socket s = peer()) {
             Connection c = accepted(new OutboxLimit(100, 100));
             busy = true;
             c.start(handler);
             c.finishIfIdle();
-            CountDownLatch looked = new CountDownLatch(1);
-            loop.execute(looked::countDown);
-            looked.await();
+            CountDownLatch checked = new CountDownLatch(1);
+            loop.execute(checked::countDown);
+            checked.await();
             s.getOutputStream().write(1);
-            assertThat(told.take()).isEqualTo("received 1"); // it was busy and is still read
+            assertThat(callbacks.take()).isEqualTo("received 1"); // busy: it stays open and is read
             busy = false;
-            CountDownLatch held = new CountDownLatch(1);
-            CountDownLatch hold = new CountDownLatch(1);
-            loop.execute(() -> { // one task, so that nothing is read between the two
-                held.countDown();
-                await(hold);
+            CountDownLatch blocked = new CountDownLatch(1);
+            CountDownLatch unblock = new CountDownLatch(1);
+            loop.execute(() -> { // blocks the loop, so that nothing is read before finishIfIdle runs
+                blocked.countDown();
+                await(unblock);
             });
-            held.await();
-            s.getOutputStream().write(2); // lies unread when the close is to be judged
+            blocked.await();
+            s.getOutputStream().write(2); // unread when finishIfIdle runs
             c.finishIfIdle();
-            hold.countDown();
-            assertThat(told.take()).isEqualTo("received 1");
+            unblock.countDown();
+            assertThat(callbacks.take()).isEqualTo("received 1");
             c.send(new byte[] {7});
             c.finishIfIdle();
             assertThat(s.getInputStream().readAllBytes()).containsExactly(7);
@@ -136,9 +136,9 @@
         }
     }
 
-    /** Two listeners of one user on one address: the system shares connections out; else the second can't bind. */
+    /** SO_REUSEPORT lets two listeners of one user bind one address; without it the second bind fails. */
     @Test
-    void aSharedAddressIsBoundTwiceAndAnotherOnlyOnce() throws Exception {
+    void aSharedAddressIsBoundTwiceAndAnUnsharedOneOnce() throws Exception {
         for (boolean shared : new boolean[] {true, false}) {
             Listener first = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), shared);
             first.bind();
@@ -155,22 +155,22 @@
     }
 
     @Test
-    void aConnectThatFailsFreesTheRoomOfWhatWasQueued() throws Exception {
-        OutboxLimit bound = new OutboxLimit(100, 100);
+    void aFailedConnectReleasesTheQueuedBytes() throws Exception {
+        OutboxLimit limit = new OutboxLimit(100, 100);
         int port;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = gone.getLocalPort();
         }
-        assertThat(bound.reserve(0, 60)).isTrue(); // so that a queued frame of 40 fills the bound
-        Connection c = Connection.outbound(loop, "c", bound);
+        assertThat(limit.reserve(0, 60)).isTrue(); // leaves space for one frame of 40 bytes
+        Connection c = Connection.outbound(loop, "c", limit);
         c.send(new byte[40]);
         c.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), handler);
         closed.await();
-        assertThat(bound.reserve(0, 40)).isTrue();
+        assertThat(limit.reserve(0, 40)).isTrue();
     }
 
     @Test
-    void aFrameWhoseLeaveWasTakenBackDoesNotGoOutAndOthersDo() throws Exception {
+    void aWithdrawnFrameIsNotSentAndOthersAre() throws Exception {
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(100, 100));
             WithdrawableWrite withdrawn = new WithdrawableWrite();
@@ -186,126 +186,126 @@
     }
 
     @Test
-    void whatIsWrittenIsToldOnceItIsAndAFinishedConnectionLetsThePeerReadBeforeTheClose() throws Exception {
+    void writtenIsCalledAfterTheLastByteAndFinishLetsThePeerReadBeforeTheClose() throws Exception {
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(1 << 25, 1 << 25));
-            peer.getOutputStream().write(new byte[100]); // unread, it would turn a close into a reset
+            peer.getOutputStream().write(new byte[100]); // unread bytes would turn a close into a reset
             c.start(handler);
-            assertThat(told.take()).isEqualTo("received 100");
-            c.send(new byte[1 << 25], null, () -> told.add("written"));
-            assertThat(told).isEmpty(); // more than the system takes at once
+            assertThat(callbacks.take()).isEqualTo("received 100");
+            c.send(new byte[1 << 25], null, () -> callbacks.add("written"));
+            assertThat(callbacks).isEmpty(); // more than the socket buffer takes at once
             c.finish();
             peer.getOutputStream().write(new byte[100]);
             assertThat(peer.getInputStream().readAllBytes()).hasSize(1 << 25);
-            assertThat(told.take()).isEqualTo("written");
+            assertThat(callbacks.take()).isEqualTo("written");
             assertThat(c.send(new byte[1])).isFalse();
         }
-        assertThat(told.take()).startsWith("closed: ");
+        assertThat(callbacks.take()).startsWith("closed: ");
     }
 
-    /** Seen on a busy core: a request lay unread, or unseen by the reducer, when its connection went as idle. */
+    /** On a busy core a request can be unread, or not yet processed by the reducer, when its connection is closed as idle. */
     @Test
-    void aConnectionOnWhichSomethingCameIsNotClosedAsIdle() throws Exception {
+    void aConnectionWithUnreadBytesIsNotClosedAsIdle() throws Exception {
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(100, 100));
             CountDownLatch arrived = new CountDownLatch(1);
             c.start(handler);
-            CountDownLatch held = new CountDownLatch(1);
-            loop.execute(() -> { // holds the loop up, as a busy core does, until bytes have come
+            CountDownLatch blocked = new CountDownLatch(1);
+            loop.execute(() -> { // blocks the loop until bytes have arrived, as a busy core does
                 c.closeIfIdle("idle");
-                held.countDown();
+                blocked.countDown();
                 await(arrived);
             });
-            held.await();
+            blocked.await();
             peer.getOutputStream().write(new byte[3]);
             arrived.countDown();
-            assertThat(told.take()).isEqualTo("not quiet");
-            assertThat(told.take()).isEqualTo("received 3");
+            assertThat(callbacks.take()).isEqualTo("idle close declined");
+            assertThat(callbacks.take()).isEqualTo("received 3");
             busy = true;
             c.closeIfIdle("idle");
-            assertThat(told.take()).isEqualTo("not quiet");
+            assertThat(callbacks.take()).isEqualTo("idle close declined");
             busy = false;
             c.closeIfIdle("idle");
-            assertThat(told.take()).isEqualTo("closed: idle");
+            assertThat(callbacks.take()).isEqualTo("closed: idle");
             assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
     }
 
-    /** A peer may read slowly: what it was answered must not be dropped because nothing else is open. */
+    /** Answers to a peer that reads slowly must not be dropped because no request is open any more. */
     @Test
-    void aConnectionWithSomethingToWriteIsNotClosedAsIdleAndAllOfItArrives() throws Exception {
+    void aConnectionWithUnsentBytesIsNotClosedAsIdleAndAllOfThemArrive() throws Exception {
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(1 << 25, 1 << 25));
             c.start(handler);
-            c.send(new byte[1 << 25]); // more than the system takes at once
+            c.send(new byte[1 << 25]); // more than the socket buffer takes at once
             c.closeIfIdle("idle");
-            assertThat(told.take()).isEqualTo("not quiet");
+            assertThat(callbacks.take()).isEqualTo("idle close declined");
             c.finishIfIdle();
             peer.getInputStream().readNBytes(1 << 25);
             c.closeIfIdle("idle");
-            assertThat(told.take()).isEqualTo("closed: idle");
+            assertThat(callbacks.take()).isEqualTo("closed: idle");
             assertThat(peer.getInputStream().read()).isEqualTo(-1);
         }
     }
 
-    /** An owner that works for its peer must hear in one look that the peer has gone; what it said before is heard too. */
+    /** The owner must learn in the same read pass that the peer has closed the connection, after the bytes sent before. */
     @Test
-    void theEndBehindTheLastBytesIsSeenInTheSameLook() throws Exception {
+    void theEndOfStreamAfterTheLastBytesIsSeenInTheSamePass() throws Exception {
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(100, 100));
             peer.getOutputStream().write(new byte[3]);
-            peer.shutdownOutput(); // both lie there before the first look
+            peer.shutdownOutput(); // bytes and end of stream are there before the first read
             c.start(new Connection.Handler() {
                 @Override
                 public void received(byte[] bytes, int count) {
-                    told.add("received " + count);
+                    callbacks.add("received " + count);
                 }
 
                 @Override
                 public void readComplete() {
-                    told.add("passed");
+                    callbacks.add("read complete");
                 }
 
                 @Override
                 public void closed(String cause) {
-                    told.add("closed: " + cause);
+                    callbacks.add("closed: " + cause);
                 }
             });
-            assertThat(told.take()).isEqualTo("received 3");
-            assertThat(told.take()).isEqualTo("closed: closed by the peer");
+            assertThat(callbacks.take()).isEqualTo("received 3");
+            assertThat(callbacks.take()).isEqualTo("closed: closed by the peer");
         }
     }
 
-    /** The peer hears of the end within the task that looked: with more tasks between, a request could cross it for long. */
+    /** Idle check and close run in one task: with tasks of other connections in between, more requests could be lost. */
     @Test
-    void nothingComesBetweenTheLookAtAQuietConnectionAndItsEnd() throws Exception {
+    void noTaskRunsBetweenTheIdleCheckAndTheClose() throws Exception {
         for (boolean finish : new boolean[] {true, false}) {
             try (Socket peer = peer()) {
                 Connection c = accepted(new OutboxLimit(100, 100));
                 c.start(handler);
-                CountDownLatch held = new CountDownLatch(1);
-                CountDownLatch hold = new CountDownLatch(1);
-                loop.execute(() -> { // so that both tasks are there when the loop goes on
-                    held.countDown();
-                    await(hold);
+                CountDownLatch blocked = new CountDownLatch(1);
+                CountDownLatch unblock = new CountDownLatch(1);
+                loop.execute(() -> { // so that both tasks are queued when the loop continues
+                    blocked.countDown();
+                    await(unblock);
                 });
-                held.await();
+                blocked.await();
                 peer.setSoTimeout(5_000);
                 if (finish) {
                     c.finishIfIdle();
                 } else {
                     c.closeIfIdle("idle");
                 }
-                CompletableFuture<Integer> heard = new CompletableFuture<>();
+                CompletableFuture<Integer> received = new CompletableFuture<>();
                 loop.execute(() -> {
                     try {
-                        heard.complete(peer.getInputStream().read());
+                        received.complete(peer.getInputStream().read());
                     } catch (IOException e) {
-                        heard.completeExceptionally(e);
+                        received.completeExceptionally(e);
                     }
                 });
-                hold.countDown();
-                assertThat(heard.get()).isEqualTo(-1);
+                unblock.countDown();
+                assertThat(received.get()).isEqualTo(-1);
             }
         }
     }
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void aHandlerThatFailsEndsItsOwnConnectionOnly() throws Exception {
+    void aFailingHandlerClosesItsOwnConnectionOnly() throws Exception {
         try (Socket bad = peer(); Socket good = peer()) {
             accepted(new OutboxLimit(100, 100)).start(new Connection.Handler() {
                 @Override
@@ -329,20 +329,20 @@
 
                 @Override
                 public void closed(String cause) {
-                    told.add("closed: " + cause);
+                    callbacks.add("closed: " + cause);
                 }
             });
             accepted(new OutboxLimit(100, 100)).start(handler);
             bad.getOutputStream().write(1);
-            assertThat(told.take()).isEqualTo("closed: handling: unforeseen");
+            assertThat(callbacks.take()).isEqualTo("closed: handling: unforeseen");
             good.getOutputStream().write(1);
-            assertThat(told.take()).isEqualTo("received 1");
+            assertThat(callbacks.take()).isEqualTo("received 1");
         }
     }
 
-    /** With no place left new ones wait in the system's queue; at the end those that wait there are taken too. */
+    /** Without capacity connections wait in the accept queue; closing the listener accepts those too. */
     @Test
-    void aListenerWithoutRoomLeavesClientsWaitingAndTakesAllOfThemBeforeItCloses() throws Exception {
+    void aListenerWithoutCapacityLeavesClientsInTheQueueAndAcceptsThemBeforeItCloses() throws Exception {
         List<SocketChannel> taken = new ArrayList<>();
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
@@ -363,13 +363,13 @@
         try (SocketChannel one = SocketChannel.open(at); SocketChannel two = SocketChannel.open(at);
                 SocketChannel three = SocketChannel.open(at)) {
             assertThat(sizes.take()).isEqualTo(1);
-            CountDownLatch passed = new CountDownLatch(1);
-            loop.executeAfterReads(passed::countDown);
-            passed.await();
+            CountDownLatch readsDone = new CountDownLatch(1);
+            loop.executeAfterReads(readsDone::countDown);
+            readsDone.await();
             assertThat(sizes).isEmpty();
-            CountDownLatch over = new CountDownLatch(1);
-            listener.close(over::countDown);
-            over.await();
+            CountDownLatch listenerClosed = new CountDownLatch(1);
+            listener.close(listenerClosed::countDown);
+            listenerClosed.await();
             assertThat(sizes).containsExactly(2, 3);
             assertThat(one.isConnected() && two.isConnected() && three.isConnected()).isTrue();
         }
@@ -378,26 +378,26 @@
         }
     }
 
-    /** A crowd that connects and says nothing: seen to use up half a core while each had a thread. */
+    /** With a thread per connection, many idle connections used up half a core. */
     @Test
-    void connectionsThatSayNothingNeedNoThreads() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    void idleConnectionsNeedNoThreads() throws Exception {
+        List<Socket> peers = new ArrayList<>();
         int before = Thread.activeCount();
         for (int i = 0; i < 200; i++) {
-            crowd.add(peer());
+            peers.add(peer());
             accepted(new OutboxLimit(100, 100)).start(handler);
         }
-        crowd.get(199).getOutputStream().write(1);
-        assertThat(told.take()).isEqualTo("received 1");
+        peers.get(199).getOutputStream().write(1);
+        assertThat(callbacks.take()).isEqualTo("received 1");
         assertThat(Thread.activeCount()).isLessThan(before + 20);
-        for (Socket s : crowd) {
+        for (Socket s : peers) {
             s.close();
         }
     }
 
-    /** What is asked for after a pass comes after all that was readable before. */
+    /** A task of executeAfterReads runs after everything that was readable before has been delivered. */
     @Test
-    void afterAPassAllThatLayUnreadIsHandled() throws Exception {
+    void executeAfterReadsRunsAfterUnreadBytesAreDelivered() throws Exception {
         try (Socket peer = peer()) {
             accepted(new OutboxLimit(100, 100)).start(handler);
             CountDownLatch arrived = new CountDownLatch(1);
@@ -405,9 +405,9 @@
             try (OutputStream out = peer.getOutputStream()) {
                 out.write(new byte[5]);
                 arrived.countDown();
-                loop.executeAfterReads(() -> told.add("passed"));
-                assertThat(told.take()).isEqualTo("received 5");
-                assertThat(told.take()).isEqualTo("passed");
+                loop.executeAfterReads(() -> callbacks.add("read complete"));
+                assertThat(callbacks.take()).isEqualTo("received 5");
+                assertThat(callbacks.take()).isEqualTo("read complete");
             }
         }
     }
