--- a/capture/src/main/java/quincespar/capture/EntryCodec.java
+++ b/capture/src/main/java/quincespar/capture/EntryCodec.java
@@ -3,15 +3,24 @@
 import java.security.MessageDigest;
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
+import quincespar.records.StoredNames;
 
 /** Entries as bytes and back. Used by one thread. */
 public final class EntryCodec {
-    private final RecordCodec records = new RecordCodec(Entry.class, quincespar.decision.Gateway.Event.class,
+    /** The stored names of entries, events and actions, and of all that they hold, where the code has other names. */
+    private static final StoredNames STORED_NAMES = StoredNames.none();
+
+    private final RecordCodec records = new RecordCodec(STORED_NAMES, Entry.class, quincespar.decision.Gateway.Event.class,
             quincespar.decision.Gateway.Action.class);
 
     /** Sixteen hex digits that change where the form of entries does. */
     public String schema() {
-        return Digests.name(records.schema());
+        return Digests.name(schemaText());
+    }
+
+    /** The schema of the records, of which {@link #schema()} is the digest. */
+    String schemaText() {
+        return records.schema();
     }
 
     /** An entry's bytes. */
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -5,6 +5,7 @@
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
+import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -52,6 +53,15 @@
                 Gateway.Left.class, Gateway.Timer.class, Gateway.Probed.class);
     }
 
+    /** Existing captures stay readable: a renamed record, component or constant needs its stored name in the codec's table. */
+    @Test
+    void entriesAreStoredUnderTheNamesOfEarlierCaptures() throws IOException {
+        try (InputStream pinned = CaptureTest.class.getResourceAsStream("/schemas/capture.txt")) {
+            assertThat(codec.schemaText()).isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+        assertThat(codec.schema()).isEqualTo("a9078bed7521642a");
+    }
+
     @Test
     void entriesComeBackAsTheyWere() throws IOException {
         World w = new World(8);
--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -5,13 +5,22 @@
 import java.util.zip.CRC32C;
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
+import quincespar.records.StoredNames;
 
 /**
  * Commands, results and the state as bytes and back, behind a CRC32C of them: neither the links between instances nor the
  * library's log in memory tell a turned bit. Used by one thread.
  */
 public final class FleetCodec {
-    private final RecordCodec records = new RecordCodec(Command.class, Result.class, Snapshot.class);
+    /** The stored names of commands, results and snapshots, and of all that they hold, where the code has other names. */
+    private static final StoredNames STORED_NAMES = StoredNames.none();
+
+    private final RecordCodec records = new RecordCodec(STORED_NAMES, Command.class, Result.class, Snapshot.class);
+
+    /** The schema of the records, for the check that it stays as it is in stored data. */
+    String schema() {
+        return records.schema();
+    }
 
     /** The bytes of a command, a result or a state. */
     public byte[] write(Record value) {
--- a/fleet/src/main/java/quincespar/recovery/Entry.java
+++ b/fleet/src/main/java/quincespar/recovery/Entry.java
@@ -1,7 +1,12 @@
 package quincespar.recovery;
 
+import quincespar.records.StoredNames;
+
 /** One line of what an instance keeps of its work for the time after a loss, in the order in which it happened. */
 public sealed interface Entry {
+    /** The stored names of entries and their components, where the code has other names; for each codec of entries. */
+    StoredNames STORED_NAMES = StoredNames.none();
+
     /**
      * A process begins: what is open before it is in doubt from here on.
      *
--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -6,6 +6,7 @@
 import java.util.zip.CRC32C;
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
+import quincespar.records.StoredNames;
 
 /**
  * The facts that an instance keeps for itself: who its folder is, and the last incarnation that it was given. A fact counts
@@ -31,7 +32,10 @@
      */
     public record Facts(int format, String identity, String name, long incarnation, long nonce, boolean votes) { }
 
-    private final RecordCodec codec = new RecordCodec(Facts.class);
+    /** The stored names of {@link Facts} and its components, where the code has other names. */
+    private static final StoredNames STORED_NAMES = StoredNames.none();
+
+    private final RecordCodec codec = new RecordCodec(STORED_NAMES, Facts.class);
     private final Disk disk;
     private Facts facts;
     private long mark;
@@ -70,6 +74,11 @@
         return f;
     }
 
+    /** The schema of the stored record, for the check that it stays as it is in stored data. */
+    String schema() {
+        return codec.schema();
+    }
+
     private byte[] frame() {
         return frame(codec.write(facts));
     }
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -3,6 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -34,6 +37,14 @@
         return state.instance(name).standing();
     }
 
+    /** Other versions read what this one writes: a renamed record or component needs its stored name in the codec's table. */
+    @Test
+    void recordsAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
+        try (InputStream pinned = FleetStateTest.class.getResourceAsStream("/schemas/fleet.txt")) {
+            assertThat(codec.schema()).isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
     @Test
     void aSessionThatIsNotRenewedIsSuspectedThenOverAndItsReturnIsAnotherLife() {
         long first = joined("a", "f", 0, "x", 1);
--- a/fleet/src/test/java/quincespar/recovery/KeptTest.java
+++ b/fleet/src/test/java/quincespar/recovery/KeptTest.java
@@ -2,6 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -50,11 +53,20 @@
         assertThat(k.forgotten()).isEqualTo(3);
     }
 
+    /** Files of earlier versions stay readable: a renamed entry needs its stored name in {@link Entry#STORED_NAMES}. */
+    @Test
+    void entriesAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
+        try (InputStream pinned = KeptTest.class.getResourceAsStream("/schemas/kept.txt")) {
+            assertThat(new RecordCodec(Entry.STORED_NAMES, Entry.class).schema())
+                    .isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
     /** A file rewritten at any place, and read back through its bytes, comes to the same. */
     @Property(tries = 200)
     void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecord {
         Random chance = new Random(seed);
-        RecordCodec codec = new RecordCodec(Entry.class);
+        RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
         Kept one = Kept.of(List.of());
         Kept other = Kept.of(List.of());
         for (int i = 0; i < 60; i++) {
--- a/fleet/src/test/java/quincespar/store/StateFolderTest.java
+++ b/fleet/src/test/java/quincespar/store/StateFolderTest.java
@@ -4,6 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -40,6 +42,14 @@
         assertThatThrownBy(() -> open("b")).hasMessage("the folder is that of a, not of b");
     }
 
+    /** Folders of earlier versions stay readable: a renamed component needs its stored name in the table. */
+    @Test
+    void factsAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
+        try (StateFolder f = open("a"); InputStream pinned = StateFolderTest.class.getResourceAsStream("/schemas/facts.txt")) {
+            assertThat(f.schema()).isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
     /** Each byte in turn, and each length: never a fact that was not written. */
     @Test
     void aSpoiltFileIsSaidToBeSpoilt() throws IOException {
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -37,7 +37,7 @@
     }
 
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
-    private final RecordCodec codec = new RecordCodec(Entry.class);
+    private final RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
     private final AtomicLong forces = new AtomicLong(), failures = new AtomicLong(), added = new AtomicLong();
     private final FolderDisk disk;
     private final Journal journal;
--- a/records/src/main/java/quincespar/records/RecordCodec.java
+++ b/records/src/main/java/quincespar/records/RecordCodec.java
@@ -22,9 +22,10 @@
 import java.util.Map;
 
 /**
- * Writes and reads records, as of the module's interface or of the fleet's state, as CBOR arrays of their components, in the order in which they
- * are declared. A record of a sealed family has its number there before its components. Doubles keep all their bits, NaN
- * and infinities included. What the records look like is told by {@link #schema}; a reader takes its own and no other.
+ * Writes and reads records as CBOR arrays of their components, in the order in which they are declared. A record of a sealed
+ * family has its number in the family before its components: its place among the stored names of the family's records. Doubles
+ * keep all their bits, NaN and infinities included. {@link #schema} describes the records; a reader accepts data of its own
+ * schema only.
  */
 public final class RecordCodec {
     /** One component: how it is read from its record, and what it holds. */
@@ -34,13 +35,20 @@
     private record Shape(Class<?> type, List<Part> parts, MethodHandle constructor) { }
 
     private final CBORFactory cbor = new CBORFactory();
+    private final StoredNames names;
     private final Map<Class<?>, Shape> shapes = new HashMap<>();
     /** The records of each sealed family, by name: a record's number is its place. */
     private final Map<Class<?>, List<Class<?>>> families = new HashMap<>();
     private final Map<Class<?>, Integer> numbers = new HashMap<>();
 
-    /** Knows these records and sealed families of records, and all that they hold. */
+    /** Creates a codec for these records and sealed families of records and all that they hold, under their names in the code. */
     public RecordCodec(Class<?>... types) {
+        this(StoredNames.none(), types);
+    }
+
+    /** Creates a codec for these records and sealed families of records and all that they hold, under the names of a table. */
+    public RecordCodec(StoredNames names, Class<?>... types) {
+        this.names = names;
         for (Class<?> t : types) {
             learn(t);
         }
@@ -51,7 +59,7 @@
             learn(p.getActualTypeArguments()[0]);
         } else if (type instanceof Class<?> c && c.isSealed() && !families.containsKey(c)) {
             List<Class<?>> family = Arrays.stream(c.getPermittedSubclasses())
-                    .sorted(Comparator.comparing(Class::getSimpleName)).toList();
+                    .sorted(Comparator.comparing(names::of)).toList();
             families.put(c, family);
             family.forEach(f -> numbers.put(f, family.indexOf(f)));
             family.forEach(this::learn);
@@ -79,27 +87,35 @@
         }
     }
 
-    /** All records with their components and families, as one text: it changes where their form does. */
+    /** All records with their components and families, as one text of stored names: it changes where their form does. */
     public String schema() {
         StringBuilder out = new StringBuilder();
-        families.entrySet().stream().sorted(Comparator.comparing(e -> e.getKey().getSimpleName())).forEach(e -> {
-            out.append(e.getKey().getSimpleName()).append(" = ");
-            e.getValue().forEach(c -> out.append(c.getSimpleName()).append(' '));
+        families.entrySet().stream().sorted(Comparator.comparing(e -> names.of(e.getKey()))).forEach(e -> {
+            out.append(names.of(e.getKey())).append(" = ");
+            e.getValue().forEach(c -> out.append(names.of(c)).append(' '));
             out.append('\n');
         });
-        shapes.values().stream().sorted(Comparator.comparing(s -> s.type().getSimpleName())).forEach(s -> {
-            out.append(s.type().getSimpleName()).append('(');
-            s.parts().forEach(p -> out.append(p.name()).append(' ').append(words(p.type())).append(' '));
+        shapes.values().stream().sorted(Comparator.comparing(s -> names.of(s.type()))).forEach(s -> {
+            out.append(names.of(s.type())).append('(');
+            s.parts().forEach(p -> out.append(names.of(s.type(), p.name())).append(' ')
+                    .append(words(p.type())).append(' '));
             out.append(")\n");
         });
         return out.toString();
     }
 
-    private static String words(Type type) {
-        if (type instanceof Class<?> c && c.isEnum()) {
-            return c.getSimpleName() + Arrays.toString(c.getEnumConstants());
+    /** The text of a component's type: "double", "Outcome[OK, ERROR]", "Gateway$Limits"; "Gateway$Event>" for a list of these. */
+    private String words(Type type) {
+        if (type instanceof ParameterizedType p) {
+            return typeName((Class<?>) p.getActualTypeArguments()[0]) + ">";
         }
-        return type.getTypeName().substring(type.getTypeName().lastIndexOf('.') + 1);
+        Class<?> c = (Class<?>) type;
+        return c.isEnum() ? names.of(c) + names.constantsOf(c) : typeName(c);
+    }
+
+    /** The stored name of a type behind those of the types that enclose it. */
+    private String typeName(Class<?> type) {
+        return type.isMemberClass() ? typeName(type.getDeclaringClass()) + "$" + names.of(type) : names.of(type);
     }
 
     /** A value of one of the known types as bytes. */
