--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -7,18 +7,18 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.Map;
-import quincespar.membership.Pace;
+import quincespar.membership.PollTiming;
 import quincespar.protocol.ChangeLogCodec;
 import quincespar.program.runtime.Addresses;
 import quincespar.protocol.Json;
 import quincespar.routing.Bounds;
-import quincespar.routing.Site;
+import quincespar.routing.RoutingSettings;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 
 /** What the front end is told at its start; {@code admin} is the second address, null where there is none. */
 record Configuration(String name, InetSocketAddress listen, InetSocketAddress admin, String changeLog, long seed, int sockets,
-        int memoryMb, Site site, ChangeLogCodec.Changes known) {
+        int memoryMb, RoutingSettings site, ChangeLogCodec.Changes known) {
 
     private static final int SOCKETS = 256;
     private static final int MEMORY_MB = 128;
@@ -26,10 +26,10 @@
     /** The bounds that fit these limits and the operators' settings. */
     Bounds bounds(Settings s) {
         return new Bounds(Math.max(1, (int) (sockets * s.number(Keyword.CLIENTS_DESCRIPTOR_SHARE) / 100)),
-                Bounds.requestsIn(memoryMb), s.number(Keyword.CLIENTS_FIRST_REQUEST_TIMEOUT),
+                Bounds.maxRequestsFor(memoryMb), s.number(Keyword.CLIENTS_FIRST_REQUEST_TIMEOUT),
                 s.number(Keyword.CLIENTS_IDLE_TIMEOUT), s.count(Keyword.LINKS_PER_ENGINE),
                 s.count(Keyword.LINKS_REQUESTS_PER_LINK), s.number(Keyword.LINKS_PARTIAL_MESSAGE_TIMEOUT),
-                new Pace((long) s.number(Keyword.CHANGE_LOG_LONG_POLL_WAIT), s.number(Keyword.CHANGE_LOG_ANSWER_SLACK),
+                new PollTiming((long) s.number(Keyword.CHANGE_LOG_LONG_POLL_WAIT), s.number(Keyword.CHANGE_LOG_ANSWER_SLACK),
                         s.number(Keyword.CHANGE_LOG_RETRY_DELAY), s.number(Keyword.CHANGE_LOG_MAX_RETRY_DELAY),
                         s.number(Keyword.CHANGE_LOG_MAX_UNREACHED_RETRY_DELAY),
                         s.number(Keyword.CHANGE_LOG_CONNECT_TIMEOUT), s.number(Keyword.CHANGE_LOG_MAX_HOLD),
@@ -61,7 +61,7 @@
     }
 
     /** Of a document whose settings and known events have been read; throws {@link IllegalArgumentException}. */
-    static Configuration of(Map<String, Object> all, Map<String, String> environment, Site site,
+    static Configuration of(Map<String, Object> all, Map<String, String> environment, RoutingSettings site,
             ChangeLogCodec.Changes known) {
         Map<String, Object> limits = all.get("limits") == null ? Map.of() : Json.object(all.get("limits"), "limits");
         String listen = environment.getOrDefault("GW_LISTEN", String.valueOf(all.get("listen")));
