--- a/agreement/src/main/java/quincespar/agreement/FleetMachine.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetMachine.java
@@ -28,7 +28,7 @@
 import quincespar.fleet.FleetState;
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 
 /** The fleet's state as the library calls it: one command after the other, answers, snapshots. */
 final class FleetMachine extends BaseStateMachine {
@@ -149,7 +149,7 @@
     private byte[] apply(byte[] command) {
         try {
             return codec.write((Record) state.apply(codec.command(command)));
-        } catch (MalformedRecord e) { // the same bytes are refused everywhere, so that states stay the same
+        } catch (MalformedRecordException e) { // the same bytes are refused everywhere, so that states stay the same
             return codec.write(new Result.Refused(Result.Why.FULL, "no command: " + e.getMessage()));
         }
     }
--- a/capture/src/main/java/quincespar/capture/Captures.java
+++ b/capture/src/main/java/quincespar/capture/CaptureReader.java
@@ -10,48 +10,48 @@
 import java.util.Optional;
 
 /** Reads the captures in a store: which there are, and their entries in order, with gaps where something is missing. */
-public final class Captures {
+public final class CaptureReader {
     /** One segment, read to its end; {@code damage} tells what was lost there, null where it is whole. */
-    public record Segment(SegmentName name, long bytes, Entry.Opening opening, long records, long calls, double from,
+    public record SegmentSummary(SegmentName name, long bytes, Entry.Opening opening, long records, long calls, double from,
             double to, boolean state, String damage) { }
 
     /** Takes entries; false ends the reading. */
-    public interface Taker {
-        boolean take(SegmentName segment, Entry entry) throws IOException;
+    public interface EntryVisitor {
+        boolean visit(SegmentName segment, Entry entry) throws IOException;
     }
 
-    private final Store store;
+    private final SegmentStore store;
     private final EntryCodec codec = new EntryCodec();
 
     /** Reads from that store. */
-    public Captures(Store store) {
+    public CaptureReader(SegmentStore store) {
         this.store = store;
     }
 
     /** The names of all segments, by name, start and number. */
-    public List<SegmentName> names() throws IOException {
-        return store.list().stream().map(h -> SegmentName.read(h.name())).flatMap(Optional::stream).sorted().toList();
+    public List<SegmentName> segmentNames() throws IOException {
+        return store.list().stream().map(h -> SegmentName.parse(h.name())).flatMap(Optional::stream).sorted().toList();
     }
 
-    /** Reads one segment to its end; throws {@link MalformedCapture} where it is none, or of another schema. */
-    public Segment read(SegmentName name) throws IOException {
+    /** Reads one segment to its end; throws {@link MalformedCaptureException} where it is none, or of another schema. */
+    public SegmentSummary summarize(SegmentName name) throws IOException {
         Look look = new Look();
         End end = each(name, e -> {
             look.at(e);
             return true;
         });
-        return new Segment(name, end.offset(), look.opening, end.records(), look.calls, look.from, look.to, look.state,
+        return new SegmentSummary(name, end.offset(), look.opening, end.records(), look.calls, look.from, look.to, look.state,
                 end.damage());
     }
 
     /** Entries of these segments in their order; a gap stands where a segment is missing or lost its tail. */
-    public void entries(List<SegmentName> names, Taker taker) throws IOException {
+    public void forEachEntry(List<SegmentName> names, EntryVisitor visitor) throws IOException {
         SegmentName before = null;
         boolean[] more = {true};
         double[] time = {0};
         for (SegmentName name : names) {
-            if (before != null && before.of().equals(name.of()) && before.start() == name.start() && !before.leadsTo(name)) {
-                more[0] = taker.take(name, new Entry.Gap(time[0], 0, "segments before " + name.file() + " are missing"));
+            if (before != null && before.instance().equals(name.instance()) && before.processStart() == name.processStart() && !before.leadsTo(name)) {
+                more[0] = visitor.visit(name, new Entry.Gap(time[0], 0, "segments before " + name.fileName() + " are missing"));
             }
             if (!more[0]) {
                 return;
@@ -60,14 +60,14 @@
             try {
                 end = each(name, e -> {
                     time[0] = e instanceof Entry.Call c ? c.time() : time[0];
-                    more[0] = taker.take(name, e);
+                    more[0] = visitor.visit(name, e);
                     return more[0];
                 });
             } catch (NoSuchFileException e) { // its writer goes on, and drops what is old while this one reads
                 end = new End(0, 0, "it has gone");
             }
             if (more[0] && end.damage() != null) {
-                more[0] = taker.take(name, new Entry.Gap(time[0], 0, name.file() + ": " + end.damage()));
+                more[0] = visitor.visit(name, new Entry.Gap(time[0], 0, name.fileName() + ": " + end.damage()));
             }
             before = name;
         }
@@ -80,8 +80,8 @@
     private record End(long offset, long records, String damage) { }
 
     private End each(SegmentName name, Each taker) throws IOException {
-        try (InputStream from = new BufferedInputStream(store.open(name.file()), 1 << 16)) {
-            byte[] head = Frames.head(codec.schema());
+        try (InputStream from = new BufferedInputStream(store.open(name.fileName()), 1 << 16)) {
+            byte[] head = Frames.header(codec.schema());
             from.mark(head.length);
             byte[] found = from.readNBytes(head.length);
             if (found.length < head.length && Arrays.equals(found, Arrays.copyOf(head, found.length))) {
@@ -102,7 +102,7 @@
     public List<Entry> cut(List<SegmentName> names, double from, double to) throws IOException {
         List<Entry> out = new ArrayList<>();
         boolean[] within = {false};
-        entries(names, (name, e) -> {
+        forEachEntry(names, (name, e) -> {
             if (e instanceof Entry.Opening && !within[0]) {
                 out.clear(); // nothing of the segments before was asked for
             }
--- a/capture/src/main/java/quincespar/capture/Recording.java
+++ b/capture/src/main/java/quincespar/capture/CaptureWriter.java
@@ -9,16 +9,16 @@
  * goes on with calls. What fails ends the segment; from there on all is lost, and counted, until a segment begins anew.
  * One thread calls it, the one that may wait for the store.
  */
-public final class Recording {
+public final class CaptureWriter {
     /** What has been done since the start. */
-    public record Counts(long calls, long lost, long bytes, long segments, long dropped, long failures) { }
+    public record Counts(long calls, long lostCalls, long bytes, long segments, long deletedSegments, long failures) { }
 
     private final EntryCodec codec = new EntryCodec();
     private final Entry.Opening opening;
-    private final Segments segments;
-    private final Store store;
+    private final SegmentPolicy segments;
+    private final SegmentStore store;
     private final Consumer<String> tell;
-    private Store.Sink sink;
+    private SegmentStore.SegmentOutput sink;
     private long lost;
     private String why = "";
     private long calls;
@@ -30,7 +30,7 @@
     private boolean failing;
 
     /** {@code tell} hears of each failure after a success, and of the success after failures, in one line. */
-    public Recording(Entry.Opening opening, Segments segments, Store store, Consumer<String> tell) {
+    public CaptureWriter(Entry.Opening opening, SegmentPolicy segments, SegmentStore store, Consumer<String> tell) {
         this.opening = opening;
         this.segments = segments;
         this.store = store;
@@ -53,13 +53,13 @@
      */
     public void begin(double now, Entry.State state, long lostBefore, String cause) {
         lose(lostBefore, cause);
-        if (segments.phase() == Segments.Phase.PAUSED && !segments.due(now)) {
+        if (segments.phase() == SegmentPolicy.Phase.PAUSED && !segments.due(now)) {
             return; // taken before the failure was known: another state is asked for once the pause is over
         }
         try {
             closeSink();
             sink = store.create(segments.begin(now));
-            append(now, Frames.head(codec.schema()));
+            append(now, Frames.header(codec.schema()));
             append(now, frame(opening));
             if (lost > 0) {
                 append(now, frame(new Entry.Gap(state == null ? opening.time() : state.time(), lost, why)));
@@ -133,7 +133,7 @@
     }
 
     private void closeSink() throws IOException {
-        Store.Sink closing = sink;
+        SegmentStore.SegmentOutput closing = sink;
         sink = null;
         if (closing != null) {
             closing.close();
--- a/capture/src/main/java/quincespar/capture/CapturedGateway.java
+++ b/capture/src/main/java/quincespar/capture/CapturedGateway.java
@@ -8,7 +8,7 @@
 /** A module whose calls are told to someone; what it decides, and what it throws, is not touched. */
 public final class CapturedGateway implements Gateway {
     /** Who is told, on the caller's thread: none of it may wait. */
-    public interface Tap {
+    public interface Listener {
         /** A call has its answer. */
         void call(Entry.Call call);
 
@@ -23,11 +23,11 @@
     }
 
     private final Gateway module;
-    private final Tap to;
+    private final Listener to;
     private final Function<Gateway, byte[]> state;
 
     /** Tells {@code to}; {@code state} makes bytes of the module's state where those are wanted. */
-    public CapturedGateway(Gateway module, Tap to, Function<Gateway, byte[]> state) {
+    public CapturedGateway(Gateway module, Listener to, Function<Gateway, byte[]> state) {
         this.module = module;
         this.to = to;
         this.state = state;
@@ -35,7 +35,7 @@
 
     /** Tells {@code to} of calls and failures, and never of a state. */
     public CapturedGateway(Gateway module, Consumer<Entry> to) {
-        this(module, new Tap() {
+        this(module, new Listener() {
             @Override
             public void call(Entry.Call call) {
                 to.accept(call);
--- a/capture/src/main/java/quincespar/capture/BrainModules.java
+++ b/capture/src/main/java/quincespar/capture/CurrentModuleFactory.java
@@ -5,21 +5,21 @@
 import quincespar.decision.Gateway;
 
 /** This build's own module, new or in a state that was captured. */
-public final class BrainModules implements Replay.Modules {
+public final class CurrentModuleFactory implements Replay.ModuleFactory {
     private final StateCodec codec = new StateCodec(Brain.class);
 
     @Override
-    public Gateway fresh(Entry.Opening o) {
+    public Gateway create(Entry.Opening o) {
         return new Brain(o.settings(), o.seed());
     }
 
     @Override
-    public Gateway restored(Entry.State s) throws IOException {
+    public Gateway restore(Entry.State s) throws IOException {
         return codec.read(s.bytes(), Brain.class);
     }
 
     @Override
-    public byte[] state(Gateway module) {
+    public byte[] stateOf(Gateway module) {
         return codec.write(module);
     }
 }
--- a/capture/src/main/java/quincespar/capture/Entry.java
+++ b/capture/src/main/java/quincespar/capture/Entry.java
@@ -8,9 +8,9 @@
 public sealed interface Entry {
     /**
      * The first one: who was captured and from where it can be played. {@code time} is in milliseconds on the module's
-     * clock; {@code module} is the digest of the module's text ({@link ModuleText}).
+     * clock; {@code module} is the digest of the module's text ({@link ModuleDigest}).
      */
-    record Opening(String name, double time, long seed, String build, String module, Gateway.Settings settings)
+    record Opening(String name, double time, long seed, String build, String moduleDigest, Gateway.Settings settings)
             implements Entry { }
 
     /** The module's state as it stood then ({@link StateCodec}): replay can begin here, without what came before. */
@@ -30,5 +30,5 @@
     record Call(double time, List<Gateway.Event> events, List<Gateway.Action> actions) implements Entry { }
 
     /** Calls that were not captured: what follows can't be played on. */
-    record Gap(double time, long calls, String why) implements Entry { }
+    record Gap(double time, long lostCalls, String reason) implements Entry { }
 }
--- a/capture/src/main/java/quincespar/capture/EntryCodec.java
+++ b/capture/src/main/java/quincespar/capture/EntryCodec.java
@@ -1,14 +1,17 @@
 package quincespar.capture;
 
 import java.security.MessageDigest;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.records.StoredNames;
 
 /** Entries as bytes and back. Used by one thread. */
 public final class EntryCodec {
     /** The stored names of entries, events and actions, and of all that they hold, where the code has other names. */
-    private static final StoredNames STORED_NAMES = StoredNames.none();
+    private static final StoredNames STORED_NAMES = StoredNames.none()
+            .component(Entry.Opening.class, "moduleDigest", "module")
+            .component(Entry.Gap.class, "lostCalls", "calls")
+            .component(Entry.Gap.class, "reason", "why");
 
     private final RecordCodec records = new RecordCodec(STORED_NAMES, Entry.class, quincespar.decision.Gateway.Event.class,
             quincespar.decision.Gateway.Action.class);
@@ -28,12 +31,12 @@
         return records.write(e);
     }
 
-    /** Reads an entry whole; throws {@link MalformedCapture} at what is none. */
-    public Entry read(byte[] bytes) throws MalformedCapture {
+    /** Reads an entry whole; throws {@link MalformedCaptureException} at what is none. */
+    public Entry read(byte[] bytes) throws MalformedCaptureException {
         try {
             return records.read(bytes, Entry.class);
-        } catch (MalformedRecord e) {
-            throw new MalformedCapture(e.getMessage(), e);
+        } catch (MalformedRecordException e) {
+            throw new MalformedCaptureException(e.getMessage(), e);
         }
     }
 
--- a/capture/src/main/java/quincespar/capture/Explain.java
+++ b/capture/src/main/java/quincespar/capture/Explainer.java
@@ -11,11 +11,11 @@
 import quincespar.decision.Insight;
 
 /** Tells from a capture, in lines for people, what became of a request and why, or what was known of an engine. */
-public final class Explain {
+public final class Explainer {
     private static final double SECOND = 1000;
 
-    private final Captures captures;
-    private final BrainModules modules = new BrainModules();
+    private final CaptureReader captures;
+    private final CurrentModuleFactory modules = new CurrentModuleFactory();
     private final Consumer<String> to;
     private Gateway.Settings settings;
     private Gateway.Request taken;
@@ -23,15 +23,15 @@
     private int told;
 
     /** Tells {@code to} line by line. */
-    public Explain(Captures captures, Consumer<String> to) {
+    public Explainer(CaptureReader captures, Consumer<String> to) {
         this.captures = captures;
         this.to = to;
     }
 
     /** The story of a request by its number; false where no segment tells of it. */
-    public boolean request(List<SegmentName> names, long id) throws IOException {
+    public boolean explainRequest(List<SegmentName> names, long id) throws IOException {
         Replay replay = new Replay(modules);
-        captures.entries(names, (name, e) -> {
+        captures.forEachEntry(names, (name, e) -> {
             Insight before = e instanceof Entry.Call c && sends(c, id) && replay.module() instanceof Brain b
                     ? new Insight(copy(b)) : null;
             boolean more = replay.play(e);
@@ -57,9 +57,9 @@
     }
 
     /** What was known of an engine at a time, in milliseconds; false where the capture does not reach it. */
-    public boolean engine(List<SegmentName> names, long engine, double at) throws IOException {
+    public boolean explainEngine(List<SegmentName> names, long engine, double at) throws IOException {
         Replay replay = new Replay(modules);
-        captures.entries(names, (name, e) -> !(e instanceof Entry.Call c && c.time() > at) && replay.play(e));
+        captures.forEachEntry(names, (name, e) -> !(e instanceof Entry.Call c && c.time() > at) && replay.play(e));
         if (replay.module() instanceof Brain b) {
             new Insight(copy(b)).engines().forEach((cls, views) -> views.stream().filter(v -> v.engine() == engine)
                     .forEach(v -> say(at, "engine " + engine + " for " + cls + ": " + view(v))));
@@ -68,7 +68,7 @@
     }
 
     private Brain copy(Brain b) throws IOException {
-        return (Brain) modules.restored(new Entry.State(0, modules.state(b)));
+        return (Brain) modules.restore(new Entry.State(0, modules.stateOf(b)));
     }
 
     private static boolean sends(Entry.Call c, long id) {
@@ -76,11 +76,11 @@
     }
 
     private void parted(Replay.Result r) {
-        if (r.parting() != null) {
-            to.accept("from here on this build decides otherwise (call " + r.parting().call() + "): the story ends");
+        if (r.divergence() != null) {
+            to.accept("from here on this build decides otherwise (call " + r.divergence().call() + "): the story ends");
         }
-        if (r.lost() > 0) {
-            to.accept("calls that the capture does not have: " + r.lost());
+        if (r.lostCalls() > 0) {
+            to.accept("calls that the capture does not have: " + r.lostCalls());
         }
     }
 
--- a/capture/src/main/java/quincespar/capture/Frames.java
+++ b/capture/src/main/java/quincespar/capture/Frames.java
@@ -21,7 +21,7 @@
     private Frames() { }
 
     /** The first bytes of a file whose entries have this schema. */
-    public static byte[] head(String schema) {
+    public static byte[] header(String schema) {
         return (MAGIC + schema + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -40,17 +40,17 @@
         private long records;
         private String damage;
 
-        /** Reads the head; throws {@link MalformedCapture} where it is of another form. */
+        /** Reads the head; throws {@link MalformedCaptureException} where it is of another form. */
         public Reader(InputStream from, String schema) throws IOException {
             in = new DataInputStream(from);
-            byte[] wanted = head(schema);
+            byte[] wanted = header(schema);
             byte[] found = in.readNBytes(wanted.length);
             String text = new String(found, StandardCharsets.US_ASCII);
             if (found.length < wanted.length || !text.startsWith(MAGIC)) {
-                throw new MalformedCapture("this is no capture: it does not begin with '" + MAGIC.strip() + "'", null);
+                throw new MalformedCaptureException("this is no capture: it does not begin with '" + MAGIC.strip() + "'", null);
             }
             if (!text.equals(new String(wanted, StandardCharsets.US_ASCII))) {
-                throw new MalformedCapture("this capture is of schema " + text.substring(MAGIC.length()).strip()
+                throw new MalformedCaptureException("this capture is of schema " + text.substring(MAGIC.length()).strip()
                         + ", and this program reads " + schema + " only", null);
             }
             offset = wanted.length;
--- a/capture/src/main/java/quincespar/capture/ModuleText.java
+++ b/capture/src/main/java/quincespar/capture/ModuleDigest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /** Tells one text of the module from another, by what was compiled from it. */
-public final class ModuleText {
-    private ModuleText() { }
+public final class ModuleDigest {
+    private ModuleDigest() { }
 
     /** Sixteen hex digits over the classes that decide and remember, with all that are nested in them. */
-    public static String digest(Class<?>... outer) {
+    public static String of(Class<?>... outer) {
         MessageDigest all = Digests.sha256();
         List<Class<?>> classes = Arrays.stream(outer).flatMap(c -> Arrays.stream(c.getNestMembers()))
                 .sorted(Comparator.comparing(Class::getName)).toList();
--- a/capture/src/main/java/quincespar/capture/Recorder.java
+++ b/capture/src/main/java/quincespar/capture/Recorder.java
@@ -9,10 +9,10 @@
  * Takes what a module is told and decides to the thread that writes it, through a bounded ring. The module's thread never
  * waits: what finds no room is lost and counted, and capturing goes on with the module's state once there is room again.
  */
-public final class Recorder implements CapturedGateway.Tap, Runnable {
+public final class Recorder implements CapturedGateway.Listener, Runnable {
     private sealed interface Item { }
 
-    private record Begin(Entry.State state, long lost, String why) implements Item { }
+    private record Begin(Entry.State state, long lostCalls, String why) implements Item { }
 
     private record Called(Entry.Call call) implements Item { }
 
@@ -23,11 +23,11 @@
     private static final String FULL = "the ring was full";
 
     private final ArrayBlockingQueue<Item> ring;
-    private final Recording recording;
+    private final CaptureWriter recording;
     private final DoubleSupplier clock;
     private final double flushMs;
     private final AtomicLong lost = new AtomicLong();
-    private volatile Recording.Counts counts = new Recording.Counts(0, 0, 0, 0, 0, 0);
+    private volatile CaptureWriter.Counts counts = new CaptureWriter.Counts(0, 0, 0, 0, 0, 0);
     /** A state is wanted, for the next segment; the module's thread sees to it after its next call. */
     private volatile boolean wanted;
     /** A state is on its way to the writer. */
@@ -38,7 +38,7 @@
     private String why = "";
 
     /** A ring of so many calls; what was written is flushed every so many milliseconds of that clock. */
-    public Recorder(Recording recording, int ring, double flushMs, DoubleSupplier clock) {
+    public Recorder(CaptureWriter recording, int ring, double flushMs, DoubleSupplier clock) {
         this.recording = recording;
         this.ring = new ArrayBlockingQueue<>(ring);
         this.flushMs = flushMs;
@@ -59,7 +59,7 @@
     public void failed(Entry.Gap gap) {
         if (!broken) {
             ring.offer(new Failed(gap)); // without room the loss is told all the same, by the next segment
-            lose(gap.why());
+            lose(gap.reason());
         }
     }
 
@@ -116,7 +116,7 @@
 
     private void take(double now, Item i) {
         if (i instanceof Begin b) {
-            recording.begin(now, b.state(), b.lost(), b.why());
+            recording.begin(now, b.state(), b.lostCalls(), b.why());
             wanted = false; // before the next line: else a second state would be made for nothing
             coming = false;
         } else if (i instanceof Called c) {
@@ -141,12 +141,12 @@
     }
 
     /** What has been done so far; may be asked for on any thread. */
-    public Recording.Counts counts() {
+    public CaptureWriter.Counts counts() {
         return counts;
     }
 
     /** Calls that were lost since the last segment began and are not yet in its counts. */
-    public long losing() {
+    public long pendingLostCalls() {
         return lost.get();
     }
 }
--- a/capture/src/main/java/quincespar/capture/Replay.java
+++ b/capture/src/main/java/quincespar/capture/Replay.java
@@ -16,54 +16,54 @@
  */
 public final class Replay {
     /** Makes the modules that are played on. */
-    public interface Modules {
+    public interface ModuleFactory {
         /** A new one. */
-        Gateway fresh(Entry.Opening opening);
+        Gateway create(Entry.Opening opening);
 
-        /** One in that state; throws {@link MalformedCapture} where it is of another text, or none. */
-        Gateway restored(Entry.State state) throws IOException;
+        /** One in that state; throws {@link MalformedCaptureException} where it is of another text, or none. */
+        Gateway restore(Entry.State state) throws IOException;
 
         /** A module's state, as bytes that are the same where the state is. */
-        byte[] state(Gateway module);
+        byte[] stateOf(Gateway module);
     }
 
     /**
-     * What came of it; {@code parting} is null where all decisions are the same. Of the snapshots that were reached by
+     * What came of it; {@code divergence} is null where all decisions are the same. Of the snapshots that were reached by
      * playing on, so many were {@code states} that the module was in, and so many {@code otherStates}. {@code lost}: calls
      * that were not captured, or could not be played for want of a state.
      */
-    public record Result(long calls, long events, long decisions, long states, long otherStates, long lost, String digest,
-            Parting parting) { }
+    public record Result(long calls, long events, long decisions, long matchingStates, long differingStates, long lostCalls, String digest,
+            Divergence divergence) { }
 
     /** The first call whose decisions differ, by number from 1, with the calls before it, the last one last. */
-    public record Parting(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Gateway.Action> got) { }
+    public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Gateway.Action> got) { }
 
-    /** Calls shown before a parting. */
+    /** Calls shown before a divergence. */
     private static final int BEFORE = 10;
 
     private final EntryCodec codec = new EntryCodec();
     private final MessageDigest digest = Digests.sha256();
     private final Deque<Entry.Call> before = new ArrayDeque<>();
-    private final Modules modules;
+    private final ModuleFactory modules;
     /** Of the segment that begins: whether a state comes with it is known with the next entry. */
     private Entry.Opening opening;
     private Gateway module;
     private long states;
     private long otherStates;
     private long lost;
-    private Parting parting;
+    private Divergence divergence;
     private long calls;
     private long events;
     private long decisions;
 
     /** Plays on what {@code modules} makes. */
-    public Replay(Modules modules) {
+    public Replay(ModuleFactory modules) {
         this.modules = modules;
     }
 
     /** Plays one entry; false once the decisions have parted. Calls after a gap are counted as lost up to the next state. */
     public boolean play(Entry entry) throws IOException {
-        if (parting != null) {
+        if (divergence != null) {
             return false;
         }
         if (entry instanceof Entry.Opening o) {
@@ -71,12 +71,12 @@
         } else if (entry instanceof Entry.State s) {
             state(s);
         } else if (entry instanceof Entry.Gap g) {
-            lost += g.calls();
+            lost += g.lostCalls();
             opening = null; // what follows is played from the next state
             module = null;
         } else if (entry instanceof Entry.Call c) {
             if (opening != null) {
-                module = modules.fresh(opening);
+                module = modules.create(opening);
                 opening = null;
             }
             lost += module == null ? 1 : 0;
@@ -88,8 +88,8 @@
     private void state(Entry.State s) throws IOException {
         opening = null;
         if (module == null) {
-            module = modules.restored(s);
-        } else if (Arrays.equals(modules.state(module), s.bytes())) {
+            module = modules.restore(s);
+        } else if (Arrays.equals(modules.stateOf(module), s.bytes())) {
             states++;
         } else {
             otherStates++;
@@ -104,7 +104,7 @@
         Entry.Call played = new Entry.Call(c.time(), c.events(), got);
         codec.digest(digest, played);
         if (!Arrays.equals(codec.write(c), codec.write(played))) { // bytes: NaN and -0.0 count as they are
-            parting = new Parting(calls, c.time(), new ArrayList<>(before), c, got);
+            divergence = new Divergence(calls, c.time(), new ArrayList<>(before), c, got);
             return false;
         }
         if (before.size() == BEFORE) {
@@ -123,7 +123,7 @@
     public Result result() {
         try {
             MessageDigest soFar = (MessageDigest) digest.clone();
-            return new Result(calls, events, decisions, states, otherStates, lost, HexFormat.of().formatHex(soFar.digest()), parting);
+            return new Result(calls, events, decisions, states, otherStates, lost, HexFormat.of().formatHex(soFar.digest()), divergence);
         } catch (CloneNotSupportedException e) {
             throw new IllegalStateException(e);
         }
--- a/capture/src/main/java/quincespar/capture/RuleCheck.java
+++ b/capture/src/main/java/quincespar/capture/RuleChecker.java
@@ -20,10 +20,10 @@
  * engine that drains, once the grace is over; a request has one final answer. It knows requests and engines from where it
  * begins; of what was open before it says nothing. The cold rule is the fleet's, and is not seen in one front end's calls.
  */
-public final class RuleCheck {
+public final class RuleChecker {
     /** Of so many requests that are over it is still known that they are. */
     private static final int REMEMBERED = 10_000;
-    /** So many breaches are kept in words; all are counted. */
+    /** So many violations are kept in words; all are counted. */
     private static final int MOST = 20;
 
     private static final class Open {
@@ -49,13 +49,13 @@
     private final Map<Long, Open> requests = new LinkedHashMap<>();
     private final Set<Long> ended = new LinkedHashSet<>();
     private final Map<Long, Double> notReadySince = new HashMap<>();
-    private final List<String> breaches = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private Entry.Opening opening;
     private Gateway.Settings settings;
     private long count;
 
     /** Takes one entry. */
-    public void take(Entry e) {
+    public void check(Entry e) {
         if (e instanceof Entry.Opening o) {
             boolean same = opening != null && o.name().equals(opening.name()) && o.time() == opening.time();
             if (!same) { // another process: its numbers are its own
@@ -162,17 +162,17 @@
 
     private void require(boolean kept, double now, long id, String breach) {
         if (!kept && count++ < MOST) {
-            breaches.add(String.format(Locale.ROOT, "%.3f request %d %s", now / 1000, id, breach));
+            violations.add(String.format(Locale.ROOT, "%.3f request %d %s", now / 1000, id, breach));
         }
     }
 
     /** How often a rule was broken. */
-    public long count() {
+    public long violationCount() {
         return count;
     }
 
-    /** The first breaches, in words. */
-    public List<String> breaches() {
-        return List.copyOf(breaches);
+    /** The first violations, in words. */
+    public List<String> violations() {
+        return List.copyOf(violations);
     }
 }
--- a/capture/src/main/java/quincespar/capture/Segments.java
+++ b/capture/src/main/java/quincespar/capture/SegmentPolicy.java
@@ -10,7 +10,7 @@
  * Decides about segments: when the next one begins, which old ones go so that all together stay within their bound, and
  * when to try again after a failure. It reads and writes nothing; times are milliseconds on one clock.
  */
-public final class Segments {
+public final class SegmentPolicy {
     /**
      * {@code segmentBytes}, {@code segmentMs}: where a segment ends; {@code totalBytes}: what all hold together, never more;
      * {@code keepMs}: how long one is kept after its end; pauses after failures double from the first to the longest.
@@ -48,7 +48,7 @@
     private double pausedUntil;
 
     /** Begins beside what is kept already, the oldest first; {@code before} is the name before the first one. */
-    public Segments(Limits limits, SegmentName before, Collection<Store.Held> found, double now) {
+    public SegmentPolicy(Limits limits, SegmentName before, Collection<SegmentStore.StoredSegment> found, double now) {
         this.limits = limits;
         name = before;
         found.forEach(f -> keep(f.name(), f.bytes(), now));
@@ -83,7 +83,7 @@
         name = name.next();
         phase = Phase.WRITING;
         begunAt = now;
-        return name.file();
+        return name.fileName();
     }
 
     /** What has to go, the oldest first, so that these bytes more may be written now; null where they can't be. */
@@ -127,7 +127,7 @@
     /** Nothing more is written to what is open. */
     public void end(double now) {
         if (phase == Phase.WRITING) {
-            keep(name.file(), openBytes, now);
+            keep(name.fileName(), openBytes, now);
             openBytes = 0;
         }
         phase = Phase.NONE;
--- a/capture/src/main/java/quincespar/capture/Store.java
+++ b/capture/src/main/java/quincespar/capture/SegmentStore.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /** Where segments are kept. Any call may fail, at any time, and take long. */
-public interface Store {
+public interface SegmentStore {
     /** A file that is kept; {@code bytes} is its length. */
-    record Held(String name, long bytes) { }
+    record StoredSegment(String name, long bytes) { }
 
     /** A file that is being written. */
-    interface Sink extends Closeable {
+    interface SegmentOutput extends Closeable {
         /** Appends these bytes, or fails; how many of them were written then is not known. */
         void write(byte[] bytes) throws IOException;
 
@@ -20,13 +20,13 @@
     }
 
     /** All segments that are kept. */
-    List<Held> list() throws IOException;
+    List<StoredSegment> list() throws IOException;
 
     /** Reads one; throws {@link java.nio.file.NoSuchFileException} where it has gone meanwhile. */
     InputStream open(String name) throws IOException;
 
     /** Begins a new one. */
-    Sink create(String name) throws IOException;
+    SegmentOutput create(String name) throws IOException;
 
     /** Gives one up. */
     void delete(String name) throws IOException;
--- a/capture/src/main/java/quincespar/capture/StateCodec.java
+++ b/capture/src/main/java/quincespar/capture/StateCodec.java
@@ -148,19 +148,19 @@
         }
     }
 
-    /** A module of its own in that state; throws {@link MalformedCapture} at what is none. */
+    /** A module of its own in that state; throws {@link MalformedCaptureException} at what is none. */
     public <T> T read(byte[] bytes, Class<T> type) throws IOException {
         Reader in = new Reader(bytes);
         try {
             Object module = in.read();
             if (module.getClass() != root) {
-                throw new MalformedCapture("a state of " + module.getClass().getSimpleName(), null);
+                throw new MalformedCaptureException("a state of " + module.getClass().getSimpleName(), null);
             }
             return type.cast(module);
-        } catch (MalformedCapture e) {
+        } catch (MalformedCaptureException e) {
             throw e;
         } catch (IOException | RuntimeException | ReflectiveOperationException e) { // of whatever the bytes claim
-            throw new MalformedCapture("a state that can't be read: " + e, e);
+            throw new MalformedCaptureException("a state that can't be read: " + e, e);
         }
     }
 
@@ -491,7 +491,7 @@
         Object read() throws IOException, ReflectiveOperationException {
             String found = new String(in.readNBytes(schema.length()), StandardCharsets.US_ASCII);
             if (!found.equals(schema)) {
-                throw new MalformedCapture("a state of schema " + found + ", and this module's is " + schema, null);
+                throw new MalformedCaptureException("a state of schema " + found + ", and this module's is " + schema, null);
             }
             values = new Object[count()];
             for (int i = 0; i < values.length; i++) {
@@ -506,7 +506,7 @@
                 fill(o, later);
             }
             if (bytes.available() > 0) {
-                throw new MalformedCapture("bytes after the end of a state", null);
+                throw new MalformedCaptureException("bytes after the end of a state", null);
             }
             later.forEach(Runnable::run);
             return objects[0];
@@ -516,7 +516,7 @@
         private int count() throws IOException {
             int n = number();
             if (n > bytes.available()) {
-                throw new MalformedCapture("a state claims " + n + " things in " + bytes.available() + " bytes", null);
+                throw new MalformedCaptureException("a state claims " + n + " things in " + bytes.available() + " bytes", null);
             }
             return n;
         }
@@ -533,7 +533,7 @@
                     return n;
                 }
             }
-            throw new MalformedCapture("a number out of range in a state", null);
+            throw new MalformedCaptureException("a number out of range in a state", null);
         }
 
         private Object value() throws IOException, ReflectiveOperationException {
@@ -603,9 +603,9 @@
             return (Comparator<Object>) c;
         }
 
-        private Class<?> plain(Class<?> c) throws MalformedCapture {
+        private Class<?> plain(Class<?> c) throws MalformedCaptureException {
             if (c.isEnum() || c.isRecord()) {
-                throw new MalformedCapture("a state holds a " + c.getSimpleName() + " that is no object", null);
+                throw new MalformedCaptureException("a state holds a " + c.getSimpleName() + " that is no object", null);
             }
             return c;
         }
--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -51,7 +51,7 @@
                 }
             });
             if (capture.equals("on")) {
-                recorder = new Recorder(new Recording(World.opening(61), new Segments(new Segments.Limits(1L << 40, 1e15, 1L << 50,
+                recorder = new Recorder(new CaptureWriter(World.opening(61), new SegmentPolicy(new SegmentPolicy.Limits(1L << 40, 1e15, 1L << 50,
                         1e15, 100, 100), new SegmentName("w", 1, 0), List.of(), 0), new Nowhere(), line -> { }), 1 << 16, 500,
                         () -> System.nanoTime() / 1e6);
                 writer = new Thread(recorder);
@@ -70,7 +70,7 @@
         @TearDown(Level.Trial)
         public void end() throws InterruptedException {
             if (recorder != null) {
-                System.out.println("lost " + recorder.losing() + " of " + recorder.counts().calls() + " calls, "
+                System.out.println("lost " + recorder.pendingLostCalls() + " of " + recorder.counts().calls() + " calls, "
                         + recorder.counts().bytes() / Math.max(1, recorder.counts().calls()) + " bytes a call");
                 writer.interrupt();
                 writer.join();
@@ -87,9 +87,9 @@
     }
 
     /** A store whose bytes go nowhere. */
-    private static final class Nowhere implements Store {
+    private static final class Nowhere implements SegmentStore {
         @Override
-        public List<Held> list() {
+        public List<StoredSegment> list() {
             return List.of();
         }
 
@@ -99,8 +99,8 @@
         }
 
         @Override
-        public Sink create(String name) {
-            return new Sink() {
+        public SegmentOutput create(String name) {
+            return new SegmentOutput() {
                 @Override
                 public void write(byte[] bytes) { }
 
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -39,7 +39,7 @@
         List<Entry> entries = w.play(4000);
         byte[] file = w.file(entries);
         Replay.Result one = World.replay(file, 0);
-        assertThat(one.parting()).isNull();
+        assertThat(one.divergence()).isNull();
         assertThat(one.calls()).isEqualTo(entries.size() - 1);
         assertThat(one.decisions()).isGreaterThan(4000);
         assertThat(World.replay(file, 0)).isEqualTo(one);
@@ -73,10 +73,10 @@
     void anotherModulePartsAtItsFirstOtherDecisionAndThatIsShown() throws IOException {
         World w = new World(9);
         Replay.Result r = World.replay(w.file(w.play(500)), 1); // another source of chance
-        assertThat(r.parting()).isNotNull();
-        assertThat(r.parting().call()).isEqualTo(r.calls());
-        assertThat(r.parting().before()).hasSizeLessThanOrEqualTo(10);
-        assertThat(r.parting().got()).isNotEqualTo(r.parting().expected().actions());
+        assertThat(r.divergence()).isNotNull();
+        assertThat(r.divergence().call()).isEqualTo(r.calls());
+        assertThat(r.divergence().before()).hasSizeLessThanOrEqualTo(10);
+        assertThat(r.divergence().got()).isNotEqualTo(r.divergence().expected().actions());
     }
 
     @Test
@@ -85,7 +85,7 @@
         List<Entry> entries = new ArrayList<>(w.play(200));
         entries.add(100, new Entry.Gap(0, 3, "the disk was full"));
         Replay.Result r = World.replay(w.file(entries), 0);
-        assertThat(r.parting()).isNull();
+        assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isEqualTo(99);
     }
 
@@ -152,10 +152,10 @@
     void whatIsNoCaptureOrOfAnotherFormIsRefusedInOneSentence() {
         for (byte[] other : List.of(new byte[0], "QCA".getBytes(StandardCharsets.US_ASCII), new byte[100])) {
             assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(other), codec.schema()))
-                    .isInstanceOf(MalformedCapture.class).hasMessage("this is no capture: it does not begin with 'QCAP1'");
+                    .isInstanceOf(MalformedCaptureException.class).hasMessage("this is no capture: it does not begin with 'QCAP1'");
         }
-        assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(Frames.head("0123456789abcdef")),
-                codec.schema())).isInstanceOf(MalformedCapture.class).hasMessage(
+        assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(Frames.header("0123456789abcdef")),
+                codec.schema())).isInstanceOf(MalformedCaptureException.class).hasMessage(
                 "this capture is of schema 0123456789abcdef, and this program reads " + codec.schema() + " only");
     }
 
@@ -168,7 +168,7 @@
         for (byte[] some : List.of(bytes, record, Arrays.copyOf(record, Math.floorMod(at, record.length)))) {
             try {
                 assertThat(codec.read(some)).isNotNull();
-            } catch (MalformedCapture e) {
+            } catch (MalformedCaptureException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
@@ -196,7 +196,7 @@
 
     @Test
     void theModulesTextHasADigestThatNamesIt() {
-        assertThat(ModuleText.digest(Brain.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleText.digest(Brain.class))
-                .isNotEqualTo(ModuleText.digest(Gateway.class));
+        assertThat(ModuleDigest.of(Brain.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleDigest.of(Brain.class))
+                .isNotEqualTo(ModuleDigest.of(Gateway.class));
     }
 }
--- a/capture/src/test/java/quincespar/capture/ExplainTest.java
+++ b/capture/src/test/java/quincespar/capture/ExplainTest.java
@@ -63,20 +63,20 @@
 
     private static MemoryStore stored(World w, long seed, int requests) {
         MemoryStore store = new MemoryStore();
-        store.files.put(new SegmentName("w", 1, 1).file(), new java.io.ByteArrayOutputStream());
-        store.files.get(new SegmentName("w", 1, 1).file()).writeBytes(w.file(w.play(requests)));
+        store.files.put(new SegmentName("w", 1, 1).fileName(), new java.io.ByteArrayOutputStream());
+        store.files.get(new SegmentName("w", 1, 1).fileName()).writeBytes(w.file(w.play(requests)));
         return store;
     }
 
     @Test
     void aRequestsStoryHasItsChoicesItsEndsAndWhatRuledOutTheOthers() throws IOException {
         MemoryStore store = stored(new World(52), 52, 400);
-        Captures captures = new Captures(store);
+        CaptureReader captures = new CaptureReader(store);
         Set<String> seen = new HashSet<>();
         int stories = 0;
         for (long id = 1; id <= 400; id += 7) {
             List<String> lines = new ArrayList<>();
-            if (new Explain(captures, lines::add).request(captures.names(), id)) {
+            if (new Explainer(captures, lines::add).explainRequest(captures.segmentNames(), id)) {
                 stories++;
                 assertThat(lines.get(0)).contains("request " + id + " is taken");
                 String all = String.join("\n", lines);
@@ -91,20 +91,20 @@
         assertThat(stories).isEqualTo(58);
         assertThat(seen).contains("* engine", "chosen", "a lower figure", "ended after", "shunned", "says of attempt", "is given up",
                 "turned away", "its aim was");
-        assertThat(new Explain(captures, l -> { }).request(captures.names(), 99_999)).isFalse();
+        assertThat(new Explainer(captures, l -> { }).explainRequest(captures.segmentNames(), 99_999)).isFalse();
     }
 
     @Test
     void anEnginesViewIsThatOfTheTimeAskedFor() throws IOException {
         MemoryStore store = stored(new World(53), 53, 300);
-        Captures captures = new Captures(store);
-        Captures.Segment s = captures.read(captures.names().get(0));
+        CaptureReader captures = new CaptureReader(store);
+        CaptureReader.SegmentSummary s = captures.summarize(captures.segmentNames().get(0));
         List<String> early = new ArrayList<>();
         List<String> late = new ArrayList<>();
-        assertThat(new Explain(captures, early::add).engine(captures.names(), 3, s.from())).isTrue();
-        assertThat(new Explain(captures, late::add).engine(captures.names(), 3, s.to())).isTrue();
+        assertThat(new Explainer(captures, early::add).explainEngine(captures.segmentNames(), 3, s.from())).isTrue();
+        assertThat(new Explainer(captures, late::add).explainEngine(captures.segmentNames(), 3, s.to())).isTrue();
         assertThat(early).hasSize(3).allMatch(l -> l.contains("takes work"));
         assertThat(late).hasSize(3).isNotEqualTo(early);
-        assertThat(new Explain(captures, l -> { }).engine(captures.names(), 99, s.to())).isFalse();
+        assertThat(new Explainer(captures, l -> { }).explainEngine(captures.segmentNames(), 99, s.to())).isFalse();
     }
 }
--- a/capture/src/test/java/quincespar/capture/LongCapture.java
+++ b/capture/src/test/java/quincespar/capture/LongCapture.java
@@ -14,11 +14,11 @@
     /** To the folder that is named, in segments of 16 MB. */
     public static void main(String[] args) throws IOException {
         MemoryStore store = new MemoryStore();
-        Recording recording = new Recording(World.opening(71), new Segments(new Segments.Limits(SEGMENT, 1e15, 1L << 40, 1e15,
+        CaptureWriter recording = new CaptureWriter(World.opening(71), new SegmentPolicy(new SegmentPolicy.Limits(SEGMENT, 1e15, 1L << 40, 1e15,
                 100, 100), new SegmentName("long", 1, 0), store.list(), 0), store, System.out::println);
         recording.begin(0, null, 0, "");
         double[] now = {0};
-        new World(71, new CapturedGateway.Tap() {
+        new World(71, new CapturedGateway.Listener() {
             @Override
             public void call(Entry.Call call) {
                 now[0] = call.time();
@@ -42,7 +42,7 @@
         }).play(REQUESTS);
         recording.close(now[0]);
         Path folder = Files.createDirectories(Path.of(args[0]));
-        for (Store.Held h : store.list()) {
+        for (SegmentStore.StoredSegment h : store.list()) {
             Files.write(folder.resolve(h.name()), store.files.get(h.name()).toByteArray());
         }
         System.out.println(recording.counts());
--- a/capture/src/test/java/quincespar/capture/MemoryStore.java
+++ b/capture/src/test/java/quincespar/capture/MemoryStore.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 
 /** A store in memory that fails where the test says, as a disk does: full, gone, not permitted. */
-final class MemoryStore implements Store {
+final class MemoryStore implements SegmentStore {
     final Map<String, ByteArrayOutputStream> files = new ConcurrentHashMap<>();
     volatile BooleanSupplier creates = () -> true;
     volatile BooleanSupplier writes = () -> true;
@@ -31,8 +31,8 @@
     }
 
     @Override
-    public List<Held> list() {
-        return new TreeMap<>(files).entrySet().stream().map(e -> new Held(e.getKey(), e.getValue().size())).toList();
+    public List<StoredSegment> list() {
+        return new TreeMap<>(files).entrySet().stream().map(e -> new StoredSegment(e.getKey(), e.getValue().size())).toList();
     }
 
     @Override
@@ -45,11 +45,11 @@
     }
 
     @Override
-    public Sink create(String name) throws IOException {
+    public SegmentOutput create(String name) throws IOException {
         check(creates, "no folder");
         ByteArrayOutputStream to = new ByteArrayOutputStream();
         files.put(name, to);
-        return new Sink() {
+        return new SegmentOutput() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 if (!writes.getAsBoolean()) {
--- a/capture/src/test/java/quincespar/capture/RecordingTest.java
+++ b/capture/src/test/java/quincespar/capture/RecordingTest.java
@@ -16,7 +16,7 @@
 
 /** Segments on a store that works, fails, fills up and drops what is old, and their replay. */
 class RecordingTest {
-    private static final Segments.Limits LIMITS = new Segments.Limits(12_000, 1_000, 80_000, 1e9, 100, 800);
+    private static final SegmentPolicy.Limits LIMITS = new SegmentPolicy.Limits(12_000, 1_000, 80_000, 1e9, 100, 800);
 
     private final MemoryStore store = new MemoryStore();
     private final List<String> told = new ArrayList<>();
@@ -24,12 +24,12 @@
     private long lost;
 
     /** The module's thread and the writer's in one, in virtual time. */
-    private final class Together implements CapturedGateway.Tap {
-        private final Recording recording;
+    private final class Together implements CapturedGateway.Listener {
+        private final CaptureWriter recording;
         private double now;
 
-        Together(long seed, Segments.Limits limits) {
-            recording = new Recording(World.opening(seed), new Segments(limits, new SegmentName("w", 1, 0), store.list(), 0),
+        Together(long seed, SegmentPolicy.Limits limits) {
+            recording = new CaptureWriter(World.opening(seed), new SegmentPolicy(limits, new SegmentName("w", 1, 0), store.list(), 0),
                     store, told::add);
             recording.begin(0, null, 0, "");
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    private Recording.Counts play(long seed, Segments.Limits limits, int requests) {
+    private CaptureWriter.Counts play(long seed, SegmentPolicy.Limits limits, int requests) {
         Together t = new Together(seed, limits);
         new World(seed, t).play(requests);
         t.recording.close(t.now);
@@ -65,30 +65,30 @@
     }
 
     private Replay.Result replay(List<SegmentName> names) throws IOException {
-        Replay replay = new Replay(new BrainModules());
-        new Captures(store).entries(names, (name, e) -> replay.play(e));
+        Replay replay = new Replay(new CurrentModuleFactory());
+        new CaptureReader(store).forEachEntry(names, (name, e) -> replay.play(e));
         return replay.result();
     }
 
     @Test
     @Timeout(120)
     void aDayInSegmentsPlaysTheSameFromItsStartAndFromAnySegment() throws IOException {
-        Recording.Counts counts = play(41, new Segments.Limits(100_000, 1e9, 100_000_000, 1e9, 100, 800), 4000);
-        List<SegmentName> all = new Captures(store).names();
+        CaptureWriter.Counts counts = play(41, new SegmentPolicy.Limits(100_000, 1e9, 100_000_000, 1e9, 100, 800), 4000);
+        List<SegmentName> all = new CaptureReader(store).segmentNames();
         assertThat(all).hasSizeGreaterThan(4).hasSize((int) counts.segments());
         Replay.Result whole = replay(all);
-        assertThat(whole.parting()).isNull();
-        assertThat(whole.lost()).isZero();
+        assertThat(whole.divergence()).isNull();
+        assertThat(whole.lostCalls()).isZero();
         assertThat(whole.calls()).isEqualTo(counts.calls());
-        assertThat(whole.states()).isEqualTo(all.size() - 1); // played on, it comes into each state that was captured
-        assertThat(whole.otherStates()).isZero();
+        assertThat(whole.matchingStates()).isEqualTo(all.size() - 1); // played on, it comes into each state that was captured
+        assertThat(whole.differingStates()).isZero();
         assertThat(replay(all)).isEqualTo(whole);
         long calls = whole.calls();
         for (int from = 1; from < all.size(); from++) {
             Replay.Result part = replay(all.subList(from, all.size()));
-            assertThat(part.parting()).isNull();
-            assertThat(part.lost()).isZero();
-            assertThat(part.states()).isEqualTo(all.size() - 1 - from);
+            assertThat(part.divergence()).isNull();
+            assertThat(part.lostCalls()).isZero();
+            assertThat(part.matchingStates()).isEqualTo(all.size() - 1 - from);
             assertThat(part.calls()).isLessThan(calls);
             calls = part.calls();
             assertThat(replay(all.subList(from, all.size()))).isEqualTo(part);
@@ -99,20 +99,20 @@
     @Test
     @Timeout(120)
     void theOldestGoAndTogetherTheyNeverPassTheirBound() throws IOException {
-        Recording.Counts counts = play(42, LIMITS, 3000);
-        assertThat(counts.dropped()).isPositive();
-        assertThat(counts.lost()).isZero();
+        CaptureWriter.Counts counts = play(42, LIMITS, 3000);
+        assertThat(counts.deletedSegments()).isPositive();
+        assertThat(counts.lostCalls()).isZero();
         assertThat(store.most).isLessThanOrEqualTo(LIMITS.totalBytes()).isGreaterThan(LIMITS.totalBytes() / 2);
-        List<SegmentName> left = new Captures(store).names();
-        assertThat(left.get(0).serial()).isGreaterThan(1);
-        assertThat(left.get(left.size() - 1).serial()).isEqualTo((int) counts.segments());
+        List<SegmentName> left = new CaptureReader(store).segmentNames();
+        assertThat(left.get(0).number()).isGreaterThan(1);
+        assertThat(left.get(left.size() - 1).number()).isEqualTo((int) counts.segments());
         Replay.Result r = replay(left);
-        assertThat(r.parting()).isNull();
-        assertThat(r.lost()).isZero();
+        assertThat(r.divergence()).isNull();
+        assertThat(r.lostCalls()).isZero();
         assertThat(r.calls()).isPositive();
     }
 
-    /** Whatever fails and when, what is read back plays without a parting, and all that is not there is counted. */
+    /** Whatever fails and when, what is read back plays without a divergence, and all that is not there is counted. */
     @Property(tries = 40, seed = "20261201")
     void whateverFailsWhatIsThereIsTrueAndWhatIsNotIsCounted(@ForAll long seed) throws IOException {
         store.files.clear();
@@ -127,14 +127,14 @@
         World again = new World(43, t);
         again.play(400);
         t.recording.close(t.now);
-        Recording.Counts counts = t.recording.counts();
-        assertThat(counts.calls() + counts.lost()).isEqualTo(calls.size() - 1);
+        CaptureWriter.Counts counts = t.recording.counts();
+        assertThat(counts.calls() + counts.lostCalls()).isEqualTo(calls.size() - 1);
         assertThat(counts.failures()).isPositive();
         assertThat(store.most).isLessThanOrEqualTo(LIMITS.totalBytes());
-        Replay.Result r = replay(new Captures(store).names());
-        assertThat(r.parting()).isNull();
-        assertThat(r.otherStates()).isZero();
-        if (counts.dropped() == 0) {
+        Replay.Result r = replay(new CaptureReader(store).segmentNames());
+        assertThat(r.divergence()).isNull();
+        assertThat(r.differingStates()).isZero();
+        if (counts.deletedSegments() == 0) {
             assertThat(r.calls()).isEqualTo(counts.calls());
         }
     }
@@ -143,7 +143,7 @@
     void aFullDiskIsToldOnceAndAgainWhenItIsOver() {
         boolean[] full = {false};
         store.writes = () -> !full[0];
-        Recording r = new Recording(World.opening(1), new Segments(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store,
+        CaptureWriter r = new CaptureWriter(World.opening(1), new SegmentPolicy(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store,
                 told::add);
         r.begin(0, null, 0, "");
         Entry.Call call = new Entry.Call(1, List.of(), List.of());
@@ -161,7 +161,7 @@
         r.call(5001, call);
         assertThat(r.counts().failures()).isEqualTo(5);
         assertThat(r.counts().calls()).isEqualTo(2);
-        assertThat(r.counts().lost()).isEqualTo(1 + 1997 + 7);
+        assertThat(r.counts().lostCalls()).isEqualTo(1 + 1997 + 7);
         assertThat(told).containsExactly("capture: a segment has begun",
                 "capture: disk full; calls are lost until it can be written again",
                 "capture: a segment has begun, 2005 calls were lost: the ring was full");
@@ -171,66 +171,66 @@
     @Test
     @Timeout(120)
     void whatIsMissingInTheMiddleIsAGap() throws IOException {
-        Recording.Counts counts = play(44, new Segments.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
-        List<SegmentName> all = new ArrayList<>(new Captures(store).names());
+        CaptureWriter.Counts counts = play(44, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+        List<SegmentName> all = new ArrayList<>(new CaptureReader(store).segmentNames());
         assertThat(all).hasSizeGreaterThan(4);
-        store.files.remove(all.get(2).file());
-        byte[] tail = store.files.get(all.get(3).file()).toByteArray();
-        store.files.get(all.get(3).file()).reset();
-        store.files.get(all.get(3).file()).write(tail, 0, tail.length - 3);
-        Captures captures = new Captures(store);
-        assertThat(captures.read(all.get(3)).damage()).contains("cut off");
-        assertThat(captures.read(all.get(3)).state()).isTrue();
-        Replay.Result r = replay(captures.names());
-        assertThat(r.parting()).isNull();
+        store.files.remove(all.get(2).fileName());
+        byte[] tail = store.files.get(all.get(3).fileName()).toByteArray();
+        store.files.get(all.get(3).fileName()).reset();
+        store.files.get(all.get(3).fileName()).write(tail, 0, tail.length - 3);
+        CaptureReader captures = new CaptureReader(store);
+        assertThat(captures.summarize(all.get(3)).damage()).contains("cut off");
+        assertThat(captures.summarize(all.get(3)).state()).isTrue();
+        Replay.Result r = replay(captures.segmentNames());
+        assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isLessThan(counts.calls());
-        assertThat(r.states()).isEqualTo(all.size() - 1 - 3); // 2 is missing, 3 and 4 are restored anew
+        assertThat(r.matchingStates()).isEqualTo(all.size() - 1 - 3); // 2 is missing, 3 and 4 are restored anew
     }
 
     /** The writer goes on while someone reads: what it drops meanwhile is a gap, and what is left plays. */
     @Test
     @Timeout(120)
     void whatIsDroppedWhileItIsReadIsAGap() throws IOException {
-        play(47, new Segments.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
-        Captures captures = new Captures(store);
-        List<SegmentName> all = captures.names();
-        Replay replay = new Replay(new BrainModules());
+        play(47, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+        CaptureReader captures = new CaptureReader(store);
+        List<SegmentName> all = captures.segmentNames();
+        Replay replay = new Replay(new CurrentModuleFactory());
         List<Entry.Gap> gaps = new ArrayList<>();
-        captures.entries(all, (name, e) -> {
-            store.files.remove(all.get(1).file()); // and the first one, which is open already, is read to its end
-            store.files.remove(all.get(0).file());
+        captures.forEachEntry(all, (name, e) -> {
+            store.files.remove(all.get(1).fileName()); // and the first one, which is open already, is read to its end
+            store.files.remove(all.get(0).fileName());
             if (e instanceof Entry.Gap g) {
                 gaps.add(g);
             }
             return replay.play(e);
         });
         assertThat(gaps).hasSize(1);
-        assertThat(gaps.get(0).why()).isEqualTo(all.get(1).file() + ": it has gone");
-        assertThat(replay.result().parting()).isNull();
-        assertThat(replay.result().lost()).isZero();
-        assertThat(replay.result().states()).isEqualTo(all.size() - 3);
+        assertThat(gaps.get(0).reason()).isEqualTo(all.get(1).fileName() + ": it has gone");
+        assertThat(replay.result().divergence()).isNull();
+        assertThat(replay.result().lostCalls()).isZero();
+        assertThat(replay.result().matchingStates()).isEqualTo(all.size() - 3);
     }
 
     @Test
     @Timeout(120)
     void aCutHoldsTheStateBeforeItAndPlays() throws IOException {
-        play(45, new Segments.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
-        Captures captures = new Captures(store);
-        Captures.Segment third = captures.read(captures.names().get(2));
-        List<Entry> cut = captures.cut(captures.names(), third.from() + 1, third.to());
+        play(45, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+        CaptureReader captures = new CaptureReader(store);
+        CaptureReader.SegmentSummary third = captures.summarize(captures.segmentNames().get(2));
+        List<Entry> cut = captures.cut(captures.segmentNames(), third.from() + 1, third.to());
         assertThat(cut.get(0)).isInstanceOf(Entry.Opening.class);
         assertThat(cut.get(1)).isInstanceOf(Entry.State.class);
-        Replay replay = new Replay(new BrainModules());
+        Replay replay = new Replay(new CurrentModuleFactory());
         for (Entry e : cut) {
             assertThat(replay.play(e)).isTrue();
         }
         long[] calls = {0};
-        captures.entries(captures.names().subList(2, captures.names().size()), (name, e) -> {
+        captures.forEachEntry(captures.segmentNames().subList(2, captures.segmentNames().size()), (name, e) -> {
             calls[0] += e instanceof Entry.Call c && c.time() <= third.to() ? 1 : 0;
             return true;
         });
         assertThat(replay.result().calls()).isEqualTo(calls[0]).isGreaterThanOrEqualTo(third.calls());
-        assertThat(captures.cut(captures.names(), 1e9, 2e9)).isEmpty();
+        assertThat(captures.cut(captures.segmentNames(), 1e9, 2e9)).isEmpty();
     }
 
     /** The module's thread and the writer's apart: a store that stands still holds up nobody, and is caught up with. */
@@ -251,8 +251,8 @@
                 return false;
             }
         };
-        Recording recording = new Recording(World.opening(46), new Segments(
-                new Segments.Limits(1 << 30, 1e9, 1L << 32, 1e9, 100, 800), new SegmentName("w", 1, 0), List.of(), 0), store,
+        CaptureWriter recording = new CaptureWriter(World.opening(46), new SegmentPolicy(
+                new SegmentPolicy.Limits(1 << 30, 1e9, 1L << 32, 1e9, 100, 800), new SegmentName("w", 1, 0), List.of(), 0), store,
                 told::add);
         Recorder recorder = new Recorder(recording, 64, 5, () -> System.nanoTime() / 1e6);
         Thread writer = new Thread(recorder);
@@ -264,27 +264,27 @@
         stands[0] = true;
         w.play(600); // far more calls than the ring holds; none of them waits
         standing.await();
-        assertThat(recorder.losing()).isPositive();
+        assertThat(recorder.pendingLostCalls()).isPositive();
         moves.countDown();
         w.settle(() -> recorder.counts().segments() < 2);
         assertThat(recorder.stop()).isTrue();
         writer.join();
-        Recording.Counts counts = recorder.counts();
-        assertThat(counts.lost()).isPositive();
-        assertThat(counts.calls() + counts.lost() + recorder.losing()).isEqualTo(w.calls());
-        Replay.Result r = replay(new Captures(store).names());
-        assertThat(r.parting()).isNull();
+        CaptureWriter.Counts counts = recorder.counts();
+        assertThat(counts.lostCalls()).isPositive();
+        assertThat(counts.calls() + counts.lostCalls() + recorder.pendingLostCalls()).isEqualTo(w.calls());
+        Replay.Result r = replay(new CaptureReader(store).segmentNames());
+        assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isEqualTo(counts.calls());
-        assertThat(r.lost()).isEqualTo(counts.lost());
+        assertThat(r.lostCalls()).isEqualTo(counts.lostCalls());
     }
 
     @Test
     void namesComeBackAsTheyWereAndNothingElseIsOne() {
         SegmentName n = new SegmentName("n-1", 1_764_000_000_000L, 12);
-        assertThat(n.file()).isEqualTo("n-1-1764000000000-000012.qcap");
-        assertThat(SegmentName.read(n.file())).contains(n);
-        assertThat(new SegmentName("../n 1", 0, 1).file()).isEqualTo(".._n_1-0000000000000-000001.qcap");
-        assertThat(SegmentName.read("n-1764000000000-12.qcap")).isEmpty();
-        assertThatThrownBy(() -> new Segments.Limits(100, 1, 199, 1, 1, 1)).hasMessageContaining("two segments");
+        assertThat(n.fileName()).isEqualTo("n-1-1764000000000-000012.qcap");
+        assertThat(SegmentName.parse(n.fileName())).contains(n);
+        assertThat(new SegmentName("../n 1", 0, 1).fileName()).isEqualTo(".._n_1-0000000000000-000001.qcap");
+        assertThat(SegmentName.parse("n-1764000000000-12.qcap")).isEmpty();
+        assertThatThrownBy(() -> new SegmentPolicy.Limits(100, 1, 199, 1, 1, 1)).hasMessageContaining("two segments");
     }
 }
--- a/capture/src/test/java/quincespar/capture/ScenesTest.java
+++ b/capture/src/test/java/quincespar/capture/ScenesTest.java
@@ -50,19 +50,19 @@
     @ParameterizedTest
     @EnumSource(World.Scene.class)
     void theModuleDecidesAsItDidAndKeepsTheRules(World.Scene s) throws IOException {
-        Replay replay = new Replay(new BrainModules());
-        RuleCheck rules = new RuleCheck();
+        Replay replay = new Replay(new CurrentModuleFactory());
+        RuleChecker rules = new RuleChecker();
         for (Entry e : captured(s)) {
-            rules.take(e);
+            rules.check(e);
             assertThat(replay.play(e)).as("%s: the module decides otherwise now, at %s; if that is meant, write the captures"
-                    + " anew with ScenesTest.main and say why in the commit", s, replay.result().parting()).isTrue();
+                    + " anew with ScenesTest.main and say why in the commit", s, replay.result().divergence()).isTrue();
         }
         assertThat(replay.result().calls()).isGreaterThan(World.Scene.REQUESTS);
-        assertThat(rules.breaches()).isEmpty();
+        assertThat(rules.violations()).isEmpty();
         // and what the module does now in that scene, whatever was captured
-        RuleCheck now = new RuleCheck();
-        World.scene(s).forEach(now::take);
-        assertThat(now.breaches()).isEmpty();
+        RuleChecker now = new RuleChecker();
+        World.scene(s).forEach(now::check);
+        assertThat(now.violations()).isEmpty();
     }
 
     /** Each scene has in it what its name says: else it would guard nothing. */
@@ -106,60 +106,60 @@
     /** Calls in which each rule is broken once, after calls in which it is kept. */
     @Test
     void eachBrokenRuleIsNamed() {
-        RuleCheck r = new RuleCheck();
-        r.take(World.opening(1));
+        RuleChecker r = new RuleChecker();
+        r.check(World.opening(1));
         Gateway.Engine drains = new Gateway.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
-        r.take(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(drains)))));
+        r.check(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(drains)))));
         Gateway.Event load = new Gateway.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
-        r.take(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace
-        r.take(call(200, List.of(ended(1, 0, Outcome.FULL)), new Gateway.Send(1, 1, 0))); // it never ran
-        r.take(call(300, List.of(ended(1, 1, Outcome.ERROR))));
-        assertThat(r.count()).isZero();
-        r.take(call(400, List.of(), new Gateway.Send(1, 1, 0)));
-        r.take(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Gateway.Refuse(1, 0)));
-        r.take(call(600, List.of(), new Gateway.Fail(1)));
-        r.take(call(700, List.of(), new Gateway.Send(1, 1, 0)));
+        r.check(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace
+        r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Gateway.Send(1, 1, 0))); // it never ran
+        r.check(call(300, List.of(ended(1, 1, Outcome.ERROR))));
+        assertThat(r.violationCount()).isZero();
+        r.check(call(400, List.of(), new Gateway.Send(1, 1, 0)));
+        r.check(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Gateway.Refuse(1, 0)));
+        r.check(call(600, List.of(), new Gateway.Fail(1)));
+        r.check(call(700, List.of(), new Gateway.Send(1, 1, 0)));
         Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.take(call(2000, List.of(lookup), new Gateway.Send(2, 1, 0), new Gateway.Send(2, 1, 0)));
-        r.take(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Gateway.Send(2, 2, 0)));
-        assertThat(r.breaches()).containsExactly(
+        r.check(call(2000, List.of(lookup), new Gateway.Send(2, 1, 0), new Gateway.Send(2, 1, 0)));
+        r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Gateway.Send(2, 2, 0)));
+        assertThat(r.violations()).containsExactly(
                 "0.400 request 1 is sent again though it may have run, and may not run twice",
                 "0.500 request 1 is refused after it may have run", "0.600 request 1 has two final answers",
                 "0.700 request 1 is sent after its end", "2.000 request 2 has two attempts out",
                 "2.100 request 2 is sent to engine 2, which takes nothing new");
-        r.take(new Entry.Gap(2200, 5, "the ring was full"));
-        r.take(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // nothing is known of it any more
-        assertThat(r.count()).isEqualTo(6);
+        r.check(new Entry.Gap(2200, 5, "the ring was full"));
+        r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // nothing is known of it any more
+        assertThat(r.violationCount()).isEqualTo(6);
     }
 
     /** Captures of several processes lie in one folder, and each numbers its requests from 1. */
     @Test
     void processesAreHeldAgainstTheRulesEachByItself() {
-        RuleCheck r = new RuleCheck();
+        RuleChecker r = new RuleChecker();
         for (long seed : List.of(7L, 8L)) {
             List<Entry> all = new ArrayList<>(new World(seed).play(100));
             all.add(50, all.get(0)); // the next segment of the same process begins: nothing is forgotten
-            all.forEach(r::take);
+            all.forEach(r::check);
         }
-        assertThat(r.breaches()).isEmpty();
-        r.take(World.opening(8));
-        r.take(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
-        assertThat(r.breaches()).containsExactly("99.000 request 3 is sent after its end");
+        assertThat(r.violations()).isEmpty();
+        r.check(World.opening(8));
+        r.check(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
+        assertThat(r.violations()).containsExactly("99.000 request 3 is sent after its end");
     }
 
     /** Seen in service: an attempt ends, the request is given up for it, and its client leaves, all in one call. */
     @Test
     void whoLeavesInTheCallInWhichItIsGivenUpHasOneAnswer() {
-        RuleCheck r = new RuleCheck();
-        r.take(World.opening(1));
+        RuleChecker r = new RuleChecker();
+        r.check(World.opening(1));
         Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.take(call(0, List.of(lookup), new Gateway.Send(2, 1, 0)));
-        r.take(call(10, List.of(ended(2, 0, Outcome.ERROR), new Gateway.Left(2)), new Gateway.Refuse(2, 0)));
-        assertThat(r.breaches()).isEmpty();
-        r.take(call(20, List.of(), new Gateway.Refuse(2, 0)));
-        r.take(call(30, List.of(new Gateway.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
-        r.take(call(40, List.of(new Gateway.Left(3)), new Gateway.Send(3, 1, 0)));
-        assertThat(r.breaches()).containsExactly("0.020 request 2 has two final answers",
+        r.check(call(0, List.of(lookup), new Gateway.Send(2, 1, 0)));
+        r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Gateway.Left(2)), new Gateway.Refuse(2, 0)));
+        assertThat(r.violations()).isEmpty();
+        r.check(call(20, List.of(), new Gateway.Refuse(2, 0)));
+        r.check(call(30, List.of(new Gateway.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
+        r.check(call(40, List.of(new Gateway.Left(3)), new Gateway.Send(3, 1, 0)));
+        assertThat(r.violations()).containsExactly("0.020 request 2 has two final answers",
                 "0.040 request 3 is sent after its end");
     }
 
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -78,13 +78,13 @@
             }
             try {
                 assertThat(codec.read(bad, Brain.class)).isNotNull(); // another figure is a state too
-            } catch (MalformedCapture e) {
+            } catch (MalformedCaptureException e) {
                 refused++;
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
         assertThat(refused).isGreaterThan(2000);
-        assertThatThrownBy(() -> codec.read(new byte[40], Brain.class)).isInstanceOf(MalformedCapture.class)
+        assertThatThrownBy(() -> codec.read(new byte[40], Brain.class)).isInstanceOf(MalformedCaptureException.class)
                 .hasMessageContaining("and this module's is " + codec.schema());
     }
 
--- a/capture/src/test/java/quincespar/capture/World.java
+++ b/capture/src/test/java/quincespar/capture/World.java
@@ -86,7 +86,7 @@
     }
 
     /** As above, told to someone else. */
-    World(long seed, CapturedGateway.Tap to) {
+    World(long seed, CapturedGateway.Listener to) {
         random = new SplittableRandom(seed);
         module = new CapturedGateway(new Brain(settings(), seed), to, new StateCodec(Brain.class)::write);
     }
@@ -100,7 +100,7 @@
     }
 
     static Entry.Opening opening(long seed) {
-        return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleText.digest(Brain.class), settings());
+        return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleDigest.of(Brain.class), settings());
     }
 
     static Gateway.Settings settings() {
@@ -234,7 +234,7 @@
     /** Entries as a file. */
     byte[] file(List<Entry> some) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(Frames.head(codec.schema()));
+        out.writeBytes(Frames.header(codec.schema()));
         some.forEach(e -> out.writeBytes(Frames.frame(codec.write(e))));
         return out.toByteArray();
     }
@@ -243,21 +243,21 @@
     static Replay.Result replay(byte[] file, long seedAside) throws IOException {
         EntryCodec codec = new EntryCodec();
         Frames.Reader in = new Frames.Reader(new ByteArrayInputStream(file), codec.schema());
-        Replay.Modules own = new BrainModules();
-        Replay replay = new Replay(new Replay.Modules() {
+        Replay.ModuleFactory own = new CurrentModuleFactory();
+        Replay replay = new Replay(new Replay.ModuleFactory() {
             @Override
-            public Gateway fresh(Entry.Opening o) {
+            public Gateway create(Entry.Opening o) {
                 return new Brain(o.settings(), o.seed() + seedAside);
             }
 
             @Override
-            public Gateway restored(Entry.State s) throws IOException {
-                return own.restored(s);
+            public Gateway restore(Entry.State s) throws IOException {
+                return own.restore(s);
             }
 
             @Override
-            public byte[] state(Gateway module) {
-                return own.state(module);
+            public byte[] stateOf(Gateway module) {
+                return own.stateOf(module);
             }
         });
         for (byte[] r = in.next(); r != null && replay.play(codec.read(r)); r = in.next()) {
--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.zip.CRC32C;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.records.StoredNames;
 
@@ -40,28 +40,28 @@
         return (int) crc.getValue();
     }
 
-    private <T> T read(byte[] bytes, Class<T> type) throws MalformedRecord {
+    private <T> T read(byte[] bytes, Class<T> type) throws MalformedRecordException {
         if (!whole(bytes)) {
-            throw new MalformedRecord("bytes that are not what was written", null);
+            throw new MalformedRecordException("bytes that are not what was written", null);
         }
         return records.read(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length), type);
     }
 
-    /** Reads a command; throws {@link MalformedRecord} at what is none. */
-    public Command command(byte[] bytes) throws MalformedRecord {
+    /** Reads a command; throws {@link MalformedRecordException} at what is none. */
+    public Command command(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Command.class);
     }
 
-    /** Reads a result; throws {@link MalformedRecord} at what is none. */
-    public Result result(byte[] bytes) throws MalformedRecord {
+    /** Reads a result; throws {@link MalformedRecordException} at what is none. */
+    public Result result(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Result.class);
     }
 
-    /** Reads a state; throws {@link MalformedRecord} at what is none, or at one of a form that is not known here. */
-    public Snapshot snapshot(byte[] bytes) throws MalformedRecord {
+    /** Reads a state; throws {@link MalformedRecordException} at what is none, or at one of a form that is not known here. */
+    public Snapshot snapshot(byte[] bytes) throws MalformedRecordException {
         Snapshot s = read(bytes, Snapshot.class);
         if (s.format() != Snapshot.FORMAT) {
-            throw new MalformedRecord("a fleet's state of format " + s.format() + ", and this program reads "
+            throw new MalformedRecordException("a fleet's state of format " + s.format() + ", and this program reads "
                     + Snapshot.FORMAT + " only", null);
         }
         return s;
--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.zip.CRC32C;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.records.StoredNames;
 
@@ -101,7 +101,7 @@
         }
         try {
             return codec.read(record, Facts.class);
-        } catch (MalformedRecord e) {
+        } catch (MalformedRecordException e) {
             throw new IOException("the folder's facts can't be read: " + e.getMessage(), e);
         }
     }
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 
 class FleetStateTest {
     private static final long SUSPECT = 2000, GONE = 6000;
@@ -147,7 +147,7 @@
 
     /** The same commands give the same bytes, also through a snapshot at any place; incarnations are never given twice. */
     @Property(tries = 300)
-    void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecord {
+    void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
         FleetState one = FleetState.of(Snapshot.EMPTY);
         FleetState other = FleetState.of(Snapshot.EMPTY);
@@ -184,7 +184,7 @@
     @Test
     void aStateOfAnotherFormatIsRefusedInOneSentence() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
-        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecord.class)
+        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecordException.class)
                 .hasMessage("a fleet's state of format 3, and this program reads 2 only");
     }
 
@@ -196,8 +196,8 @@
             for (int bit = 0; bit < 8 * good.length; bit++) {
                 byte[] bad = good.clone();
                 bad[bit / 8] ^= (byte) (1 << bit % 8);
-                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecord.class);
-                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecord.class);
+                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecordException.class);
+                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecordException.class);
             }
         }
     }
--- a/fleet/src/test/java/quincespar/recovery/KeptTest.java
+++ b/fleet/src/test/java/quincespar/recovery/KeptTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 
 class KeptTest {
@@ -64,7 +64,7 @@
 
     /** A file rewritten at any place, and read back through its bytes, comes to the same. */
     @Property(tries = 200)
-    void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecord {
+    void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
         RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
         Kept one = Kept.of(List.of());
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -17,18 +17,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import quincespar.capture.BrainModules;
-import quincespar.capture.Captures;
-import quincespar.capture.Captures.Segment;
+import quincespar.capture.CurrentModuleFactory;
+import quincespar.capture.CaptureReader;
+import quincespar.capture.CaptureReader.SegmentSummary;
 import quincespar.capture.Entry;
 import quincespar.capture.EntryCodec;
-import quincespar.capture.Explain;
+import quincespar.capture.Explainer;
 import quincespar.capture.Frames;
-import quincespar.capture.ModuleText;
+import quincespar.capture.ModuleDigest;
 import quincespar.capture.Replay;
-import quincespar.capture.RuleCheck;
+import quincespar.capture.RuleChecker;
 import quincespar.capture.SegmentName;
-import quincespar.capture.Store;
+import quincespar.capture.SegmentStore;
 import quincespar.decision.Brain;
 import quincespar.decision.Gateway;
 import quincespar.routing.EngineNumber;
@@ -41,10 +41,10 @@
 
     @Command(name = "list", description = "One line for each segment: name, bytes, calls, times, state, damage.")
     int list(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
-        for (SegmentName name : captures.names()) {
-            Segment s = captures.read(name);
-            System.out.printf(Locale.ROOT, "%s bytes=%d calls=%d from=%s to=%s state=%s%s%n", name.file(), s.bytes(),
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
+        for (SegmentName name : captures.segmentNames()) {
+            SegmentSummary s = captures.summarize(name);
+            System.out.printf(Locale.ROOT, "%s bytes=%d calls=%d from=%s to=%s state=%s%s%n", name.fileName(), s.bytes(),
                     s.calls(), time(s.from()), time(s.to()), s.state() ? "yes" : "no",
                     s.damage() == null ? "" : " damage=\"" + s.damage() + "\"");
         }
@@ -53,19 +53,19 @@
 
     @Command(name = "info", description = "Whose captures these are: name, build, module, settings; sums over segments.")
     int info(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
-        Map<String, List<Segment>> lives = new LinkedHashMap<>();
-        for (SegmentName name : captures.names()) {
-            lives.computeIfAbsent(name.of() + " started " + Instant.ofEpochMilli(name.start()), n -> new ArrayList<>())
-                    .add(captures.read(name));
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
+        Map<String, List<SegmentSummary>> lives = new LinkedHashMap<>();
+        for (SegmentName name : captures.segmentNames()) {
+            lives.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()), n -> new ArrayList<>())
+                    .add(captures.summarize(name));
         }
-        String own = ModuleText.digest(Brain.class);
+        String own = ModuleDigest.of(Brain.class);
         lives.forEach((life, all) -> {
-            System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(Segment::bytes).sum()
-                    + " calls=" + all.stream().mapToLong(Segment::calls).sum());
-            all.stream().map(Segment::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
-                System.out.println("  build=\"" + o.build() + "\" module=" + o.module()
-                        + (o.module().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
+            System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
+                    + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
+            all.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
+                System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
+                        + (o.moduleDigest().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
                         + Long.toHexString(o.seed()));
                 System.out.println("  classes=" + o.settings().classes().stream().map(Gateway.ClassSpec::name).toList());
             });
@@ -76,14 +76,14 @@
     @Command(name = "verify", description = "Read every record: exit code 0 where all is whole, 1 with a line for each"
             + " thing that is missing.")
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         long[] records = {0};
         List<String> wrong = new ArrayList<>();
-        captures.entries(captures.names(), (name, e) -> {
+        captures.forEachEntry(captures.segmentNames(), (name, e) -> {
             records[0]++;
             if (e instanceof Entry.Gap g) {
-                wrong.add("gap in or before " + name.file() + " at " + time(g.time()) + ": " + g.why()
-                        + (g.calls() > 0 ? ", calls lost: " + g.calls() : ""));
+                wrong.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
+                        + (g.lostCalls() > 0 ? ", calls lost: " + g.lostCalls() : ""));
             }
             return true;
         });
@@ -97,9 +97,9 @@
             @Option(names = "--from", required = true, paramLabel = "S", description = "Seconds since 1970.") double from,
             @Option(names = "--to", required = true, paramLabel = "S", description = "Seconds since 1970.") double to,
             @Option(names = "--out", required = true, paramLabel = "DIR") Path out) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
-        List<SegmentName> names = captures.names();
-        if (names.stream().map(n -> n.of() + n.start()).distinct().count() > 1) {
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
+        List<SegmentName> names = captures.segmentNames();
+        if (names.stream().map(n -> n.instance() + n.processStart()).distinct().count() > 1) {
             throw new IOException(folder + " holds captures of several processes; cut from a folder with one");
         }
         List<Entry> entries = captures.cut(names, from * SECOND, to * SECOND);
@@ -107,27 +107,27 @@
             throw new IOException("no call between " + time(from * SECOND) + " and " + time(to * SECOND));
         }
         EntryCodec codec = new EntryCodec();
-        SegmentName name = new SegmentName(names.get(0).of(), names.get(0).start(), 1);
+        SegmentName name = new SegmentName(names.get(0).instance(), names.get(0).processStart(), 1);
         Files.createDirectories(out);
-        if (Files.exists(out.resolve(name.file()))) {
-            throw new IOException(out.resolve(name.file()) + " is there already");
+        if (Files.exists(out.resolve(name.fileName()))) {
+            throw new IOException(out.resolve(name.fileName()) + " is there already");
         }
-        try (Store.Sink sink = new CaptureFolder(out).create(name.file())) {
-            sink.write(Frames.head(codec.schema()));
+        try (SegmentStore.SegmentOutput sink = new CaptureFolder(out).create(name.fileName())) {
+            sink.write(Frames.header(codec.schema()));
             for (Entry e : entries) {
                 sink.write(Frames.frame(codec.write(e)));
             }
         }
-        System.out.println(out.resolve(name.file()) + ": " + entries.size() + " records");
+        System.out.println(out.resolve(name.fileName()) + ": " + entries.size() + " records");
         return 0;
     }
 
     /** Tells the story of a request, or what was known of an engine; answers the exit code. */
     public static int explain(Path folder, Long request, String engine, Double at) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
-        Explain explain = new Explain(captures, System.out::println);
-        boolean told = request != null ? explain.request(captures.names(), request)
-                : explain.engine(captures.names(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
+        Explainer explain = new Explainer(captures, System.out::println);
+        boolean told = request != null ? explain.explainRequest(captures.segmentNames(), request)
+                : explain.explainEngine(captures.segmentNames(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
         if (!told) {
             throw new IOException("no segment in " + folder + " tells of " + (request != null ? "request " + request
                     : "engine " + engine));
@@ -142,18 +142,18 @@
 
     /** Plays captures again on this build's module; answers the exit code. */
     public static int replay(Path folder, int from, Path decisions) throws IOException {
-        Captures captures = new Captures(new CaptureFolder(folder));
-        List<SegmentName> names = captures.names().stream().filter(n -> n.serial() >= from).toList();
+        CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
+        List<SegmentName> names = captures.segmentNames().stream().filter(n -> n.number() >= from).toList();
         if (names.isEmpty()) {
             throw new IOException("no segments in " + folder + (from > 1 ? " from number " + from + " on" : ""));
         }
-        Replay replay = new Replay(new BrainModules());
-        RuleCheck rules = new RuleCheck();
+        Replay replay = new Replay(new CurrentModuleFactory());
+        RuleChecker rules = new RuleChecker();
         double[] span = {Double.NaN, Double.NaN};
         long began = System.nanoTime();
         try (PrintStream out = decisions == null ? null : new PrintStream(Files.newOutputStream(decisions), false,
                 StandardCharsets.UTF_8)) {
-            captures.entries(names, (name, e) -> {
+            captures.forEachEntry(names, (name, e) -> {
                 if (e instanceof Entry.Call c) {
                     span[0] = Double.isNaN(span[0]) ? c.time() : span[0];
                     span[1] = c.time();
@@ -161,7 +161,7 @@
                         out.println(c.time() + " " + c.actions());
                     }
                 }
-                rules.take(e);
+                rules.check(e);
                 return replay.play(e);
             });
             if (out != null && out.checkError()) {
@@ -174,15 +174,15 @@
         Replay.Result r = replay.result();
         System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", r.calls(), r.events(), r.decisions(),
                 r.digest());
-        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.states(), r.otherStates(), r.lost());
+        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(), r.lostCalls());
         System.out.printf(Locale.ROOT, "played %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
                 took / SECOND, (span[1] - span[0]) / took);
-        System.out.println("broken-rules=" + rules.count());
-        rules.breaches().forEach(b -> System.out.println("  " + b));
-        if (r.parting() != null) {
-            parted(r.parting());
+        System.out.println("broken-rules=" + rules.violationCount());
+        rules.violations().forEach(b -> System.out.println("  " + b));
+        if (r.divergence() != null) {
+            parted(r.divergence());
         }
-        return r.parting() == null && r.otherStates() == 0 && rules.count() == 0 ? 0 : 1;
+        return r.divergence() == null && r.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
     }
 
     /**
@@ -203,7 +203,7 @@
         }
     }
 
-    private static void parted(Replay.Parting p) {
+    private static void parted(Replay.Divergence p) {
         System.out.println("parted at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
         p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
         System.out.println("  " + time(p.time()) + " " + p.expected().events());
--- a/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 import quincespar.capture.SegmentName;
-import quincespar.capture.Store;
+import quincespar.capture.SegmentStore;
 
 /** Segments as files of one folder; files that are no segments are left alone. */
-public final class CaptureFolder implements Store {
+public final class CaptureFolder implements SegmentStore {
     private static final int BUFFER = 64 * 1024;
 
     private final Path folder;
@@ -23,11 +23,11 @@
     }
 
     @Override
-    public List<Held> list() throws IOException {
-        List<Held> out = new ArrayList<>();
+    public List<StoredSegment> list() throws IOException {
+        List<StoredSegment> out = new ArrayList<>();
         try (Stream<Path> all = Files.list(folder)) {
-            for (Path p : all.filter(f -> SegmentName.read(f.getFileName().toString()).isPresent()).sorted().toList()) {
-                out.add(new Held(p.getFileName().toString(), Files.size(p)));
+            for (Path p : all.filter(f -> SegmentName.parse(f.getFileName().toString()).isPresent()).sorted().toList()) {
+                out.add(new StoredSegment(p.getFileName().toString(), Files.size(p)));
             }
         } catch (FileSystemException e) {
             throw plain(e);
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public Sink create(String name) throws IOException {
+    public SegmentOutput create(String name) throws IOException {
         return new File(new FileOutputStream(folder.resolve(name).toFile()));
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Collects writes until a flush, a close, or its buffer is full. */
-    private static final class File implements Sink {
+    private static final class File implements SegmentOutput {
         private final FileOutputStream to;
         private final byte[] buffer = new byte[BUFFER];
         private int held;
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 import quincespar.capture.CapturedGateway;
 import quincespar.capture.Entry;
-import quincespar.capture.ModuleText;
+import quincespar.capture.ModuleDigest;
 import quincespar.capture.Recorder;
-import quincespar.capture.Recording;
+import quincespar.capture.CaptureWriter;
 import quincespar.capture.SegmentName;
-import quincespar.capture.Segments;
+import quincespar.capture.SegmentPolicy;
 import quincespar.capture.StateCodec;
-import quincespar.capture.Store;
+import quincespar.capture.SegmentStore;
 import quincespar.decision.Brain;
 import quincespar.decision.Gateway;
 import quincespar.program.runtime.Clock;
@@ -46,17 +46,17 @@
     public static Capturing into(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
             Clock clock, Consumer<String> tell) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
-        Segments.Limits limits = new Segments.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
+        SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
                 s.number(Keyword.CAPTURE_SEGMENT_DURATION), (long) s.number(Keyword.CAPTURE_TOTAL_SIZE),
                 s.number(Keyword.CAPTURE_RETENTION),
                 FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
         SegmentName before = new SegmentName(name, System.currentTimeMillis(), 0);
-        List<Store.Held> own = store.list().stream().filter(h -> SegmentName.read(h.name()).stream()
-                .anyMatch(n -> n.of().equals(before.of()))).toList(); // others may write to the same folder
-        Segments segments = new Segments(limits, before, own, clock.now());
+        List<SegmentStore.StoredSegment> own = store.list().stream().filter(h -> SegmentName.parse(h.name()).stream()
+                .anyMatch(n -> n.instance().equals(before.instance()))).toList(); // others may write to the same folder
+        SegmentPolicy segments = new SegmentPolicy(limits, before, own, clock.now());
         Entry.Opening opening = new Entry.Opening(name, now, seed, Version.text(),
-                ModuleText.digest(Brain.class), settings);
-        Recorder recorder = new Recorder(new Recording(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
+                ModuleDigest.of(Brain.class), settings);
+        Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
                 s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
         return new Capturing(recorder, new CapturedGateway(new Brain(settings, seed), recorder,
                 new StateCodec(Brain.class)::write));
@@ -83,13 +83,13 @@
 
     /** What has been captured, for the counters. */
     public Map<String, Long> counts() {
-        Recording.Counts c = recorder.counts();
+        CaptureWriter.Counts c = recorder.counts();
         Map<String, Long> out = new LinkedHashMap<>();
         out.put("capture.calls", c.calls());
-        out.put("capture.lost", c.lost() + recorder.losing());
+        out.put("capture.lost", c.lostCalls() + recorder.pendingLostCalls());
         out.put("capture.bytes", c.bytes());
         out.put("capture.segments", c.segments());
-        out.put("capture.dropped", c.dropped());
+        out.put("capture.dropped", c.deletedSegments());
         out.put("capture.failures", c.failures());
         return out;
     }
--- a/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
@@ -27,7 +27,7 @@
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.store.FolderDisk;
 import quincespar.store.StateFolder;
 import quincespar.transport.Threads;
@@ -204,7 +204,7 @@
                 } else {
                     out.complete(codec.snapshot(got));
                 }
-            } catch (MalformedRecord x) {
+            } catch (MalformedRecordException x) {
                 out.completeExceptionally(x);
             }
         }));
@@ -251,7 +251,7 @@
     private Result result(byte[] got) {
         try {
             return codec.result(got);
-        } catch (MalformedRecord e) {
+        } catch (MalformedRecordException e) {
             say.accept("fleet: an answer that can't be read: " + e.getMessage());
             return null;
         }
@@ -420,7 +420,7 @@
     private String against(byte[] state, Act.AskOthers what) {
         try {
             return codec.snapshot(state).against(name, what.folder(), what.last(), what.mark(), what.nonce());
-        } catch (MalformedRecord e) {
+        } catch (MalformedRecordException e) {
             say.accept("fleet: an answer that can't be read: " + e.getMessage());
             return "";
         }
@@ -437,7 +437,7 @@
             if (r instanceof Result.Renewed x && x.state().length > 0) {
                 try {
                     perform(participation.state(now(), codec.snapshot(x.state())));
-                } catch (MalformedRecord bad) {
+                } catch (MalformedRecordException bad) {
                     say.accept("fleet: a state that can't be read: " + bad.getMessage());
                 }
             }
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.recovery.Entry;
 import quincespar.recovery.Kept;
@@ -144,7 +144,7 @@
             }
             found(f.state(), entries);
             return true;
-        } catch (MalformedRecord e) { // whole, and yet not what this program writes
+        } catch (MalformedRecordException e) { // whole, and yet not what this program writes
             to.accept(new Input.KeptRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
--- a/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import quincespar.capture.Captures;
+import quincespar.capture.CaptureReader;
 import quincespar.capture.Entry;
 import quincespar.capture.Replay;
 import quincespar.capture.SegmentName;
@@ -109,8 +109,8 @@
     /** The module's numbers are the front end's: the first that was sent is looked up. */
     private long firstRequest(Said replay) throws IOException {
         long[] id = {0};
-        Captures all = new Captures(new CaptureFolder(captures));
-        all.entries(all.names(), (name, e) -> {
+        CaptureReader all = new CaptureReader(new CaptureFolder(captures));
+        all.forEachEntry(all.segmentNames(), (name, e) -> {
             if (e instanceof Entry.Call c) {
                 c.actions().stream().filter(Gateway.Send.class::isInstance).findFirst()
                         .ifPresent(a -> id[0] = ((Gateway.Send) a).id());
@@ -149,13 +149,13 @@
     @Test
     void aCaptureThatLostItsTailIsToldAndPlaysUpToThere() throws Exception {
         live(6);
-        SegmentName first = new Captures(new CaptureFolder(captures)).names().get(0);
-        Path file = captures.resolve(first.file());
+        SegmentName first = new CaptureReader(new CaptureFolder(captures)).segmentNames().get(0);
+        Path file = captures.resolve(first.fileName());
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(whole, whole.length - 5));
         Said verify = command("capture", "verify", captures);
         assertThat(verify.code()).isEqualTo(1);
-        assertThat(verify.out()).contains("gap in or before " + first.file()).contains("cut off within a record");
+        assertThat(verify.out()).contains("gap in or before " + first.fileName()).contains("cut off within a record");
         assertThat(command("replay", captures).code()).isZero();
     }
 
@@ -210,7 +210,7 @@
     @Test
     void aTimeIsCutOutAndPlaysByItself() throws Exception {
         live(12);
-        Captures.Segment s = new Captures(new CaptureFolder(captures)).read(new Captures(new CaptureFolder(captures)).names()
+        CaptureReader.SegmentSummary s = new CaptureReader(new CaptureFolder(captures)).summarize(new CaptureReader(new CaptureFolder(captures)).segmentNames()
                 .get(0));
         Path out = folder.resolve("cut");
         Said cut = command("capture", "cut", captures, "--from", s.from() / 1000, "--to", s.to() / 1000 + 60, "--out", out);
--- a/records/src/main/java/quincespar/records/RecordCodec.java
+++ b/records/src/main/java/quincespar/records/RecordCodec.java
@@ -129,23 +129,23 @@
         return out.toByteArray();
     }
 
-    /** Reads a value whole; throws {@link MalformedRecord} at what is none. */
-    public <T> T read(byte[] bytes, Class<T> type) throws MalformedRecord {
+    /** Reads a value whole; throws {@link MalformedRecordException} at what is none. */
+    public <T> T read(byte[] bytes, Class<T> type) throws MalformedRecordException {
         try (JsonParser in = cbor.createParser(bytes)) {
             if (in.nextToken() == null) {
-                throw new MalformedRecord("an empty record", null);
+                throw new MalformedRecordException("an empty record", null);
             }
             Object value = read(in, type);
             if (in.nextToken() != null) {
-                throw new MalformedRecord("bytes after the end of a record", null);
+                throw new MalformedRecordException("bytes after the end of a record", null);
             }
             return type.cast(value);
-        } catch (MalformedRecord e) {
+        } catch (MalformedRecordException e) {
             throw e;
         } catch (StreamReadException e) {
-            throw new MalformedRecord("no CBOR: " + e.getOriginalMessage(), e);
+            throw new MalformedRecordException("no CBOR: " + e.getOriginalMessage(), e);
         } catch (IOException | RuntimeException e) { // spoilt bytes may claim anything, and are no reason to fail otherwise
-            throw new MalformedRecord("a record that can't be read: " + e.getMessage(), e);
+            throw new MalformedRecordException("a record that can't be read: " + e.getMessage(), e);
         }
     }
 
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Reads a value of this type, which begins at the parser's current token; throws {@link MalformedRecord}. */
+    /** Reads a value of this type, which begins at the parser's current token; throws {@link MalformedRecordException}. */
     private Object read(JsonParser in, Type type) throws IOException {
         if (type instanceof ParameterizedType p) {
             return readList(in, p.getActualTypeArguments()[0]);
@@ -271,7 +271,7 @@
         try {
             return (Object) s.constructor().invokeExact(values);
         } catch (IllegalArgumentException | NullPointerException e) { // a record that checks what it is made of
-            throw new MalformedRecord(c.getSimpleName() + ": " + e.getMessage(), e);
+            throw new MalformedRecordException(c.getSimpleName() + ": " + e.getMessage(), e);
         } catch (RuntimeException | Error e) {
             throw e;
         } catch (Throwable e) { // constructors of the module's records throw nothing else
@@ -287,7 +287,7 @@
 
     private static void expect(boolean right, JsonParser in, String what) throws IOException {
         if (!right) {
-            throw new MalformedRecord(what + " expected at byte " + in.currentTokenLocation().getByteOffset()
+            throw new MalformedRecordException(what + " expected at byte " + in.currentTokenLocation().getByteOffset()
                     + " of a record", null);
         }
     }
--- a/records/src/test/java/quincespar/records/StoredNamesTest.java
+++ b/records/src/test/java/quincespar/records/StoredNamesTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void renamedRecordsKeepTheirBytes() throws MalformedRecord {
+    void renamedRecordsKeepTheirBytes() throws MalformedRecordException {
         byte[] box = before.write(new Before.Box(List.of(new Before.Point(1, 2))));
         byte[] circle = before.write(new Before.Circle(new Before.Point(3, 4), Before.Light.RED));
         assertArrayEquals(box, after.write(new After.Polygon(List.of(new After.Place(1, 2)))));
