--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -3,6 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -10,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 
 class FleetStateTest {
     private static final long SUSPECT = 2000, GONE = 6000;
@@ -34,6 +37,14 @@
         return state.instance(name).standing();
     }
 
+    /** Other versions read what this one writes: a renamed record or component needs its stored name in the codec's table. */
+    @Test
+    void recordsAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
+        try (InputStream pinned = FleetStateTest.class.getResourceAsStream("/schemas/fleet.txt")) {
+            assertThat(codec.schema()).isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
     @Test
     void aSessionThatIsNotRenewedIsSuspectedThenOverAndItsReturnIsAnotherLife() {
         long first = joined("a", "f", 0, "x", 1);
@@ -136,7 +147,7 @@
 
     /** The same commands give the same bytes, also through a snapshot at any place; incarnations are never given twice. */
     @Property(tries = 300)
-    void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecord {
+    void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
         FleetState one = FleetState.of(Snapshot.EMPTY);
         FleetState other = FleetState.of(Snapshot.EMPTY);
@@ -173,7 +184,7 @@
     @Test
     void aStateOfAnotherFormatIsRefusedInOneSentence() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
-        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecord.class)
+        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecordException.class)
                 .hasMessage("a fleet's state of format 3, and this program reads 2 only");
     }
 
@@ -185,8 +196,8 @@
             for (int bit = 0; bit < 8 * good.length; bit++) {
                 byte[] bad = good.clone();
                 bad[bit / 8] ^= (byte) (1 << bit % 8);
-                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecord.class);
-                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecord.class);
+                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecordException.class);
+                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecordException.class);
             }
         }
     }
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import quincespar.records.MalformedRecord;
+import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.recovery.Entry;
 import quincespar.recovery.Kept;
@@ -37,7 +37,7 @@
     }
 
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
-    private final RecordCodec codec = new RecordCodec(Entry.class);
+    private final RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
     private final AtomicLong forces = new AtomicLong(), failures = new AtomicLong(), added = new AtomicLong();
     private final FolderDisk disk;
     private final Journal journal;
@@ -144,7 +144,7 @@
             }
             found(f.state(), entries);
             return true;
-        } catch (MalformedRecord e) { // whole, and yet not what this program writes
+        } catch (MalformedRecordException e) { // whole, and yet not what this program writes
             to.accept(new Input.RecoveryLogRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
