--- a/capture/src/main/java/quincespar/capture/CaptureReader.java
+++ b/capture/src/main/java/quincespar/capture/CaptureReader.java
@@ -50,7 +50,7 @@
         boolean[] more = {true};
         double[] time = {0};
         for (SegmentName name : names) {
-            if (before != null && before.instance().equals(name.instance()) && before.processStart() == name.processStart() && !before.leadsTo(name)) {
+            if (before != null && before.instance().equals(name.instance()) && before.processStart() == name.processStart() && !before.isFollowedBy(name)) {
                 more[0] = visitor.visit(name, new Entry.Gap(time[0], 0, "segments before " + name.fileName() + " are missing"));
             }
             if (!more[0]) {
--- a/capture/src/main/java/quincespar/capture/CaptureWriter.java
+++ b/capture/src/main/java/quincespar/capture/CaptureWriter.java
@@ -5,98 +5,103 @@
 import java.util.function.Consumer;
 
 /**
- * Writes a capture to a store: each segment begins with the opening, what was lost before it, and the module's state, and
- * goes on with calls. What fails ends the segment; from there on all is lost, and counted, until a segment begins anew.
- * One thread calls it, the one that may wait for the store.
+ * Writes a capture to a store. Each segment starts with the opening, a gap for calls lost before it, and the module's state;
+ * calls follow. A failure ends the segment; calls are then lost, and counted, until the next segment begins. Confined to the
+ * one thread that may wait for the store.
  */
 public final class CaptureWriter {
-    /** What has been done since the start. */
+    /** Totals since the start. */
     public record Counts(long calls, long lostCalls, long bytes, long segments, long deletedSegments, long failures) { }
 
     private final EntryCodec codec = new EntryCodec();
     private final Entry.Opening opening;
-    private final SegmentPolicy segments;
+    private final SegmentPolicy policy;
     private final SegmentStore store;
-    private final Consumer<String> tell;
-    private SegmentStore.SegmentOutput sink;
-    private long lost;
-    private String why = "";
+    private final Consumer<String> log;
+    /** The open segment; null if there is none. */
+    private SegmentStore.SegmentOutput output;
+    /** Calls lost since the last segment began. */
+    private long pendingLostCalls;
+    private String lossReason = "";
     private long calls;
-    private long lostInAll;
+    private long lostCalls;
     private long bytes;
-    private long begun;
-    private long dropped;
+    private long segments;
+    private long deletedSegments;
     private long failures;
     private boolean failing;
 
-    /** {@code tell} hears of each failure after a success, and of the success after failures, in one line. */
-    public CaptureWriter(Entry.Opening opening, SegmentPolicy segments, SegmentStore store, Consumer<String> tell) {
+    /** {@code log} takes one line for the first failure after a success, and one for the recovery from failures. */
+    public CaptureWriter(Entry.Opening opening, SegmentPolicy policy, SegmentStore store, Consumer<String> log) {
         this.opening = opening;
-        this.segments = segments;
+        this.policy = policy;
         this.store = store;
-        this.tell = tell;
+        this.log = log;
     }
 
-    /** Whether a new segment is to begin, with the module's state as it is then. */
-    public boolean due(double now) {
-        return segments.due(now);
+    /** Whether a new segment should begin now, with a snapshot of the module's state. */
+    public boolean segmentDue(double now) {
+        return policy.segmentDue(now);
     }
 
-    /** Whether calls are written; else they are lost until a segment begins. */
-    public boolean open() {
-        return sink != null;
+    /** Whether a segment is open; otherwise calls are lost. */
+    public boolean isOpen() {
+        return output != null;
     }
 
     /**
-     * Begins a segment: {@code state} is null for a module that was just made; so many calls were {@code lost} before it
-     * came here, for that cause.
+     * Begins a segment.
+     *
+     * @param state the module's state; null for a module that was just created
+     * @param lostBefore calls lost before they reached this writer, for {@code reason}
      */
-    public void begin(double now, Entry.State state, long lostBefore, String cause) {
-        lose(lostBefore, cause);
-        if (segments.phase() == SegmentPolicy.Phase.PAUSED && !segments.due(now)) {
-            return; // taken before the failure was known: another state is asked for once the pause is over
+    public void beginSegment(double now, Entry.State state, long lostBefore, String reason) {
+        addLost(lostBefore, reason);
+        if (policy.phase() == SegmentPolicy.Phase.BACKING_OFF && !policy.segmentDue(now)) {
+            return; // the state was taken before the failure was known; another one is requested after the backoff
         }
         try {
-            closeSink();
-            sink = store.create(segments.begin(now));
+            closeOutput();
+            output = store.create(policy.beginSegment(now));
             append(now, Frames.header(codec.schema()));
             append(now, frame(opening));
-            if (lost > 0) {
-                append(now, frame(new Entry.Gap(state == null ? opening.time() : state.time(), lost, why)));
+            if (pendingLostCalls > 0) {
+                append(now, frame(new Entry.Gap(state == null ? opening.time() : state.time(), pendingLostCalls, lossReason)));
             }
             if (state != null) {
                 append(now, frame(state));
             }
-            sink.flush();
-            begun++;
-            if (begun == 1 || lost > 0) {
-                tell.accept("capture: a segment has begun" + (lost > 0 ? ", " + lost + " calls were lost: " + why : ""));
+            output.flush();
+            segments++;
+            if (segments == 1 || pendingLostCalls > 0) {
+                log.accept("capture: new segment started"
+                        + (pendingLostCalls > 0 ? "; " + pendingLostCalls + " calls lost before it: " + lossReason : ""));
             }
             failing = false;
-            lost = 0;
+            pendingLostCalls = 0;
         } catch (IOException e) {
             failed(now, e);
         }
     }
 
     /** Writes a call, or counts it as lost. */
-    public void call(double now, Entry.Call call) {
-        if (sink == null) {
-            lose(1, why);
+    public void writeCall(double now, Entry.Call call) {
+        if (output == null) {
+            addLost(1, lossReason);
             return;
         }
         try {
             append(now, frame(call));
             calls++;
         } catch (IOException e) {
-            lose(1, String.valueOf(e.getMessage()));
+            addLost(1, String.valueOf(e.getMessage()));
             failed(now, e);
         }
     }
 
-    /** The module failed: what follows can't be played on. */
-    public void gap(double now, Entry.Gap gap) {
-        if (sink != null) {
+    /** Writes a gap after a failure of the module. */
+    public void writeGap(double now, Entry.Gap gap) {
+        if (output != null) {
             try {
                 append(now, frame(gap));
             } catch (IOException e) {
@@ -105,79 +110,79 @@
         }
     }
 
-    /** Has all that was written survive the end of this process. */
+    /** Flushes the open segment, so that everything written survives the end of this process. */
     public void flush(double now) {
-        if (sink != null) {
+        if (output != null) {
             try {
-                sink.flush();
+                output.flush();
             } catch (IOException e) {
                 failed(now, e);
             }
         }
     }
 
-    /** Ends the last segment. */
+    /** Flushes and closes the last segment. */
     public void close(double now) {
         flush(now);
         try {
-            closeSink();
+            closeOutput();
         } catch (IOException e) {
             failed(now, e);
         }
-        segments.end(now);
+        policy.endSegment(now);
     }
 
-    /** What has been done so far. */
+    /** The totals so far. */
     public Counts counts() {
-        return new Counts(calls, lostInAll, bytes, begun, dropped, failures);
+        return new Counts(calls, lostCalls, bytes, segments, deletedSegments, failures);
     }
 
-    private void closeSink() throws IOException {
-        SegmentStore.SegmentOutput closing = sink;
-        sink = null;
+    private void closeOutput() throws IOException {
+        SegmentStore.SegmentOutput closing = output;
+        output = null;
         if (closing != null) {
             closing.close();
         }
     }
 
-    private void lose(long more, String cause) {
-        lost += more;
-        lostInAll += more;
-        why = more > 0 ? cause : why;
+    private void addLost(long more, String reason) {
+        pendingLostCalls += more;
+        lostCalls += more;
+        lossReason = more > 0 ? reason : lossReason;
     }
 
-    private byte[] frame(Entry e) {
-        return Frames.frame(codec.write(e));
+    private byte[] frame(Entry entry) {
+        return Frames.frame(codec.write(entry));
     }
 
     private void append(double now, byte[] frame) throws IOException {
-        List<String> drop = segments.roomFor(frame.length, now);
-        if (drop == null) {
-            throw new IOException(frame.length + " bytes more are over the bound on all segments");
+        List<String> deletions = policy.deletionsFor(frame.length, now);
+        if (deletions == null) {
+            throw new IOException("writing " + frame.length + " bytes would exceed the limit on the size of all segments");
         }
-        for (String name : drop) {
+        for (String name : deletions) {
             store.delete(name);
-            segments.dropped();
-            dropped++;
+            policy.oldestDeleted();
+            deletedSegments++;
         }
-        segments.writing(frame.length);
-        sink.write(frame);
-        segments.wrote();
+        policy.writing(frame.length);
+        output.write(frame);
+        policy.writeSucceeded();
         bytes += frame.length;
     }
 
     private void failed(double now, IOException e) {
         if (!failing) {
-            tell.accept("capture: " + e.getMessage() + "; calls are lost until it can be written again");
+            log.accept("capture: " + e.getMessage() + "; calls are lost until writing succeeds again");
         }
         failing = true;
         failures++;
-        why = String.valueOf(e.getMessage());
-        segments.failed(now);
+        lossReason = String.valueOf(e.getMessage());
+        policy.operationFailed(now);
         try {
-            closeSink();
-        } catch (IOException x) {
-            why += "; and at its close: " + x.getMessage();
+            closeOutput();
+        } catch (IOException closeFailure) {
+            lossReason += "; closing the segment failed: " + closeFailure.getMessage();
         }
     }
 }
--- a/capture/src/main/java/quincespar/capture/CapturedGateway.java
+++ b/capture/src/main/java/quincespar/capture/CapturedGateway.java
@@ -5,45 +5,45 @@
 import java.util.function.Function;
 import quincespar.decision.Gateway;
 
-/** A module whose calls are told to someone; what it decides, and what it throws, is not touched. */
+/** A decision module whose calls are reported to a listener; its answers and exceptions are passed on unchanged. */
 public final class CapturedGateway implements Gateway {
-    /** Who is told, on the caller's thread: none of it may wait. */
+    /** Receives calls on the caller's thread; no method may block. */
     public interface Listener {
-        /** A call has its answer. */
-        void call(Entry.Call call);
+        /** A call has returned. */
+        void onCall(Entry.Call call);
 
-        /** The module failed: its state may be anything now, and a replay would part from it here. */
-        void failed(Entry.Gap gap);
+        /** A call has thrown: the module's state is undefined, and a replay cannot continue past this point. */
+        void onFailure(Entry.Gap gap);
 
-        /** Whether the module's state is wanted now. */
+        /** Whether a snapshot of the module's state is needed now. */
         boolean wantsState();
 
         /** The module's state after the last call. */
-        void state(double time, byte[] bytes);
+        void onState(double time, byte[] bytes);
     }
 
     private final Gateway module;
-    private final Listener to;
-    private final Function<Gateway, byte[]> state;
+    private final Listener listener;
+    private final Function<Gateway, byte[]> stateEncoder;
 
-    /** Tells {@code to}; {@code state} makes bytes of the module's state where those are wanted. */
-    public CapturedGateway(Gateway module, Listener to, Function<Gateway, byte[]> state) {
+    /** Reports the calls of {@code module}; {@code stateEncoder} encodes its state when the listener wants it. */
+    public CapturedGateway(Gateway module, Listener listener, Function<Gateway, byte[]> stateEncoder) {
         this.module = module;
-        this.to = to;
-        this.state = state;
+        this.listener = listener;
+        this.stateEncoder = stateEncoder;
     }
 
-    /** Tells {@code to} of calls and failures, and never of a state. */
-    public CapturedGateway(Gateway module, Consumer<Entry> to) {
+    /** Reports calls and failures, and never a state. */
+    public CapturedGateway(Gateway module, Consumer<Entry> consumer) {
         this(module, new Listener() {
             @Override
-            public void call(Entry.Call call) {
-                to.accept(call);
+            public void onCall(Entry.Call call) {
+                consumer.accept(call);
             }
 
             @Override
-            public void failed(Entry.Gap gap) {
-                to.accept(gap);
+            public void onFailure(Entry.Gap gap) {
+                consumer.accept(gap);
             }
 
             @Override
@@ -52,8 +52,8 @@
             }
 
             @Override
-            public void state(double time, byte[] bytes) {
-                throw new IllegalStateException("no state was wanted");
+            public void onState(double time, byte[] bytes) {
+                throw new IllegalStateException("no state was requested");
             }
         }, m -> new byte[0]);
     }
@@ -65,18 +65,18 @@
 
     @Override
     public List<Action> decide(double now, List<Event> events) {
-        List<Event> told = List.copyOf(events);
-        List<Action> out;
+        List<Event> captured = List.copyOf(events);
+        List<Action> actions;
         try {
-            out = module.decide(now, events);
+            actions = module.decide(now, events);
         } catch (RuntimeException e) {
-            to.failed(new Entry.Gap(now, 1, "the module failed: " + e));
+            listener.onFailure(new Entry.Gap(now, 1, "the module failed: " + e));
             throw e;
         }
-        to.call(new Entry.Call(now, told, List.copyOf(out)));
-        if (to.wantsState()) {
-            to.state(now, state.apply(module));
+        listener.onCall(new Entry.Call(now, captured, List.copyOf(actions)));
+        if (listener.wantsState()) {
+            listener.onState(now, stateEncoder.apply(module));
         }
-        return out;
+        return actions;
     }
 }
--- a/capture/src/main/java/quincespar/capture/CurrentModuleFactory.java
+++ b/capture/src/main/java/quincespar/capture/CurrentModuleFactory.java
@@ -4,18 +4,18 @@
 import quincespar.decision.Brain;
 import quincespar.decision.Gateway;
 
-/** This build's own module, new or in a state that was captured. */
+/** Creates instances of this build's decision module, new ones or from a captured state. */
 public final class CurrentModuleFactory implements Replay.ModuleFactory {
     private final StateCodec codec = new StateCodec(Brain.class);
 
     @Override
-    public Gateway create(Entry.Opening o) {
-        return new Brain(o.settings(), o.seed());
+    public Gateway create(Entry.Opening opening) {
+        return new Brain(opening.settings(), opening.seed());
     }
 
     @Override
-    public Gateway restore(Entry.State s) throws IOException {
-        return codec.read(s.bytes(), Brain.class);
+    public Gateway restore(Entry.State state) throws IOException {
+        return codec.read(state.bytes(), Brain.class);
     }
 
     @Override
--- a/capture/src/main/java/quincespar/capture/Digests.java
+++ b/capture/src/main/java/quincespar/capture/Digests.java
@@ -5,10 +5,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Digests that every Java platform has. */
+/** SHA-256 digests. */
 final class Digests {
     private Digests() { }
 
+    /** A new digest; every Java platform has the algorithm. */
     static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
@@ -17,8 +18,8 @@
         }
     }
 
-    /** Sixteen hex digits of a text's digest: a name for a form that changes where the form does. */
-    static String name(String text) {
+    /** The first sixteen hex digits of a text's digest. */
+    static String shortHex(String text) {
         return HexFormat.of().formatHex(sha256(text.getBytes(StandardCharsets.UTF_8)), 0, 8);
     }
 
--- a/capture/src/main/java/quincespar/capture/Entry.java
+++ b/capture/src/main/java/quincespar/capture/Entry.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import quincespar.decision.Gateway;
 
-/** One record of a capture. */
+/** One record of a capture. Names that differ from the stored ones are listed in {@link EntryCodec}. */
 public sealed interface Entry {
     /**
-     * The first one: who was captured and from where it can be played. {@code time} is in milliseconds on the module's
-     * clock; {@code module} is the digest of the module's text ({@link ModuleDigest}).
+     * The first record of a segment: the instance, and the arguments with which its module was created. {@code time} is in
+     * milliseconds on the module's clock; {@code moduleDigest} identifies the module's code ({@link ModuleDigest}).
      */
     record Opening(String name, double time, long seed, String build, String moduleDigest, Gateway.Settings settings)
             implements Entry { }
 
-    /** The module's state as it stood then ({@link StateCodec}): replay can begin here, without what came before. */
+    /** A snapshot of the module's state ({@link StateCodec}): replay can start here, without any earlier segment. */
     record State(double time, byte[] bytes) implements Entry {
         @Override
         public boolean equals(Object o) {
@@ -26,9 +26,9 @@
         }
     }
 
-    /** One call of the module: its time, what it was told in order, and what it answered. */
+    /** One call of the module: its time, its events in order, and the actions returned. */
     record Call(double time, List<Gateway.Event> events, List<Gateway.Action> actions) implements Entry { }
 
-    /** Calls that were not captured: what follows can't be played on. */
+    /** Calls that were not captured: replay cannot continue until the next {@link State} or {@link Opening}. */
     record Gap(double time, long lostCalls, String reason) implements Entry { }
 }
--- a/capture/src/main/java/quincespar/capture/EntryCodec.java
+++ b/capture/src/main/java/quincespar/capture/EntryCodec.java
@@ -1,11 +1,13 @@
 package quincespar.capture;
 
 import java.security.MessageDigest;
+import java.util.List;
+import quincespar.decision.Gateway;
 import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
 import quincespar.records.StoredNames;
 
-/** Entries as bytes and back. Used by one thread. */
+/** Encodes and decodes entries. Not thread-safe. */
 public final class EntryCodec {
     /** The stored names of entries, events and actions, and of all that they hold, where the code has other names. */
     private static final StoredNames STORED_NAMES = StoredNames.none()
@@ -13,12 +15,11 @@
             .component(Entry.Gap.class, "lostCalls", "calls")
             .component(Entry.Gap.class, "reason", "why");
 
-    private final RecordCodec records = new RecordCodec(STORED_NAMES, Entry.class, quincespar.decision.Gateway.Event.class,
-            quincespar.decision.Gateway.Action.class);
+    private final RecordCodec records = new RecordCodec(STORED_NAMES, Entry.class, Gateway.Event.class, Gateway.Action.class);
 
-    /** Sixteen hex digits that change where the form of entries does. */
+    /** Sixteen hex digits that identify the format of entries. */
     public String schema() {
-        return Digests.name(schemaText());
+        return Digests.shortHex(schemaText());
     }
 
     /** The schema of the records, of which {@link #schema()} is the digest. */
@@ -26,12 +27,12 @@
         return records.schema();
     }
 
-    /** An entry's bytes. */
-    public byte[] write(Entry e) {
-        return records.write(e);
+    /** Encodes an entry. */
+    public byte[] write(Entry entry) {
+        return records.write(entry);
     }
 
-    /** Reads an entry whole; throws {@link MalformedCaptureException} at what is none. */
+    /** Decodes an entry; throws {@link MalformedCaptureException} for any other bytes. */
     public Entry read(byte[] bytes) throws MalformedCaptureException {
         try {
             return records.read(bytes, Entry.class);
@@ -40,8 +41,8 @@
         }
     }
 
-    /** The digest over what the module answered, in the form of a capture: two replays compare by it. */
-    void digest(MessageDigest to, Entry.Call call) {
-        to.update(write(new Entry.Call(call.time(), java.util.List.of(), call.actions())));
+    /** Adds a call's time and actions, encoded, to a digest by which two replays can be compared. */
+    void digest(MessageDigest digest, Entry.Call call) {
+        digest.update(write(new Entry.Call(call.time(), List.of(), call.actions())));
     }
 }
--- a/capture/src/main/java/quincespar/capture/MalformedCaptureException.java
+++ b/capture/src/main/java/quincespar/capture/MalformedCaptureException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A capture that is not what this program writes; the message is one plain sentence. */
+/** Thrown for a capture that this program did not write; the message is one sentence for operators. */
 public final class MalformedCaptureException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/capture/src/main/java/quincespar/capture/Recorder.java
+++ b/capture/src/main/java/quincespar/capture/Recorder.java
@@ -6,147 +6,152 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Takes what a module is told and decides to the thread that writes it, through a bounded ring. The module's thread never
- * waits: what finds no room is lost and counted, and capturing goes on with the module's state once there is room again.
+ * Passes the calls of a module to the writer thread through a bounded queue. The module's thread never waits: calls that find
+ * the queue full are lost and counted, and capturing resumes with a snapshot of the module's state once there is space again.
  */
 public final class Recorder implements CapturedGateway.Listener, Runnable {
     private sealed interface Item { }
 
-    private record Begin(Entry.State state, long lostCalls, String why) implements Item { }
+    private record BeginSegment(Entry.State state, long lostCalls, String reason) implements Item { }
 
-    private record Called(Entry.Call call) implements Item { }
+    private record WriteCall(Entry.Call call) implements Item { }
 
-    private record Failed(Entry.Gap gap) implements Item { }
+    private record WriteGap(Entry.Gap gap) implements Item { }
 
-    private record End() implements Item { }
+    private record Stop() implements Item { }
 
-    private static final String FULL = "the ring was full";
+    private static final String QUEUE_FULL = "the capture queue was full";
 
-    private final ArrayBlockingQueue<Item> ring;
-    private final CaptureWriter recording;
+    private final ArrayBlockingQueue<Item> queue;
+    private final CaptureWriter writer;
     private final DoubleSupplier clock;
     private final double flushMs;
-    private final AtomicLong lost = new AtomicLong();
+    private final AtomicLong lostCalls = new AtomicLong();
     private volatile CaptureWriter.Counts counts = new CaptureWriter.Counts(0, 0, 0, 0, 0, 0);
-    /** A state is wanted, for the next segment; the module's thread sees to it after its next call. */
-    private volatile boolean wanted;
-    /** A state is on its way to the writer. */
-    private volatile boolean coming = true;
-    /** Calls are of no use before the next state; set by either thread, taken back by the module's with a state. */
+    /** A state is needed for the next segment; the module's thread provides it after its next call. */
+    private volatile boolean stateWanted;
+    /** A state is in the queue. */
+    private volatile boolean stateQueued = true;
+    /** Calls are useless until the next state; set by either thread, cleared by the module's thread with a state. */
     private volatile boolean broken;
-    private volatile boolean paused;
-    private String why = "";
-
-    /** A ring of so many calls; what was written is flushed every so many milliseconds of that clock. */
-    public Recorder(CaptureWriter recording, int ring, double flushMs, DoubleSupplier clock) {
-        this.recording = recording;
-        this.ring = new ArrayBlockingQueue<>(ring);
+    private volatile boolean backingOff;
+    private String lossReason = "";
+
+    /**
+     * Creates a recorder.
+     *
+     * @param queueLength the number of calls that the queue holds
+     * @param flushMs the interval between flushes, in milliseconds of {@code clock}
+     */
+    public Recorder(CaptureWriter writer, int queueLength, double flushMs, DoubleSupplier clock) {
+        this.writer = writer;
+        this.queue = new ArrayBlockingQueue<>(queueLength);
         this.flushMs = flushMs;
         this.clock = clock;
-        this.ring.add(new Begin(null, 0, ""));
+        this.queue.add(new BeginSegment(null, 0, ""));
     }
 
     @Override
-    public void call(Entry.Call call) {
+    public void onCall(Entry.Call call) {
         if (broken) {
-            lost.incrementAndGet();
-        } else if (!ring.offer(new Called(call))) {
-            lose(FULL);
+            lostCalls.incrementAndGet();
+        } else if (!queue.offer(new WriteCall(call))) {
+            loseCall(QUEUE_FULL);
         }
     }
 
     @Override
-    public void failed(Entry.Gap gap) {
+    public void onFailure(Entry.Gap gap) {
         if (!broken) {
-            ring.offer(new Failed(gap)); // without room the loss is told all the same, by the next segment
-            lose(gap.reason());
+            queue.offer(new WriteGap(gap)); // if the queue is full, the next segment reports the loss
+            loseCall(gap.reason());
         }
     }
 
-    private void lose(String cause) {
-        lost.incrementAndGet();
-        why = cause;
+    private void loseCall(String reason) {
+        lostCalls.incrementAndGet();
+        lossReason = reason;
         broken = true;
     }
 
     @Override
     public boolean wantsState() {
-        return !coming && (broken ? !paused && ring.remainingCapacity() > ring.size() : wanted);
+        return !stateQueued && (broken ? !backingOff && queue.remainingCapacity() > queue.size() : stateWanted);
     }
 
     @Override
-    public void state(double time, byte[] bytes) {
-        long gone = lost.get();
-        coming = true;
-        if (ring.offer(new Begin(new Entry.State(time, bytes), gone, why))) {
-            lost.addAndGet(-gone);
+    public void onState(double time, byte[] bytes) {
+        long reported = lostCalls.get();
+        stateQueued = true;
+        if (queue.offer(new BeginSegment(new Entry.State(time, bytes), reported, lossReason))) {
+            lostCalls.addAndGet(-reported);
             broken = false;
-            wanted = false;
+            stateWanted = false;
         } else {
-            coming = false;
+            stateQueued = false;
         }
     }
 
-    /** Writes until told to stop, and then all that was taken before. */
+    /** Writes until {@link #stop}, and then everything queued before it. */
     @Override
     public void run() {
         double flushAt = clock.getAsDouble() + flushMs;
         try {
             while (true) {
-                Item i = ring.poll((long) Math.max(1, flushAt - clock.getAsDouble()), TimeUnit.MILLISECONDS);
+                Item item = queue.poll((long) Math.max(1, flushAt - clock.getAsDouble()), TimeUnit.MILLISECONDS);
                 double now = clock.getAsDouble();
-                if (i instanceof End) {
+                if (item instanceof Stop) {
                     break;
                 }
-                take(now, i);
+                write(now, item);
                 if (now >= flushAt) {
-                    recording.flush(now);
+                    writer.flush(now);
                     flushAt = now + flushMs;
                 }
-                look(now);
+                updateStatus(now);
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // told to end at once: what was taken is written all the same
+            Thread.currentThread().interrupt(); // stops at once, but still writes what is queued
         }
         double now = clock.getAsDouble();
-        ring.forEach(i -> take(now, i));
-        recording.close(now);
-        counts = recording.counts();
+        queue.forEach(i -> write(now, i));
+        writer.close(now);
+        counts = writer.counts();
     }
 
-    private void take(double now, Item i) {
-        if (i instanceof Begin b) {
-            recording.begin(now, b.state(), b.lostCalls(), b.why());
-            wanted = false; // before the next line: else a second state would be made for nothing
-            coming = false;
-        } else if (i instanceof Called c) {
-            recording.call(now, c.call());
-        } else if (i instanceof Failed f) {
-            recording.gap(now, f.gap());
+    private void write(double now, Item item) {
+        if (item instanceof BeginSegment b) {
+            writer.beginSegment(now, b.state(), b.lostCalls(), b.reason());
+            stateWanted = false; // before stateQueued, or a second state would be requested for nothing
+            stateQueued = false;
+        } else if (item instanceof WriteCall c) {
+            writer.writeCall(now, c.call());
+        } else if (item instanceof WriteGap g) {
+            writer.writeGap(now, g.gap());
         }
     }
 
-    /** What the module's thread has to know: whether a state is wanted, or calls are of no use. */
-    private void look(double now) {
-        boolean due = recording.due(now);
-        paused = !recording.open() && !due;
-        wanted = due && !coming;
-        broken |= !recording.open() && !coming;
-        counts = recording.counts();
+    /** Publishes to the module's thread whether a state is wanted and whether calls are useless. */
+    private void updateStatus(double now) {
+        boolean segmentDue = writer.segmentDue(now);
+        backingOff = !writer.isOpen() && !segmentDue;
+        stateWanted = segmentDue && !stateQueued;
+        broken |= !writer.isOpen() && !stateQueued;
+        counts = writer.counts();
     }
 
-    /** Has the writer end once it has written what was taken; false where there is no place to say so: interrupt it. */
+    /** Has the writer stop once the queue is written; false if the queue is full: interrupt the thread instead. */
     public boolean stop() {
-        return ring.offer(new End());
+        return queue.offer(new Stop());
     }
 
-    /** What has been done so far; may be asked for on any thread. */
+    /** The totals so far. Thread-safe. */
     public CaptureWriter.Counts counts() {
         return counts;
     }
 
-    /** Calls that were lost since the last segment began and are not yet in its counts. */
+    /** Calls that were lost since the last segment began and are not yet included in {@link #counts}. */
     public long pendingLostCalls() {
-        return lost.get();
+        return lostCalls.get();
     }
 }
--- a/capture/src/main/java/quincespar/capture/SegmentName.java
+++ b/capture/src/main/java/quincespar/capture/SegmentName.java
@@ -7,22 +7,25 @@
 import java.util.regex.Pattern;
 
 /**
- * A segment's name, {@code NAME-START-SERIAL.qcap}: whose capture it is, when that process began, in milliseconds since
- * 1970, and its number among that process's segments, from 1.
+ * The name of a segment file, {@code INSTANCE-START-NUMBER.qcap}.
+ *
+ * @param instance the instance that was captured
+ * @param processStart when its process started, in Unix milliseconds
+ * @param number the segment's number within that process, from 1
  */
 public record SegmentName(String instance, long processStart, int number) implements Comparable<SegmentName> {
-    private static final Pattern FORM = Pattern.compile("(.+)-([0-9]{13})-([0-9]{6})\\.qcap");
+    private static final Pattern FORMAT = Pattern.compile("(.+)-([0-9]{13})-([0-9]{6})\\.qcap");
     private static final Comparator<SegmentName> ORDER = Comparator.comparing(SegmentName::instance)
             .thenComparingLong(SegmentName::processStart).thenComparingInt(SegmentName::number);
 
-    /** What would lead out of a folder is replaced in {@code of}. */
+    /** Replaces characters in the instance's name that could lead out of the folder. */
     public SegmentName {
         instance = instance.replaceAll("[^A-Za-z0-9_.-]", "_");
     }
 
-    /** Reads a file's name; nothing where it is no segment's. */
-    public static Optional<SegmentName> parse(String file) {
-        Matcher m = FORM.matcher(file);
+    /** Parses a file name; empty if it is not that of a segment. */
+    public static Optional<SegmentName> parse(String fileName) {
+        Matcher m = FORMAT.matcher(fileName);
         return m.matches() ? Optional.of(new SegmentName(m.group(1), Long.parseLong(m.group(2)),
                 Integer.parseInt(m.group(3)))) : Optional.empty();
     }
@@ -36,8 +39,8 @@
         return new SegmentName(instance, processStart, number + 1);
     }
 
-    /** Whether the other one follows this one with nothing between them. */
-    boolean leadsTo(SegmentName other) {
+    /** Whether {@code other} is the next segment of the same process. */
+    boolean isFollowedBy(SegmentName other) {
         return next().equals(other);
     }
 
--- a/capture/src/main/java/quincespar/capture/SegmentPolicy.java
+++ b/capture/src/main/java/quincespar/capture/SegmentPolicy.java
@@ -7,127 +7,134 @@
 import java.util.List;
 
 /**
- * Decides about segments: when the next one begins, which old ones go so that all together stay within their bound, and
- * when to try again after a failure. It reads and writes nothing; times are milliseconds on one clock.
+ * Decides when the next segment begins, which old segments are deleted to keep the total size within its limit, and when to
+ * retry after a failure. Does no I/O; all times are milliseconds on one clock.
  */
 public final class SegmentPolicy {
     /**
-     * {@code segmentBytes}, {@code segmentMs}: where a segment ends; {@code totalBytes}: what all hold together, never more;
-     * {@code keepMs}: how long one is kept after its end; pauses after failures double from the first to the longest.
+     * The limits on segments.
+     *
+     * @param segmentBytes a segment ends at this size
+     * @param segmentMs a segment ends at this age
+     * @param totalBytes the maximum size of all segments together
+     * @param retentionMs how long a segment is kept after its end
+     * @param initialBackoffMs the wait after a first failure; it doubles with each further one
+     * @param maxBackoffMs the longest such wait
      */
-    public record Limits(long segmentBytes, double segmentMs, long totalBytes, double keepMs, double firstPauseMs,
-            double longestPauseMs) {
-        /** Throws {@link IllegalArgumentException} where a new segment would have to take the place of the only one. */
+    public record Limits(long segmentBytes, double segmentMs, long totalBytes, double retentionMs, double initialBackoffMs,
+            double maxBackoffMs) {
+        /** Throws {@link IllegalArgumentException} if a new segment would require deleting the only other one. */
         public Limits {
             if (segmentBytes < 1 || totalBytes < 2 * segmentBytes) {
-                throw new IllegalArgumentException("the total must hold two segments at the least");
+                throw new IllegalArgumentException("the total size must allow for two segments at least");
             }
         }
     }
 
-    /** Where capturing stands. */
+    /** The phases of writing. */
     public enum Phase {
-        /** Nothing is open: a segment may begin with the module's state as it is. */
+        /** No segment is open. */
         NONE,
         /** A segment is open. */
         WRITING,
-        /** Something failed: nothing is written for a while. */
-        PAUSED
+        /** A write has failed: nothing is written until the backoff is over. */
+        BACKING_OFF
     }
 
-    private record Ended(String name, long bytes, double at) { }
+    private record ClosedSegment(String name, long bytes, double endedAt) { }
 
     private final Limits limits;
-    private final Deque<Ended> kept = new ArrayDeque<>();
+    /** Oldest first. */
+    private final Deque<ClosedSegment> closed = new ArrayDeque<>();
     private SegmentName name;
     private Phase phase = Phase.NONE;
-    private long keptBytes;
+    private long closedBytes;
     private long openBytes;
-    private double begunAt;
-    private double pauseMs;
-    private double pausedUntil;
+    private double startedAt;
+    private double backoffMs;
+    private double retryAt;
 
-    /** Begins beside what is kept already, the oldest first; {@code before} is the name before the first one. */
-    public SegmentPolicy(Limits limits, SegmentName before, Collection<SegmentStore.StoredSegment> found, double now) {
+    /** Starts with the segments that are stored already, oldest first; {@code previous} precedes the first name to be used. */
+    public SegmentPolicy(Limits limits, SegmentName previous, Collection<SegmentStore.StoredSegment> stored, double now) {
         this.limits = limits;
-        name = before;
-        found.forEach(f -> keep(f.name(), f.bytes(), now));
+        name = previous;
+        stored.forEach(s -> addClosed(s.name(), s.bytes(), now));
     }
 
-    private void keep(String file, long bytes, double now) {
-        kept.addLast(new Ended(file, bytes, now));
-        keptBytes += bytes;
+    private void addClosed(String fileName, long bytes, double now) {
+        closed.addLast(new ClosedSegment(fileName, bytes, now));
+        closedBytes += bytes;
     }
 
     public Phase phase() {
         return phase;
     }
 
-    /** What is held, closed and open, in bytes. */
+    /** The size of all segments, closed and open, in bytes. */
     public long bytes() {
-        return keptBytes + openBytes;
+        return closedBytes + openBytes;
     }
 
-    /** Whether a new segment is to begin, with the module's state as it is then. */
-    public boolean due(double now) {
+    /** Whether a new segment should begin now, with a snapshot of the module's state. */
+    public boolean segmentDue(double now) {
         return switch (phase) {
             case NONE -> true;
-            case WRITING -> openBytes >= limits.segmentBytes() || now - begunAt >= limits.segmentMs();
-            case PAUSED -> now >= pausedUntil;
+            case WRITING -> openBytes >= limits.segmentBytes() || now - startedAt >= limits.segmentMs();
+            case BACKING_OFF -> now >= retryAt;
         };
     }
 
-    /** The name of the segment that begins now; one that was open has ended. */
-    public String begin(double now) {
-        end(now);
+    /** Ends the open segment, if any, and returns the file name of the next one. */
+    public String beginSegment(double now) {
+        endSegment(now);
         name = name.next();
         phase = Phase.WRITING;
-        begunAt = now;
+        startedAt = now;
         return name.fileName();
     }
 
-    /** What has to go, the oldest first, so that these bytes more may be written now; null where they can't be. */
-    public List<String> roomFor(long more, double now) {
-        List<String> out = new ArrayList<>();
-        long left = keptBytes;
-        for (Ended e : kept) {
-            boolean old = e.at() + limits.keepMs() <= now;
-            if (!old && left + openBytes + more <= limits.totalBytes()) {
+    /** The segments to delete, oldest first, before this many bytes are written; null if the limit does not allow them. */
+    public List<String> deletionsFor(long moreBytes, double now) {
+        List<String> deletions = new ArrayList<>();
+        long remaining = closedBytes;
+        for (ClosedSegment segment : closed) {
+            boolean expired = segment.endedAt() + limits.retentionMs() <= now;
+            if (!expired && remaining + openBytes + moreBytes <= limits.totalBytes()) {
                 break;
             }
-            out.add(e.name());
-            left -= e.bytes();
+            deletions.add(segment.name());
+            remaining -= segment.bytes();
         }
-        return left + openBytes + more <= limits.totalBytes() ? out : null;
+        return remaining + openBytes + moreBytes <= limits.totalBytes() ? deletions : null;
     }
 
-    /** The oldest one is gone. */
-    public void dropped() {
-        keptBytes -= kept.removeFirst().bytes();
+    /** The oldest closed segment has been deleted. */
+    public void oldestDeleted() {
+        closedBytes -= closed.removeFirst().bytes();
     }
 
-    /** So many bytes may have been written to the open segment: told before it is tried, as a failure leaves that open. */
+    /** Counts bytes of the open segment before they are written, as a failed write may have stored any part of them. */
     public void writing(long bytes) {
         openBytes += bytes;
     }
 
-    /** A write was whole: whatever failed before is over. */
-    public void wrote() {
-        pauseMs = 0;
+    /** A write has succeeded: the next failure starts with the initial backoff. */
+    public void writeSucceeded() {
+        backoffMs = 0;
     }
 
-    /** Something failed; nothing more is written to what was open. */
-    public void failed(double now) {
-        end(now);
-        pauseMs = pauseMs == 0 ? limits.firstPauseMs() : Math.min(2 * pauseMs, limits.longestPauseMs());
-        pausedUntil = now + pauseMs;
-        phase = Phase.PAUSED;
+    /** An operation has failed: the open segment ends and the backoff starts. */
+    public void operationFailed(double now) {
+        endSegment(now);
+        backoffMs = backoffMs == 0 ? limits.initialBackoffMs() : Math.min(2 * backoffMs, limits.maxBackoffMs());
+        retryAt = now + backoffMs;
+        phase = Phase.BACKING_OFF;
     }
 
-    /** Nothing more is written to what is open. */
-    public void end(double now) {
+    /** Ends the open segment, if any. */
+    public void endSegment(double now) {
         if (phase == Phase.WRITING) {
-            keep(name.fileName(), openBytes, now);
+            addClosed(name.fileName(), openBytes, now);
             openBytes = 0;
         }
         phase = Phase.NONE;
--- a/capture/src/main/java/quincespar/capture/SegmentStore.java
+++ b/capture/src/main/java/quincespar/capture/SegmentStore.java
@@ -5,29 +5,29 @@
 import java.io.InputStream;
 import java.util.List;
 
-/** Where segments are kept. Any call may fail, at any time, and take long. */
+/** Storage of segments. Any call may fail at any time, or block for long. */
 public interface SegmentStore {
-    /** A file that is kept; {@code bytes} is its length. */
+    /** A stored file and its length in bytes. */
     record StoredSegment(String name, long bytes) { }
 
     /** A file that is being written. */
     interface SegmentOutput extends Closeable {
-        /** Appends these bytes, or fails; how many of them were written then is not known. */
+        /** Appends these bytes; after a failure, any part of them may have been written. */
         void write(byte[] bytes) throws IOException;
 
-        /** Has what was written survive the end of this process. */
+        /** Hands buffered bytes to the operating system, so that they survive the end of this process. */
         void flush() throws IOException;
     }
 
-    /** All segments that are kept. */
+    /** All stored segments. */
     List<StoredSegment> list() throws IOException;
 
-    /** Reads one; throws {@link java.nio.file.NoSuchFileException} where it has gone meanwhile. */
+    /** Opens a segment for reading; throws {@link java.nio.file.NoSuchFileException} if it has been deleted meanwhile. */
     InputStream open(String name) throws IOException;
 
-    /** Begins a new one. */
+    /** Creates a new segment. */
     SegmentOutput create(String name) throws IOException;
 
-    /** Gives one up. */
+    /** Deletes a segment. */
     void delete(String name) throws IOException;
 }
--- a/capture/src/main/java/quincespar/capture/StateCodec.java
+++ b/capture/src/main/java/quincespar/capture/StateCodec.java
@@ -75,7 +75,7 @@
             }
             text.append('\n');
         }
-        schema = Digests.name(text.toString());
+        schema = Digests.shortHex(text.toString());
     }
 
     /** Sixteen hex digits that change where what the module remembers does. */
--- a/capture/src/main/java/quincespar/capture/package-info.java
+++ b/capture/src/main/java/quincespar/capture/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The record of all that the decision module was told and decided, and its replay. It knows {@code decision}'s interface
- * and nothing of the daemon; the module does not know of it. Bytes come and go through interfaces: what is written where,
- * and by which thread, is the program's.
+ * Captures every call of the decision module with its answer, and replays, verifies and explains captures. Depends on the
+ * interface of {@code decision} and on nothing of the front end; the decision module does not know of it. Bytes pass through
+ * {@link quincespar.capture.SegmentStore}: which files are written, and on which thread, is up to the caller.
  */
 package quincespar.capture;
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -152,11 +152,11 @@
     void whatIsNoCaptureOrOfAnotherFormIsRefusedInOneSentence() {
         for (byte[] other : List.of(new byte[0], "QCA".getBytes(StandardCharsets.US_ASCII), new byte[100])) {
             assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(other), codec.schema()))
-                    .isInstanceOf(MalformedCaptureException.class).hasMessage("this is no capture: it does not begin with 'QCAP1'");
+                    .isInstanceOf(MalformedCaptureException.class).hasMessage("not a capture: the file does not begin with 'QCAP1'");
         }
         assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(Frames.header("0123456789abcdef")),
                 codec.schema())).isInstanceOf(MalformedCaptureException.class).hasMessage(
-                "this capture is of schema 0123456789abcdef, and this program reads " + codec.schema() + " only");
+                "the capture has schema 0123456789abcdef, and this program reads only " + codec.schema());
     }
 
     /** Whatever the bytes of a record, they are an entry or refused; nothing else is thrown. */
--- a/capture/src/test/java/quincespar/capture/LongCapture.java
+++ b/capture/src/test/java/quincespar/capture/LongCapture.java
@@ -16,28 +16,28 @@
         MemoryStore store = new MemoryStore();
         CaptureWriter recording = new CaptureWriter(World.opening(71), new SegmentPolicy(new SegmentPolicy.Limits(SEGMENT, 1e15, 1L << 40, 1e15,
                 100, 100), new SegmentName("long", 1, 0), store.list(), 0), store, System.out::println);
-        recording.begin(0, null, 0, "");
+        recording.beginSegment(0, null, 0, "");
         double[] now = {0};
         new World(71, new CapturedGateway.Listener() {
             @Override
-            public void call(Entry.Call call) {
+            public void onCall(Entry.Call call) {
                 now[0] = call.time();
-                recording.call(now[0], call);
+                recording.writeCall(now[0], call);
             }
 
             @Override
-            public void failed(Entry.Gap gap) {
-                recording.gap(now[0], gap);
+            public void onFailure(Entry.Gap gap) {
+                recording.writeGap(now[0], gap);
             }
 
             @Override
             public boolean wantsState() {
-                return recording.due(now[0]);
+                return recording.segmentDue(now[0]);
             }
 
             @Override
-            public void state(double time, byte[] bytes) {
-                recording.begin(time, new Entry.State(time, bytes), 0, "");
+            public void onState(double time, byte[] bytes) {
+                recording.beginSegment(time, new Entry.State(time, bytes), 0, "");
             }
         }).play(REQUESTS);
         recording.close(now[0]);
--- a/capture/src/test/java/quincespar/capture/RecordingTest.java
+++ b/capture/src/test/java/quincespar/capture/RecordingTest.java
@@ -31,28 +31,28 @@
         Together(long seed, SegmentPolicy.Limits limits) {
             recording = new CaptureWriter(World.opening(seed), new SegmentPolicy(limits, new SegmentName("w", 1, 0), store.list(), 0),
                     store, told::add);
-            recording.begin(0, null, 0, "");
+            recording.beginSegment(0, null, 0, "");
         }
 
         @Override
-        public void call(Entry.Call call) {
+        public void onCall(Entry.Call call) {
             now = call.time();
-            recording.call(now, call);
+            recording.writeCall(now, call);
         }
 
         @Override
-        public void failed(Entry.Gap gap) {
-            recording.gap(now, gap);
+        public void onFailure(Entry.Gap gap) {
+            recording.writeGap(now, gap);
         }
 
         @Override
         public boolean wantsState() {
-            return recording.due(now);
+            return recording.segmentDue(now);
         }
 
         @Override
-        public void state(double time, byte[] bytes) {
-            recording.begin(time, new Entry.State(time, bytes), lost, "the ring was full");
+        public void onState(double time, byte[] bytes) {
+            recording.beginSegment(time, new Entry.State(time, bytes), lost, "the queue was full");
             lost = 0;
         }
     }
@@ -145,26 +145,26 @@
         store.writes = () -> !full[0];
         CaptureWriter r = new CaptureWriter(World.opening(1), new SegmentPolicy(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store,
                 told::add);
-        r.begin(0, null, 0, "");
+        r.beginSegment(0, null, 0, "");
         Entry.Call call = new Entry.Call(1, List.of(), List.of());
-        r.call(1, call);
+        r.writeCall(1, call);
         full[0] = true;
-        r.call(2, call);
+        r.writeCall(2, call);
         for (double now = 3; now < 2000; now++) { // tried again after 100, 200, 400, 800 and 800 ms
-            if (r.due(now)) {
-                r.begin(now, new Entry.State(now, new byte[1]), 0, "");
+            if (r.segmentDue(now)) {
+                r.beginSegment(now, new Entry.State(now, new byte[1]), 0, "");
             }
-            r.call(now, call);
+            r.writeCall(now, call);
         }
         full[0] = false;
-        r.begin(5000, new Entry.State(5000, new byte[1]), 7, "the ring was full");
-        r.call(5001, call);
+        r.beginSegment(5000, new Entry.State(5000, new byte[1]), 7, "the queue was full");
+        r.writeCall(5001, call);
         assertThat(r.counts().failures()).isEqualTo(5);
         assertThat(r.counts().calls()).isEqualTo(2);
         assertThat(r.counts().lostCalls()).isEqualTo(1 + 1997 + 7);
-        assertThat(told).containsExactly("capture: a segment has begun",
-                "capture: disk full; calls are lost until it can be written again",
-                "capture: a segment has begun, 2005 calls were lost: the ring was full");
+        assertThat(told).containsExactly("capture: new segment started",
+                "capture: disk full; calls are lost until writing succeeds again",
+                "capture: new segment started; 2005 calls lost before it: the queue was full");
     }
 
     /** A segment that someone took away, or that lost its tail, is a gap: nothing is played over it. */
--- a/records/src/main/java/quincespar/records/MalformedRecordException.java
+++ b/records/src/main/java/quincespar/records/MalformedRecordException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Bytes that are not what {@link RecordCodec} writes; the message is one plain sentence. */
+/** Thrown for bytes that {@link RecordCodec} did not write; the message is one sentence for operators. */
 public final class MalformedRecordException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** With its cause, or null where there is none. */
+    /** Creates an exception; {@code cause} may be null. */
     public MalformedRecordException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/records/src/main/java/quincespar/records/RecordCodec.java
+++ b/records/src/main/java/quincespar/records/RecordCodec.java
@@ -24,20 +24,18 @@
 /**
  * Writes and reads records as CBOR arrays of their components, in the order in which they are declared. A record of a sealed
  * family has its number in the family before its components: its place among the stored names of the family's records. Doubles
- * keep all their bits, NaN and infinities included. {@link #schema} describes the records; a reader accepts data of its own
- * schema only.
+ * keep all their bits, NaN and infinities included. {@link #schema} describes the records; data can only be read with the schema
+ * with which it was written.
  */
 public final class RecordCodec {
-    /** One component: how it is read from its record, and what it holds. */
-    private record Part(String name, Type type, MethodHandle accessor) { }
+    private record Component(String name, Type type, MethodHandle accessor) { }
 
-    /** One kind of record: its components and how it is made of them. */
-    private record Shape(Class<?> type, List<Part> parts, MethodHandle constructor) { }
+    private record Layout(Class<?> type, List<Component> components, MethodHandle constructor) { }
 
     private final CBORFactory cbor = new CBORFactory();
     private final StoredNames names;
-    private final Map<Class<?>, Shape> shapes = new HashMap<>();
-    /** The records of each sealed family, by name: a record's number is its place. */
+    private final Map<Class<?>, Layout> layouts = new HashMap<>();
+    /** The records of each sealed family, sorted by stored name: a record's number is its index. */
     private final Map<Class<?>, List<Class<?>>> families = new HashMap<>();
     private final Map<Class<?>, Integer> numbers = new HashMap<>();
 
@@ -49,45 +47,49 @@
     /** Creates a codec for these records and sealed families of records and all that they hold, under the names of a table. */
     public RecordCodec(StoredNames names, Class<?>... types) {
         this.names = names;
-        for (Class<?> t : types) {
-            learn(t);
+        for (Class<?> type : types) {
+            register(type);
         }
     }
 
-    private void learn(Type type) {
-        if (type instanceof ParameterizedType p) {
-            learn(p.getActualTypeArguments()[0]);
+    private void register(Type type) {
+        if (type instanceof ParameterizedType list) {
+            register(elementType(list));
         } else if (type instanceof Class<?> c && c.isSealed() && !families.containsKey(c)) {
             List<Class<?>> family = Arrays.stream(c.getPermittedSubclasses())
                     .sorted(Comparator.comparing(names::of)).toList();
             families.put(c, family);
             family.forEach(f -> numbers.put(f, family.indexOf(f)));
-            family.forEach(this::learn);
-        } else if (type instanceof Class<?> c && c.isRecord() && !shapes.containsKey(c)) {
-            shapes.put(c, shape(c));
-            shapes.get(c).parts().forEach(p -> learn(p.type()));
+            family.forEach(this::register);
+        } else if (type instanceof Class<?> c && c.isRecord() && !layouts.containsKey(c)) {
+            layouts.put(c, layout(c));
+            layouts.get(c).components().forEach(p -> register(p.type()));
         }
     }
 
-    private static Shape shape(Class<?> c) {
+    private static Type elementType(ParameterizedType list) {
+        return list.getActualTypeArguments()[0];
+    }
+
+    private static Layout layout(Class<?> type) {
         try {
             MethodHandles.Lookup lookup = MethodHandles.lookup();
-            List<Part> parts = new ArrayList<>();
-            for (RecordComponent r : c.getRecordComponents()) {
-                parts.add(new Part(r.getName(), r.getGenericType(), lookup.unreflect(r.getAccessor())
+            List<Component> components = new ArrayList<>();
+            for (RecordComponent c : type.getRecordComponents()) {
+                components.add(new Component(c.getName(), c.getGenericType(), lookup.unreflect(c.getAccessor())
                         .asType(MethodType.methodType(Object.class, Object.class))));
             }
-            Class<?>[] types = Arrays.stream(c.getRecordComponents()).map(RecordComponent::getType)
+            Class<?>[] types = Arrays.stream(type.getRecordComponents()).map(RecordComponent::getType)
                     .toArray(Class<?>[]::new);
-            MethodHandle made = lookup.findConstructor(c, MethodType.methodType(void.class, types));
-            return new Shape(c, List.copyOf(parts), made.asSpreader(Object[].class, types.length)
+            MethodHandle constructor = lookup.findConstructor(type, MethodType.methodType(void.class, types));
+            return new Layout(type, List.copyOf(components), constructor.asSpreader(Object[].class, types.length)
                     .asType(MethodType.methodType(Object.class, Object[].class)));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalArgumentException("a record that can't be read: " + c, e);
+            throw new IllegalArgumentException("no access to the components of " + type, e);
         }
     }
 
-    /** All records with their components and families, as one text of stored names: it changes where their form does. */
+    /** All records with their components and families as text, under their stored names: it differs if the format does. */
     public String schema() {
         StringBuilder out = new StringBuilder();
         families.entrySet().stream().sorted(Comparator.comparing(e -> names.of(e.getKey()))).forEach(e -> {
@@ -95,45 +97,45 @@
             e.getValue().forEach(c -> out.append(names.of(c)).append(' '));
             out.append('\n');
         });
-        shapes.values().stream().sorted(Comparator.comparing(s -> names.of(s.type()))).forEach(s -> {
-            out.append(names.of(s.type())).append('(');
-            s.parts().forEach(p -> out.append(names.of(s.type(), p.name())).append(' ')
-                    .append(words(p.type())).append(' '));
+        layouts.values().stream().sorted(Comparator.comparing(l -> names.of(l.type()))).forEach(l -> {
+            out.append(names.of(l.type())).append('(');
+            l.components().forEach(c -> out.append(names.of(l.type(), c.name())).append(' ')
+                    .append(typeText(c.type())).append(' '));
             out.append(")\n");
         });
         return out.toString();
     }
 
     /** The text of a component's type: "double", "Outcome[OK, ERROR]", "Gateway$Limits"; "Gateway$Event>" for a list of these. */
-    private String words(Type type) {
-        if (type instanceof ParameterizedType p) {
-            return typeName((Class<?>) p.getActualTypeArguments()[0]) + ">";
+    private String typeText(Type type) {
+        if (type instanceof ParameterizedType list) {
+            return typeName((Class<?>) elementType(list)) + ">";
         }
         Class<?> c = (Class<?>) type;
         return c.isEnum() ? names.of(c) + names.constantsOf(c) : typeName(c);
     }
 
-    /** The stored name of a type behind those of the types that enclose it. */
+    /** The stored name of a type, after those of its enclosing types. */
     private String typeName(Class<?> type) {
         return type.isMemberClass() ? typeName(type.getDeclaringClass()) + "$" + names.of(type) : names.of(type);
     }
 
-    /** A value of one of the known types as bytes. */
+    /** Encodes a record of a registered type. */
     public byte[] write(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator to = cbor.createGenerator(out)) {
-            write(to, value);
-        } catch (IOException x) { // nothing is written anywhere but to memory
-            throw new UncheckedIOException(x);
+        try (JsonGenerator generator = cbor.createGenerator(out)) {
+            write(generator, value);
+        } catch (IOException e) { // does not happen: output goes to memory only
+            throw new UncheckedIOException(e);
         }
         return out.toByteArray();
     }
 
-    /** Reads a value whole; throws {@link MalformedRecordException} at what is none. */
+    /** Decodes one record that fills {@code bytes}; throws {@link MalformedRecordException} for any other bytes. */
     public <T> T read(byte[] bytes, Class<T> type) throws MalformedRecordException {
         try (JsonParser in = cbor.createParser(bytes)) {
             if (in.nextToken() == null) {
-                throw new MalformedRecordException("an empty record", null);
+                throw new MalformedRecordException("no bytes where a record was expected", null);
             }
             Object value = read(in, type);
             if (in.nextToken() != null) {
@@ -143,13 +145,12 @@
         } catch (MalformedRecordException e) {
             throw e;
         } catch (StreamReadException e) {
-            throw new MalformedRecordException("no CBOR: " + e.getOriginalMessage(), e);
-        } catch (IOException | RuntimeException e) { // spoilt bytes may claim anything, and are no reason to fail otherwise
-            throw new MalformedRecordException("a record that can't be read: " + e.getMessage(), e);
+            throw new MalformedRecordException("not valid CBOR: " + e.getOriginalMessage(), e);
+        } catch (IOException | RuntimeException e) { // damaged bytes can fail anywhere in the parser or in a constructor
+            throw new MalformedRecordException("unreadable record: " + e.getMessage(), e);
         }
     }
 
-    /** Writes a value of one of the known types. */
     private void write(JsonGenerator out, Object value) throws IOException {
         if (value == null) {
             out.writeNull();
@@ -179,75 +180,75 @@
     }
 
     private void writeRecord(JsonGenerator out, Object value) throws IOException {
-        Shape s = shapes.get(value.getClass());
-        if (s == null) {
-            throw new IllegalArgumentException("not a known record: " + value.getClass());
+        Layout layout = layouts.get(value.getClass());
+        if (layout == null) {
+            throw new IllegalArgumentException("not a registered record: " + value.getClass());
         }
         Integer number = numbers.get(value.getClass());
-        out.writeStartArray(value, s.parts().size() + (number == null ? 0 : 1));
+        out.writeStartArray(value, layout.components().size() + (number == null ? 0 : 1));
         if (number != null) {
             out.writeNumber(number);
         }
-        for (Part p : s.parts()) {
-            write(out, get(p, value));
+        for (Component c : layout.components()) {
+            write(out, get(c, value));
         }
         out.writeEndArray();
     }
 
-    private static Object get(Part p, Object value) {
+    private static Object get(Component component, Object value) {
         try {
-            return (Object) p.accessor().invokeExact(value);
+            return (Object) component.accessor().invokeExact(value);
         } catch (RuntimeException | Error e) {
             throw e;
-        } catch (Throwable e) { // accessors of records throw nothing else
-            throw new IllegalStateException(p.name(), e);
+        } catch (Throwable e) { // record accessors throw no checked exceptions
+            throw new IllegalStateException(component.name(), e);
         }
     }
 
-    /** Reads a value of this type, which begins at the parser's current token; throws {@link MalformedRecordException}. */
+    /** Reads a value of this type that starts at the parser's current token. */
     private Object read(JsonParser in, Type type) throws IOException {
-        if (type instanceof ParameterizedType p) {
-            return readList(in, p.getActualTypeArguments()[0]);
+        if (type instanceof ParameterizedType list) {
+            return readList(in, elementType(list));
         }
         Class<?> c = (Class<?>) type;
         if (c == double.class) {
             expect(in.currentToken().isNumeric(), in, "a number");
             return in.getDoubleValue();
         } else if (c == long.class || c == Long.class) {
-            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "a whole number");
+            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "an integer");
             return in.getLongValue();
         } else if (c == int.class || c == Integer.class) {
-            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "a whole number");
+            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "an integer");
             return in.getIntValue();
         } else if (c == Double.class) {
             expect(in.currentToken().isNumeric(), in, "a number");
             return in.getDoubleValue();
         } else if (c == boolean.class) {
-            expect(in.currentToken().isBoolean(), in, "a truth value");
+            expect(in.currentToken().isBoolean(), in, "a boolean");
             return in.getBooleanValue();
         } else if (c == String.class) {
-            expect(in.currentToken() == JsonToken.VALUE_STRING, in, "text");
+            expect(in.currentToken() == JsonToken.VALUE_STRING, in, "a string");
             return in.getText();
         } else if (c == byte[].class) {
             expect(in.currentToken() == JsonToken.VALUE_EMBEDDED_OBJECT, in, "bytes");
             return in.getBinaryValue();
         } else if (c.isEnum()) {
-            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "a number of " + c.getSimpleName());
+            expect(in.currentToken() == JsonToken.VALUE_NUMBER_INT, in, "an ordinal of " + c.getSimpleName());
             int n = in.getIntValue();
-            expect(n >= 0 && n < c.getEnumConstants().length, in, "a number of " + c.getSimpleName());
+            expect(n >= 0 && n < c.getEnumConstants().length, in, "an ordinal of " + c.getSimpleName());
             return c.getEnumConstants()[n];
         }
         return readRecord(in, c);
     }
 
-    private List<Object> readList(JsonParser in, Type of) throws IOException {
+    private List<Object> readList(JsonParser in, Type elementType) throws IOException {
         if (in.currentToken() == JsonToken.VALUE_NULL) {
             return null;
         }
         expect(in.currentToken() == JsonToken.START_ARRAY, in, "a list");
         List<Object> out = new ArrayList<>();
         while (next(in) != JsonToken.END_ARRAY) {
-            out.add(read(in, of));
+            out.add(read(in, elementType));
         }
         return out;
     }
@@ -256,38 +257,38 @@
         expect(in.currentToken() == JsonToken.START_ARRAY, in, type.getSimpleName());
         Class<?> c = type;
         if (families.containsKey(type)) {
-            expect(next(in) == JsonToken.VALUE_NUMBER_INT, in, "a number of " + type.getSimpleName());
+            expect(next(in) == JsonToken.VALUE_NUMBER_INT, in, "a record number of " + type.getSimpleName());
             int n = in.getIntValue();
-            expect(n >= 0 && n < families.get(type).size(), in, "a number of " + type.getSimpleName());
+            expect(n >= 0 && n < families.get(type).size(), in, "a record number of " + type.getSimpleName());
             c = families.get(type).get(n);
         }
-        Shape s = shapes.get(c);
-        Object[] values = new Object[s.parts().size()];
+        Layout layout = layouts.get(c);
+        Object[] values = new Object[layout.components().size()];
         for (int i = 0; i < values.length; i++) {
             next(in);
-            values[i] = read(in, s.parts().get(i).type());
+            values[i] = read(in, layout.components().get(i).type());
         }
         expect(next(in) == JsonToken.END_ARRAY, in, "the end of " + c.getSimpleName());
         try {
-            return (Object) s.constructor().invokeExact(values);
-        } catch (IllegalArgumentException | NullPointerException e) { // a record that checks what it is made of
+            return (Object) layout.constructor().invokeExact(values);
+        } catch (IllegalArgumentException | NullPointerException e) { // rejected by the record's constructor
             throw new MalformedRecordException(c.getSimpleName() + ": " + e.getMessage(), e);
         } catch (RuntimeException | Error e) {
             throw e;
-        } catch (Throwable e) { // constructors of the module's records throw nothing else
+        } catch (Throwable e) { // record constructors throw no checked exceptions here
             throw new IllegalStateException(c.getSimpleName(), e);
         }
     }
 
     private static JsonToken next(JsonParser in) throws IOException {
-        JsonToken t = in.nextToken();
-        expect(t != null, in, "more");
-        return t;
+        JsonToken token = in.nextToken();
+        expect(token != null, in, "more data");
+        return token;
     }
 
-    private static void expect(boolean right, JsonParser in, String what) throws IOException {
-        if (!right) {
-            throw new MalformedRecordException(what + " expected at byte " + in.currentTokenLocation().getByteOffset()
+    private static void expect(boolean condition, JsonParser in, String expected) throws IOException {
+        if (!condition) {
+            throw new MalformedRecordException(expected + " expected at byte " + in.currentTokenLocation().getByteOffset()
                     + " of a record", null);
         }
     }
--- a/records/src/main/java/quincespar/records/package-info.java
+++ b/records/src/main/java/quincespar/records/package-info.java
@@ -1,2 +1,2 @@
-/** Java records as bytes and back, by their shape alone; knows nothing of what they mean. */
+/** Binary encoding of Java records by reflection; knows nothing about what the records mean. */
 package quincespar.records;
