--- a/frontend/src/main/java/quincespar/protocol/Buffer.java
+++ b/frontend/src/main/java/quincespar/protocol/Buffer.java
@@ -1,66 +1,78 @@
 package quincespar.protocol;
 
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes that have come and are not yet used up; the decoders look at it from {@code 0} to {@code size}. */
+/** A growing buffer of received bytes that are not yet consumed; index 0 is the first unconsumed byte. */
 public final class Buffer {
-    private byte[] bytes = new byte[1024];
-    private int from;
-    private int to;
+    private static final int INITIAL_BYTES = 1024;
+    private static final int MAX_RETAINED_BYTES = 64 * 1024;
 
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int start;
+    private int end;
+
+    /** Appends the first {@code count} bytes of {@code more}. */
     public void add(byte[] more, int count) {
-        if (to + count > bytes.length) {
-            int held = size();
-            byte[] target = held + count > bytes.length ? new byte[Math.max(2 * bytes.length, held + count)] : bytes;
-            System.arraycopy(bytes, from, target, 0, held);
+        if (end + count > bytes.length) {
+            int retained = size();
+            byte[] target = retained + count > bytes.length ? new byte[Math.max(2 * bytes.length, retained + count)] : bytes;
+            System.arraycopy(bytes, start, target, 0, retained);
             bytes = target;
-            from = 0;
-            to = held;
+            start = 0;
+            end = retained;
         }
-        System.arraycopy(more, 0, bytes, to, count);
-        to += count;
+        System.arraycopy(more, 0, bytes, end, count);
+        end += count;
     }
 
+    /** The number of unconsumed bytes. */
     public int size() {
-        return to - from;
+        return end - start;
     }
 
+    /** The byte at index {@code i}, without consuming it. */
     public byte at(int i) {
-        return bytes[from + i];
+        return bytes[start + i];
     }
 
-    /** Four bytes, big end first. */
+    /** Reads a big-endian 32-bit integer at index {@code i} without consuming it. */
     public int int32(int i) {
         return at(i) << 24 | (at(i + 1) & 255) << 16 | (at(i + 2) & 255) << 8 | at(i + 3) & 255;
     }
 
+    /** Consumes {@code n} bytes and returns them. */
     public byte[] take(int n) {
-        byte[] out = Arrays.copyOfRange(bytes, from, from + n);
+        byte[] out = Arrays.copyOfRange(bytes, start, start + n);
         skip(n);
         return out;
     }
 
+    /** Consumes {@code n} bytes. */
     public void skip(int n) {
-        from += n;
-        if (from == to) {
-            from = 0;
-            to = 0;
-            if (bytes.length > 64 * 1024) {
-                bytes = new byte[1024]; // one long message must not keep its room for good
+        start += n;
+        if (start == end) {
+            start = 0;
+            end = 0;
+            if (bytes.length > MAX_RETAINED_BYTES) {
+                bytes = new byte[INITIAL_BYTES]; // a long message must not hold its memory for the life of the connection
             }
         }
     }
 
-    /** The next line without its CR LF, taken out; null while it has not come whole. */
-    public String line(int most) {
+    /**
+     * Consumes the next line and returns it without its CR LF; null while it is incomplete. Throws
+     * {@link MalformedException} if it is longer than {@code maxLength} bytes.
+     */
+    public String line(int maxLength) {
         for (int i = 0; i + 1 < size(); i++) {
             if (at(i) == '\r' && at(i + 1) == '\n') {
-                String s = new String(bytes, from, i, java.nio.charset.StandardCharsets.ISO_8859_1);
+                String s = new String(bytes, start, i, StandardCharsets.ISO_8859_1);
                 skip(i + 2);
                 return s;
             }
-            if (i > most) {
-                throw new MalformedException("a line of over " + most + " bytes");
+            if (i > maxLength) {
+                throw new MalformedException("line exceeds " + maxLength + " bytes");
             }
         }
         return null;
--- a/frontend/src/main/java/quincespar/protocol/ChangeLogCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/ChangeLogCodec.java
@@ -5,31 +5,31 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The change log's events as JSON, the same in its answers and in the configuration's {@code known}. */
+/** Decodes the change log's events from JSON, in its answers and in the configuration's {@code known}. */
 public final class ChangeLogCodec {
     private ChangeLogCodec() { }
 
-    /** Events up to and with number {@code seq}. */
+    /** Events up to and including number {@code seq}. */
     public record Changes(long seq, List<FleetEvent> events) { }
 
-    /** Reads an answer whole or not at all: throws {@link MalformedException}. */
+    /** Decodes an answer; throws {@link MalformedException} if any part of it is malformed. */
     public static Changes read(byte[] text) {
         return read(Json.read(text));
     }
 
-    /** As {@link #read(byte[])}, of a value that was read already. */
+    /** As {@link #read(byte[])}, for a parsed JSON value. */
     public static Changes read(Object value) {
-        Map<String, Object> all = Json.object(value, "the answer");
+        Map<String, Object> answer = Json.object(value, "the answer");
         List<FleetEvent> events = new ArrayList<>();
-        for (Object r : Json.list(all.get("results"), "results")) {
-            Map<String, Object> event = Json.object(r, "an event");
-            events.add(event.containsKey("fleet") ? event(event) : otherNews(event));
+        for (Object item : Json.list(answer.get("results"), "results")) {
+            Map<String, Object> event = Json.object(item, "an event");
+            events.add(event.containsKey("fleet") ? event(event) : unrelatedEvent(event));
         }
-        return new Changes((long) Json.number(all.get("seq"), "seq"), events);
+        return new Changes((long) Json.number(answer.get("seq"), "seq"), events);
     }
 
-    /** Other kinds of news may come and are not for this program; their numbers count all the same. */
-    private static FleetEvent otherNews(Map<String, Object> event) {
+    /** An event of a kind that this program does not use; only its number matters. */
+    private static FleetEvent unrelatedEvent(Map<String, Object> event) {
         return new FleetEvent((long) Json.number(event.get("seq"), "seq"), 0, false, List.of());
     }
 
@@ -54,7 +54,7 @@
         try {
             return FleetEvent.Phase.valueOf(s.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new MalformedException("no phase '" + s + "'");
+            throw new MalformedException("unknown phase '" + s + "'");
         }
     }
 
@@ -62,7 +62,7 @@
         return m.get(name) == null ? "" : Json.text(m.get(name), name);
     }
 
-    private static double number(Map<String, Object> m, String name, double absent) {
-        return m.get(name) == null ? absent : Json.number(m.get(name), name);
+    private static double number(Map<String, Object> m, String name, double defaultValue) {
+        return m.get(name) == null ? defaultValue : Json.number(m.get(name), name);
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/Json.java
+++ b/frontend/src/main/java/quincespar/protocol/Json.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps, lists, strings, numbers, booleans and nulls, by way of Jackson's streaming parser. */
+/** Parses JSON into maps, lists, strings, numbers, booleans and nulls, with Jackson's streaming parser. */
 public final class Json {
     private Json() { }
 
-    /** Reads one value; throws {@link MalformedException} where it is none. */
+    /** Parses a single JSON value; throws {@link MalformedException} if the text is anything else. */
     public static Object read(byte[] text) {
         try (JsonParser in = new JsonFactory().createParser(text)) {
             in.nextToken();
@@ -28,11 +28,11 @@
     }
 
     private static Object value(JsonParser in) throws IOException {
-        JsonToken t = in.currentToken();
-        if (t == null) {
-            throw new MalformedException("no JSON value");
+        JsonToken token = in.currentToken();
+        if (token == null) {
+            throw new MalformedException("missing JSON value");
         }
-        switch (t) {
+        switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> out = new LinkedHashMap<>();
                 while (in.nextToken() != JsonToken.END_OBJECT) {
@@ -64,56 +64,56 @@
         }
     }
 
-    /** The value as an object; {@code what} names it in the complaint where it is none. */
+    /** Casts the value to an object; {@code what} names it in the message of the {@link MalformedException} if it is none. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> object(Object value, String what) {
         if (value instanceof Map<?, ?> m) {
             return (Map<String, Object>) m;
         }
-        throw new MalformedException(what + " is no object");
+        throw new MalformedException(what + " is not an object");
     }
 
-    /** The value as a list. */
+    /** Casts the value to a list. */
     public static List<?> list(Object value, String what) {
         if (value instanceof List<?> l) {
             return l;
         }
-        throw new MalformedException(what + " is no list");
+        throw new MalformedException(what + " is not a list");
     }
 
-    /** The value as text. */
+    /** Casts the value to a string. */
     public static String text(Object value, String what) {
         if (value instanceof String s) {
             return s;
         }
-        throw new MalformedException(what + " is no text");
+        throw new MalformedException(what + " is not a string");
     }
 
-    /** The value as a number. */
+    /** Casts the value to a number. */
     public static double number(Object value, String what) {
         if (value instanceof Number n) {
             return n.doubleValue();
         }
-        throw new MalformedException(what + " is no number");
+        throw new MalformedException(what + " is not a number");
     }
 
     /**
-     * Nested objects as the simulator's wire writes them: paths and values, lists of plain values joined with
-     * commas, lists of objects with their length under {@code .count}.
+     * Flattens nested objects to dotted paths and values, as in the settings of the simulator's protocol: lists of plain
+     * values are joined with commas, lists of objects have their length under {@code .count}.
      */
     public static Map<String, String> flatten(Map<String, Object> nested) {
         Map<String, String> out = new LinkedHashMap<>();
-        nested.forEach((k, v) -> flatten(k, v, out));
+        nested.forEach((k, v) -> flattenInto(k, v, out));
         return out;
     }
 
-    private static void flatten(String path, Object value, Map<String, String> out) {
+    private static void flattenInto(String path, Object value, Map<String, String> out) {
         if (value instanceof Map<?, ?> m) {
-            m.forEach((k, v) -> flatten(path + "." + k, v, out));
+            m.forEach((k, v) -> flattenInto(path + "." + k, v, out));
         } else if (value instanceof List<?> l && l.stream().anyMatch(Map.class::isInstance)) {
             out.put(path + ".count", Integer.toString(l.size()));
             for (int i = 0; i < l.size(); i++) {
-                flatten(path + "." + i, l.get(i), out);
+                flattenInto(path + "." + i, l.get(i), out);
             }
         } else if (value instanceof List<?> l) {
             out.put(path, String.join(",", l.stream().map(String::valueOf).toList()));
--- a/frontend/src/main/java/quincespar/protocol/StatementScanner.java
+++ b/frontend/src/main/java/quincespar/protocol/StatementScanner.java
@@ -5,134 +5,139 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables that a statement reads or writes: the number after the underscore in its schema's
- * name. Strings and comments are skipped, and so is the schema {@code staging}. It is a scan, not a parser.
+ * Finds the table group that a statement reads or writes: the number after the last underscore in a schema's name, as in
+ * {@code sales_17.orders}. Skips strings, comments and schemas without a number, such as {@code staging}. It scans tokens
+ * and does not parse the statement.
  */
 public final class StatementScanner {
-    private static final Set<String> BEFORE_TABLE = Set.of("from", "join", "into", "update", "table", "using");
+    private static final Set<String> KEYWORDS_BEFORE_TABLE = Set.of("from", "join", "into", "update", "table", "using");
 
-    private final String s;
-    private int at;
-    private int behindTable = -1;
-    private int anywhere = -1;
+    private final String statement;
+    private int position;
+    private int groupAfterKeyword = -1;
+    private int firstGroup = -1;
 
-    private StatementScanner(String s) {
-        this.s = s;
+    private StatementScanner(String statement) {
+        this.statement = statement;
     }
 
-    /** The group of tables, or 0 where none is named. Bytes of UTF-8 beyond ASCII count as letters. */
+    /** The number of the table group, or 0 if the statement names none. Non-ASCII bytes of UTF-8 count as letters. */
     public static int tableGroup(byte[] statement) {
         return new StatementScanner(new String(statement, StandardCharsets.ISO_8859_1)).scan();
     }
 
     private int scan() {
-        boolean tableNext = false;
-        while (at < s.length() && behindTable < 0) { // a group behind such a word is final
-            char c = s.charAt(at);
-            if (skipped(c)) {
+        boolean tableExpected = false;
+        while (position < statement.length() && groupAfterKeyword < 0) { // a group after such a keyword is final
+            char c = statement.charAt(position);
+            if (skipNonToken(c)) {
                 continue;
             }
-            if (c == '"' || c == '`' || c == '[' || letter(c)) {
-                boolean plain = letter(c);
-                String word = plain ? word() : quoted(c == '[' ? ']' : c);
-                if (plain && BEFORE_TABLE.contains(word.toLowerCase(Locale.ROOT)) && !dotNext()) {
-                    tableNext = true;
+            if (c == '"' || c == '`' || c == '[' || isLetter(c)) {
+                boolean unquoted = isLetter(c);
+                String word = unquoted ? readWord() : readQuoted(c == '[' ? ']' : c);
+                if (unquoted && KEYWORDS_BEFORE_TABLE.contains(word.toLowerCase(Locale.ROOT)) && !nextIsDot()) {
+                    tableExpected = true;
                 } else {
-                    name(word, tableNext);
-                    tableNext = false;
+                    recordGroup(word, tableExpected);
+                    tableExpected = false;
                 }
-            } else if (digit(c)) {
-                word();
+            } else if (isDigit(c)) {
+                readWord();
             } else {
-                at++;
+                position++;
             }
         }
-        return behindTable >= 0 ? behindTable : Math.max(0, anywhere);
+        return groupAfterKeyword >= 0 ? groupAfterKeyword : Math.max(0, firstGroup);
     }
 
-    /** Steps over what can hold no name: white space, a string, a comment. */
-    private boolean skipped(char c) {
+    /** Skips white space, a string or a comment at the current position; false if there is none. */
+    private boolean skipNonToken(char c) {
         if (c <= ' ') {
-            at++;
+            position++;
         } else if (c == '\'') {
-            quoted('\'');
-        } else if (s.startsWith("--", at) || c == '#') {
-            at = end(s.indexOf('\n', at), 1);
-        } else if (s.startsWith("/*", at)) {
-            at = end(s.indexOf("*/", at + 2), 2);
+            readQuoted('\'');
+        } else if (statement.startsWith("--", position) || c == '#') {
+            position = after(statement.indexOf('\n', position), 1);
+        } else if (statement.startsWith("/*", position)) {
+            position = after(statement.indexOf("*/", position + 2), 2);
         } else {
             return false;
         }
         return true;
     }
 
-    private int end(int found, int width) {
-        return found < 0 ? s.length() : found + width;
+    private int after(int found, int width) {
+        return found < 0 ? statement.length() : found + width;
     }
 
-    private String word() {
-        int from = at;
-        while (at < s.length() && (letter(s.charAt(at)) || digit(s.charAt(at)) || s.charAt(at) == '$')) {
-            at++;
+    private String readWord() {
+        int from = position;
+        while (position < statement.length() && isWordCharacter(statement.charAt(position))) {
+            position++;
         }
-        return s.substring(from, at);
+        return statement.substring(from, position);
     }
 
-    private static boolean letter(char c) {
+    private static boolean isWordCharacter(char c) {
+        return isLetter(c) || isDigit(c) || c == '$';
+    }
+
+    private static boolean isLetter(char c) {
         return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80;
     }
 
-    private static boolean digit(char c) {
+    private static boolean isDigit(char c) {
         return c >= '0' && c <= '9';
     }
 
-    /** What stands between quotes; a doubled one is part of it. */
-    private String quoted(char quote) {
+    /** Reads a quoted string without its quotes; a doubled quote stands for one. */
+    private String readQuoted(char quote) {
         StringBuilder out = new StringBuilder();
-        for (at++; at < s.length(); at++) {
-            if (s.charAt(at) == quote) {
-                if (at + 1 >= s.length() || s.charAt(at + 1) != quote) {
-                    at++;
+        for (position++; position < statement.length(); position++) {
+            if (statement.charAt(position) == quote) {
+                if (position + 1 >= statement.length() || statement.charAt(position + 1) != quote) {
+                    position++;
                     return out.toString();
                 }
-                at++;
+                position++;
             }
-            out.append(s.charAt(at));
+            out.append(statement.charAt(position));
         }
         return out.toString();
     }
 
-    private boolean dotNext() {
-        int before = at;
-        while (at < s.length() && skipped(s.charAt(at))) {
+    private boolean nextIsDot() {
+        int saved = position;
+        while (position < statement.length() && skipNonToken(statement.charAt(position))) {
             continue;
         }
-        boolean dot = at < s.length() && s.charAt(at) == '.';
-        at = before;
+        boolean dot = position < statement.length() && statement.charAt(position) == '.';
+        position = saved;
         return dot;
     }
 
-    private void name(String word, boolean asTable) {
-        if (!dotNext()) {
+    private void recordGroup(String word, boolean afterKeyword) {
+        if (!nextIsDot()) {
             return;
         }
-        int group = number(word);
+        int group = groupNumber(word);
         if (group >= 0) {
-            behindTable = asTable ? group : behindTable;
-            anywhere = anywhere < 0 ? group : anywhere;
+            groupAfterKeyword = afterKeyword ? group : groupAfterKeyword;
+            firstGroup = firstGroup < 0 ? group : firstGroup;
         }
     }
 
-    private static int number(String schema) {
-        int line = schema.lastIndexOf('_');
-        if (line < 0 || line + 1 == schema.length() || schema.length() - line > 9) {
+    private static int groupNumber(String schema) {
+        int underscore = schema.lastIndexOf('_');
+        if (underscore < 0 || underscore + 1 == schema.length() || schema.length() - underscore > 9) {
             return -1;
         }
-        for (int i = line + 1; i < schema.length(); i++) {
-            if (!digit(schema.charAt(i))) {
+        for (int i = underscore + 1; i < schema.length(); i++) {
+            if (!isDigit(schema.charAt(i))) {
                 return -1;
             }
         }
-        return Integer.parseInt(schema, line + 1, schema.length(), 10);
+        return Integer.parseInt(schema, underscore + 1, schema.length(), 10);
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/http/ResponseDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/http/ResponseDecoder.java
@@ -6,63 +6,63 @@
 import quincespar.protocol.Buffer;
 import quincespar.protocol.MalformedException;
 
-/** Takes the bytes of HTTP/1.1 responses as they come, with a length or in chunks, and hands on each whole one. */
+/** Decodes HTTP/1.1 responses incrementally, with a content length or in chunks. */
 public final class ResponseDecoder {
-    /** A whole response. */
+    /** A complete response. */
     public record Response(int status, byte[] body) { }
 
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
+    private enum State { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
 
-    private static final int LINE = 8 * 1024;
-    private static final int MOST_HEADERS = 100;
-    private static final int LONGEST = 4 << 20;
+    private static final int MAX_LINE_BYTES = 8 * 1024;
+    private static final int MAX_HEADERS = 100;
+    private static final int MAX_BODY_BYTES = 4 << 20;
 
     private final Buffer buffer = new Buffer();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Part part = Part.STATUS;
+    private State state = State.STATUS;
     private int status;
-    private int headers;
-    private int left;
+    private int headerCount;
+    private int remaining;
     private boolean chunked;
 
-    /** Feeds {@code count} bytes; throws {@link MalformedException} at what can't be a response. */
-    public void feed(byte[] bytes, int count, Consumer<Response> taker) {
+    /** Feeds {@code count} bytes and passes on each complete response; throws {@link MalformedException} if one is invalid. */
+    public void feed(byte[] bytes, int count, Consumer<Response> consumer) {
         buffer.add(bytes, count);
-        while (advance(taker)) {
+        while (advance(consumer)) {
             continue;
         }
     }
 
-    private boolean advance(Consumer<Response> taker) {
-        if (part == Part.BODY || part == Part.CHUNK) {
-            int n = Math.min(left, buffer.size());
+    private boolean advance(Consumer<Response> consumer) {
+        if (state == State.BODY || state == State.CHUNK) {
+            int n = Math.min(remaining, buffer.size());
             body.writeBytes(buffer.take(n));
-            left -= n;
-            if (left > 0) {
+            remaining -= n;
+            if (remaining > 0) {
                 return false;
             }
-            if (part == Part.BODY) {
-                whole(taker);
+            if (state == State.BODY) {
+                complete(consumer);
             } else {
-                part = Part.CHUNK_END;
+                state = State.CHUNK_END;
             }
             return true;
         }
-        String line = buffer.line(LINE);
+        String line = buffer.line(MAX_LINE_BYTES);
         if (line == null) {
             return false;
         }
-        switch (part) {
+        switch (state) {
             case STATUS -> status(line);
-            case HEADERS -> header(line, taker);
+            case HEADERS -> header(line, consumer);
             case CHUNK_SIZE -> {
-                left = size(line.split(";")[0].strip(), 16);
-                part = left == 0 ? Part.TRAILER : Part.CHUNK;
+                remaining = size(line.split(";")[0].strip(), 16);
+                state = remaining == 0 ? State.TRAILER : State.CHUNK;
             }
-            case CHUNK_END -> part = Part.CHUNK_SIZE;
+            case CHUNK_END -> state = State.CHUNK_SIZE;
             default -> {
                 if (line.isEmpty()) {
-                    whole(taker);
+                    complete(consumer);
                 }
             }
         }
@@ -72,31 +72,31 @@
     private void status(String line) {
         String[] words = line.split(" ");
         if (!line.startsWith("HTTP/1.") || words.length < 2) {
-            throw new MalformedException("no status line: '" + line + "'");
+            throw new MalformedException("invalid status line: '" + line + "'");
         }
         status = size(words[1], 10);
-        headers = 0;
-        left = 0;
+        headerCount = 0;
+        remaining = 0;
         chunked = false;
-        part = Part.HEADERS;
+        state = State.HEADERS;
     }
 
-    private void header(String line, Consumer<Response> taker) {
+    private void header(String line, Consumer<Response> consumer) {
         if (line.isEmpty()) {
             if (status >= 100 && status < 200) {
-                part = Part.STATUS;
+                state = State.STATUS;
             } else {
-                part = chunked ? Part.CHUNK_SIZE : Part.BODY;
+                state = chunked ? State.CHUNK_SIZE : State.BODY;
             }
             return;
         }
         int colon = line.indexOf(':');
-        if (colon <= 0 || ++headers > MOST_HEADERS) {
-            throw new MalformedException("no header: '" + line + "'");
+        if (colon <= 0 || ++headerCount > MAX_HEADERS) {
+            throw new MalformedException("invalid header or too many: '" + line + "'");
         }
         String value = line.substring(colon + 1).strip();
         switch (line.substring(0, colon).toLowerCase(Locale.ROOT)) {
-            case "content-length" -> left = size(value, 10);
+            case "content-length" -> remaining = size(value, 10);
             case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
             default -> { }
         }
@@ -105,19 +105,19 @@
     private int size(String text, int radix) {
         try {
             int n = Integer.parseInt(text, radix);
-            if (n >= 0 && n <= LONGEST && body.size() + n <= LONGEST) {
+            if (n >= 0 && n <= MAX_BODY_BYTES && body.size() + n <= MAX_BODY_BYTES) {
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw new MalformedException("no number: '" + text + "'");
+            throw new MalformedException("invalid number: '" + text + "'");
         }
-        throw new MalformedException("a number out of bounds: '" + text + "'");
+        throw new MalformedException("number out of range: '" + text + "'");
     }
 
-    private void whole(Consumer<Response> taker) {
+    private void complete(Consumer<Response> consumer) {
         Response r = new Response(status, body.toByteArray());
         body.reset();
-        part = Part.STATUS;
-        taker.accept(r);
+        state = State.STATUS;
+        consumer.accept(r);
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
@@ -8,55 +8,55 @@
 import quincespar.protocol.MalformedException;
 import quincespar.protocol.Utf8;
 
-/** The engines' commands and answers, as RESP arrays of bulk strings. */
+/** Encodes commands to engines and decodes their replies, as RESP arrays of bulk strings. */
 public final class EngineCodec {
-    private static final int LONGEST_PAGE = 6000;
+    private static final int MAX_PAGE_BYTES = 6000;
     private static final int COLUMNS = 3;
 
     private EngineCodec() { }
 
-    /** An answer of an engine: {@code word} is one of the protocol's, or an unknown one as it came. */
+    /** A reply of an engine; {@code type} is the name of the reply as received, which may be unknown. */
     public record Reply(String id, String type, Map<String, String> fields, byte[] body) {
-        /** A field that must be a whole number. */
+        /** The value of a field that must be an integer; throws {@link MalformedException} if it is not. */
         public int number(String field) {
             try {
                 return Integer.parseInt(fields.getOrDefault(field, ""));
             } catch (NumberFormatException e) {
-                throw new MalformedException(type + ": field " + field + " is no number");
+                throw new MalformedException(type + ": field " + field + " is not an integer");
             }
         }
     }
 
-    /** The command that starts an attempt; an empty idempotency key is none. */
+    /** Starts an attempt; an empty idempotency key means none. */
     public static byte[] serve(String id, String queue, String idempotencyKey, long budget, byte[] body) {
         String unique = idempotencyKey.isEmpty() ? "" : ",uniq=" + idempotencyKey;
         return command(ascii("serve"), ascii(id), utf8("queue=" + queue + ",budget=" + budget + unique), body);
     }
 
-    /** Gives a request up. */
+    /** Cancels a request. */
     public static byte[] cancel(String id) {
         return command(ascii("cancel"), ascii(id));
     }
 
-    /** Asks for a further page of a result. */
+    /** Requests a further page of a result. */
     public static byte[] read(String id, int page) {
         return command(ascii("read"), ascii(id), ascii(Integer.toString(page)));
     }
 
-    /** Says that no more pages are wanted. */
+    /** Releases a result whose further pages are not needed. */
     public static byte[] release(String id) {
         return command(ascii("release"), ascii(id));
     }
 
-    /** A probe that brings a load report. */
+    /** Probes an engine, which replies with a load report. */
     public static byte[] gauges(String tag) {
         return command(ascii("gauges"), ascii(tag));
     }
 
-    /** Reads an answer; throws {@link MalformedException} where it is none. */
+    /** Decodes a reply; throws {@link MalformedException} if it is invalid. */
     public static Reply readReply(List<byte[]> items) {
         if (items.size() < 2 || items.size() > 4) {
-            throw new MalformedException("an answer of " + items.size() + " parts");
+            throw new MalformedException("reply of " + items.size() + " items");
         }
         byte[] body = items.size() > 3 ? items.get(3) : new byte[0];
         return new Reply(Utf8.text(items.get(0)), Utf8.text(items.get(1)),
@@ -64,18 +64,18 @@
     }
 
     /**
-     * Judges a page by its shape: text in whole rows of three columns, within its bound. What arrives spoilt may
-     * still stand in a good frame, and passed on it would be an answer that no engine made.
+     * Requires a page to be UTF-8 text of complete rows with three columns, within the size limit. A valid frame can
+     * still carry a corrupt page, which must not reach a client as a result.
      */
     public static void requirePage(byte[] page) {
-        if (page.length > LONGEST_PAGE) {
-            throw new MalformedException("a page of " + page.length + " bytes");
+        if (page.length > MAX_PAGE_BYTES) {
+            throw new MalformedException("page of " + page.length + " bytes");
         }
         int tabs = 0;
         for (byte b : page) {
             if (b == '\n') {
                 if (tabs != COLUMNS - 1) {
-                    throw new MalformedException("a row of " + (tabs + 1) + " columns");
+                    throw new MalformedException("row of " + (tabs + 1) + " columns");
                 }
                 tabs = 0;
             } else if (b == '\t') {
@@ -83,32 +83,32 @@
             }
         }
         if (tabs != 0 || page.length > 0 && page[page.length - 1] != '\n') {
-            throw new MalformedException("a row that does not end");
+            throw new MalformedException("incomplete last row");
         }
         Utf8.text(page);
     }
 
-    private static Map<String, String> fields(String s) {
+    private static Map<String, String> fields(String text) {
         Map<String, String> out = new LinkedHashMap<>();
-        if (s.equals("-") || s.isEmpty()) {
+        if (text.equals("-") || text.isEmpty()) {
             return out;
         }
-        for (String pair : s.split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq <= 0) {
-                throw new MalformedException("not name=value: '" + pair + "'");
+        for (String pair : text.split(",")) {
+            int equals = pair.indexOf('=');
+            if (equals <= 0) {
+                throw new MalformedException("field is not name=value: '" + pair + "'");
             }
-            out.put(pair.substring(0, eq), pair.substring(eq + 1));
+            out.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
         return out;
     }
 
-    private static byte[] ascii(String s) {
-        return s.getBytes(StandardCharsets.US_ASCII);
+    private static byte[] ascii(String text) {
+        return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static byte[] utf8(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    private static byte[] utf8(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
     private static byte[] command(byte[]... items) {
--- a/frontend/src/main/java/quincespar/protocol/resp/RespDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/resp/RespDecoder.java
@@ -6,73 +6,73 @@
 import quincespar.protocol.Buffer;
 import quincespar.protocol.MalformedException;
 
-/** Takes bytes as they come and hands on each whole RESP array of bulk strings. */
+/** Decodes RESP arrays of bulk strings incrementally. */
 public final class RespDecoder {
-    private static final int MOST_ITEMS = 16;
-    private static final int LONGEST = 64 * 1024;
-    private static final int LINE = 32;
+    private static final int MAX_ITEMS = 16;
+    private static final int MAX_ITEM_BYTES = 64 * 1024;
+    private static final int MAX_LINE_BYTES = 32;
 
     private final Buffer buffer = new Buffer();
     private final List<byte[]> items = new ArrayList<>();
-    private int expected = -1;
-    private int length = -1;
+    private int expectedItems = -1;
+    private int itemLength = -1;
 
-    /** Feeds {@code count} bytes; throws {@link MalformedException} at the first that can't be right. */
-    public void feed(byte[] bytes, int count, Consumer<List<byte[]>> taker) {
+    /** Feeds {@code count} bytes and passes on each complete array; throws {@link MalformedException} if one is invalid. */
+    public void feed(byte[] bytes, int count, Consumer<List<byte[]>> consumer) {
         buffer.add(bytes, count);
         while (advance()) {
-            if (expected == items.size()) {
-                expected = -1;
-                List<byte[]> whole = List.copyOf(items);
+            if (expectedItems == items.size()) {
+                expectedItems = -1;
+                List<byte[]> message = List.copyOf(items);
                 items.clear();
-                taker.accept(whole);
+                consumer.accept(message);
             }
         }
     }
 
-    /** Whether a message has begun and is not yet whole. */
+    /** Whether a message has begun and is incomplete. */
     public boolean hasPartialMessage() {
-        return expected >= 0 || buffer.size() > 0;
+        return expectedItems >= 0 || buffer.size() > 0;
     }
 
     private boolean advance() {
-        if (length >= 0) {
-            if (buffer.size() < length + 2) {
+        if (itemLength >= 0) {
+            if (buffer.size() < itemLength + 2) {
                 return false;
             }
-            byte[] item = buffer.take(length);
+            byte[] item = buffer.take(itemLength);
             if (buffer.at(0) != '\r' || buffer.at(1) != '\n') {
-                throw new MalformedException("a bulk string is longer than its length says");
+                throw new MalformedException("bulk string is longer than its declared length");
             }
             buffer.skip(2);
             items.add(item);
-            length = -1;
+            itemLength = -1;
             return true;
         }
-        String line = buffer.line(LINE);
+        String line = buffer.line(MAX_LINE_BYTES);
         if (line == null) {
             return false;
         }
-        if (expected < 0) {
-            expected = number(line, '*', 1, MOST_ITEMS);
+        if (expectedItems < 0) {
+            expectedItems = number(line, '*', 1, MAX_ITEMS);
         } else {
-            length = number(line, '$', 0, LONGEST);
+            itemLength = number(line, '$', 0, MAX_ITEM_BYTES);
         }
         return true;
     }
 
-    private static int number(String line, char mark, int least, int most) {
-        if (line.isEmpty() || line.charAt(0) != mark) {
-            throw new MalformedException("'" + mark + "' expected, got '" + line + "'");
+    private static int number(String line, char prefix, int min, int max) {
+        if (line.isEmpty() || line.charAt(0) != prefix) {
+            throw new MalformedException("'" + prefix + "' expected, got '" + line + "'");
         }
         try {
             int n = Integer.parseInt(line, 1, line.length(), 10);
-            if (n >= least && n <= most) {
+            if (n >= min && n <= max) {
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw new MalformedException("not a length: '" + line + "'");
+            throw new MalformedException("invalid length: '" + line + "'");
         }
-        throw new MalformedException("a length out of bounds: '" + line + "'");
+        throw new MalformedException("length out of range: '" + line + "'");
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/thrift/FrameDecoder.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/FrameDecoder.java
@@ -4,30 +4,33 @@
 import quincespar.protocol.Buffer;
 import quincespar.protocol.MalformedException;
 
-/** Takes bytes as they come and hands on the content of each whole frame. */
+/** Splits received bytes into frames with a length prefix. */
 public final class FrameDecoder {
-    private static final int LONGEST = 64 * 1024;
+    private static final int MAX_FRAME_BYTES = 64 * 1024;
 
     private final Buffer buffer = new Buffer();
 
-    /** Whether a frame has begun and not ended. */
+    /** Whether a frame has begun and is incomplete. */
     public boolean hasPartialMessage() {
         return buffer.size() > 0;
     }
 
-    /** Feeds {@code count} bytes; throws {@link MalformedException} where a length is out of bounds. */
-    public void feed(byte[] bytes, int count, Consumer<byte[]> taker) {
+    /**
+     * Feeds {@code count} bytes and passes on the content of each complete frame. Throws {@link MalformedException} if a
+     * length is out of range.
+     */
+    public void feed(byte[] bytes, int count, Consumer<byte[]> consumer) {
         buffer.add(bytes, count);
         while (buffer.size() >= 4) {
             int length = buffer.int32(0);
-            if (length <= 0 || length > LONGEST) {
+            if (length <= 0 || length > MAX_FRAME_BYTES) {
                 throw new MalformedException("a frame of " + length + " bytes");
             }
             if (buffer.size() < 4 + length) {
                 return;
             }
             buffer.skip(4);
-            taker.accept(buffer.take(length));
+            consumer.accept(buffer.take(length));
         }
     }
 }
--- a/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
@@ -9,29 +9,29 @@
 import quincespar.protocol.MalformedException;
 import quincespar.protocol.Utf8;
 
-/** The service {@code Front} in Thrift's strict binary protocol; frames are cut by {@link FrameDecoder}. */
+/** The service {@code Front} in Thrift's strict binary protocol; {@link FrameDecoder} splits the frames. */
 public final class FrontCodec {
-    /** Types of an application exception. */
+    /** Types of application exceptions. */
     public static final int UNKNOWN_METHOD = 1, INVALID_MESSAGE = 2, INTERNAL = 6, PROTOCOL = 7;
 
     private static final int VERSION = 0x80010000, CALL = 1, REPLY = 2, EXCEPTION = 3, ONEWAY = 4;
     private static final int STOP = 0, BOOL = 2, BYTE = 3, DOUBLE = 4, I16 = 6, I32 = 8, I64 = 10, STRING = 11,
             STRUCT = 12, MAP = 13, SET = 14, LIST = 15;
-    private static final int DEEPEST = 8;
+    private static final int MAX_NESTING_DEPTH = 8;
 
     private FrontCodec() { }
 
     // ---- reading -----------------------------------------------------------------------------------------
 
-    /** Reads a frame; throws {@link MalformedException} where not even its sequence number can be read. */
+    /** Decodes a frame; throws {@link MalformedException} if not even its sequence number can be read. */
     public static Message read(byte[] frame) {
         ByteBuffer in = ByteBuffer.wrap(frame);
-        int head;
+        int header;
         String method;
         int seqid;
         try {
-            head = in.getInt();
-            if ((head & 0xffff0000) != VERSION) {
+            header = in.getInt();
+            if ((header & 0xffff0000) != VERSION) {
                 throw new MalformedException("not the strict binary protocol");
             }
             method = text(in);
@@ -39,7 +39,7 @@
         } catch (BufferUnderflowException e) {
             throw new MalformedException("a message that ends in its head");
         }
-        int type = head & 0xff;
+        int type = header & 0xff;
         if (type != CALL && type != ONEWAY) {
             return new Message.Invalid(seqid, INVALID_MESSAGE, "a message of type " + type);
         }
@@ -122,7 +122,7 @@
     }
 
     private static void skip(ByteBuffer in, int type, int depth) {
-        if (depth > DEEPEST) { // nesting would run a reader's small stack over
+        if (depth > MAX_NESTING_DEPTH) { // deep nesting would overflow the small stack of the event loop's thread
             throw new MalformedException("nested too deep");
         }
         switch (type) {
@@ -157,10 +157,10 @@
         }
     }
 
-    /** An {@code Answer} as a client gets it. */
+    /** The fields of the Thrift struct {@code Answer}, as a client decodes it. */
     public record Answer(Map<String, String> fields, boolean good) { }
 
-    /** Reads the answer to {@code health}; throws {@link MalformedException} where the frame holds none. */
+    /** Decodes the answer to {@code health}; throws {@link MalformedException} if the frame holds none. */
     public static Answer readAnswer(byte[] frame) {
         ByteBuffer in = ByteBuffer.wrap(frame);
         Map<String, String> fields = Map.of();
@@ -192,9 +192,9 @@
 
     // ---- writing -----------------------------------------------------------------------------------------
 
-    /** The frame of an {@code Answer}. */
+    /** Encodes a reply with an {@code Answer}. */
     public static byte[] answer(String method, int seqid, byte[] body, Map<String, String> fields, boolean good) {
-        Out out = new Out(REPLY, method, seqid);
+        FrameWriter out = new FrameWriter(REPLY, method, seqid);
         out.field(STRUCT, 0);
         out.field(STRING, 1);
         out.bytes(body);
@@ -205,27 +205,27 @@
         return out.frame();
     }
 
-    /** The frame of a {@code Busy}. */
+    /** Encodes a reply with the declared exception {@code Busy}. */
     public static byte[] busy(int seqid, Map<String, String> fields) {
-        return declared(seqid, 1, fields);
+        return declaredException(seqid, 1, fields);
     }
 
-    /** The frame of a {@code Failed}. */
+    /** Encodes a reply with the declared exception {@code Failed}. */
     public static byte[] failed(int seqid, Map<String, String> fields) {
-        return declared(seqid, 2, fields);
+        return declaredException(seqid, 2, fields);
     }
 
-    private static byte[] declared(int seqid, int id, Map<String, String> fields) {
-        Out out = new Out(REPLY, "call", seqid);
+    private static byte[] declaredException(int seqid, int id, Map<String, String> fields) {
+        FrameWriter out = new FrameWriter(REPLY, "call", seqid);
         out.field(STRUCT, id);
         out.fields(1, fields);
         out.write(STOP);
         return out.frame();
     }
 
-    /** The frame of an application exception. */
+    /** Encodes an application exception. */
     public static byte[] exception(int seqid, int type, String why) {
-        Out out = new Out(EXCEPTION, "call", seqid);
+        FrameWriter out = new FrameWriter(EXCEPTION, "call", seqid);
         out.field(STRING, 1);
         out.bytes(why.getBytes(StandardCharsets.UTF_8));
         out.field(I32, 2);
@@ -233,26 +233,26 @@
         return out.frame();
     }
 
-    /** The frame of a {@code call}, as a client sends it. */
+    /** Encodes a {@code call}, as a client sends it. */
     public static byte[] call(int seqid, Map<String, String> fields, byte[] body) {
-        Out out = new Out(CALL, "call", seqid);
+        FrameWriter out = new FrameWriter(CALL, "call", seqid);
         out.fields(1, fields);
         out.field(STRING, 2);
         out.bytes(body);
         return out.frame();
     }
 
-    /** The frame of a {@code health} call, for the command that asks a running front end. */
+    /** Encodes a {@code health} call, for the command that asks a running front end for its health. */
     public static byte[] healthCall(int seqid) {
-        Out out = new Out(CALL, "health", seqid);
+        FrameWriter out = new FrameWriter(CALL, "health", seqid);
         out.field(BOOL, 1);
         out.write(0);
         return out.frame();
     }
 
-    private static final class Out extends ByteArrayOutputStream {
-        Out(int type, String method, int seqid) {
-            int32(0); // the frame's length, set at the end
+    private static final class FrameWriter extends ByteArrayOutputStream {
+        FrameWriter(int type, String method, int seqid) {
+            int32(0); // frame length, set in frame()
             int32(VERSION | type);
             bytes(method.getBytes(StandardCharsets.UTF_8));
             int32(seqid);
--- a/frontend/src/main/java/quincespar/protocol/thrift/Message.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/Message.java
@@ -2,20 +2,20 @@
 
 import java.util.Map;
 
-/** A message from a client. */
+/** A decoded message from a client. */
 public sealed interface Message {
-    /** The number that its answer carries. */
+    /** The sequence number that the reply carries. */
     int seqid();
 
     /** {@code call}: a request. */
     record Call(int seqid, Map<String, String> fields, byte[] body) implements Message { }
 
-    /** {@code cancel}: the client has stopped waiting for that call. */
+    /** {@code cancel}: the client no longer waits for the call with number {@code cancelled}. */
     record Cancel(int seqid, int cancelled) implements Message { }
 
-    /** {@code health}. */
+    /** {@code health}: a health check. */
     record Health(int seqid) implements Message { }
 
-    /** Something that must be answered with an application exception of this type. */
+    /** A message that must be answered with an application exception of this type. */
     record Invalid(int seqid, int type, String why) implements Message { }
 }
--- a/frontend/src/test/java/quincespar/protocol/CodecsTest.java
+++ b/frontend/src/test/java/quincespar/protocol/CodecsTest.java
@@ -26,20 +26,20 @@
 
     private static List<List<byte[]>> resp(byte[] all, int step) {
         List<List<byte[]>> out = new ArrayList<>();
-        RespDecoder d = new RespDecoder();
+        RespDecoder decoder = new RespDecoder();
         for (int i = 0; i < all.length; i += step) {
             byte[] part = Arrays.copyOfRange(all, i, Math.min(all.length, i + step));
-            d.feed(part, part.length, out::add);
+            decoder.feed(part, part.length, out::add);
         }
         return out;
     }
 
     private static List<ResponseDecoder.Response> http(String text, int step) {
         List<ResponseDecoder.Response> out = new ArrayList<>();
-        ResponseDecoder d = new ResponseDecoder();
+        ResponseDecoder decoder = new ResponseDecoder();
         for (int i = 0; i < text.length(); i += step) {
             byte[] part = bytes(text.substring(i, Math.min(text.length(), i + step)));
-            d.feed(part, part.length, out::add);
+            decoder.feed(part, part.length, out::add);
         }
         return out;
     }
@@ -51,27 +51,27 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
-    void respComesWholeHoweverItIsSplit(int step) {
-        byte[] two = bytes("*4\r\n$2\r\nab\r\n$4\r\nDONE\r\n$22\r\ncount=1,use=x1:0.5;q:2\r\n$3\r\na\r\n\r\n"
+    void respIsDecodedHoweverItIsSplit(int step) {
+        byte[] messages = bytes("*4\r\n$2\r\nab\r\n$4\r\nDONE\r\n$22\r\ncount=1,use=x1:0.5;q:2\r\n$3\r\na\r\n\r\n"
                 + "*2\r\n$1\r\nc\r\n$5\r\nBROKE\r\n");
-        List<List<byte[]>> got = resp(two, step);
-        assertThat(got).hasSize(2);
-        EngineCodec.Reply a = EngineCodec.readReply(got.get(0));
-        assertThat(a.type()).isEqualTo("DONE");
-        assertThat(a.number("count")).isEqualTo(1);
-        assertThat(a.fields()).containsEntry("use", "x1:0.5;q:2");
-        assertThat(a.body()).isEqualTo(bytes("a\r\n"));
+        List<List<byte[]>> decoded = resp(messages, step);
+        assertThat(decoded).hasSize(2);
+        EngineCodec.Reply reply = EngineCodec.readReply(decoded.get(0));
+        assertThat(reply.type()).isEqualTo("DONE");
+        assertThat(reply.number("count")).isEqualTo(1);
+        assertThat(reply.fields()).containsEntry("use", "x1:0.5;q:2");
+        assertThat(reply.body()).isEqualTo(bytes("a\r\n"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"+OK\r\n", "*0\r\n", "*99\r\n", "*1\r\n$-1\r\n", "*1\r\n$99999999\r\n", "*x\r\n",
         "*1\r\n$1\r\nabc\r\n", "*1111111111111111111111111111111111111111"})
-    void respThatCannotBeRightIsMalformed(String wrong) {
-        assertThatThrownBy(() -> resp(bytes(wrong), 100)).isInstanceOf(MalformedException.class);
+    void invalidRespIsRejected(String invalid) {
+        assertThatThrownBy(() -> resp(bytes(invalid), 100)).isInstanceOf(MalformedException.class);
     }
 
     @Test
-    void anAnswerWithBadTextIsMalformed() {
+    void aReplyWithInvalidTextIsRejected() {
         byte[] id = bytes("id");
         assertThatThrownBy(() -> EngineCodec.readReply(List.of(id, new byte[] {(byte) 0xff})))
                 .isInstanceOf(MalformedException.class);
@@ -83,35 +83,35 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc\nd", "a\tb\t\u00ff\n"})
-    void aPageThatIsNotWholeRowsOfThreeColumnsIsMalformed(String wrong) {
+    void aPageThatIsNotCompleteRowsOfThreeColumnsIsRejected(String invalid) {
         EngineCodec.requirePage(bytes("a\tb\tc\n\t\t\n"));
-        assertThatThrownBy(() -> EngineCodec.requirePage(bytes(wrong))).isInstanceOf(MalformedException.class);
+        assertThatThrownBy(() -> EngineCodec.requirePage(bytes(invalid))).isInstanceOf(MalformedException.class);
         assertThatThrownBy(() -> EngineCodec.requirePage(bytes("a\tb\tc\n".repeat(1001))))
                 .isInstanceOf(MalformedException.class);
     }
 
     @Test
-    void thriftFramesComeWholeAndOverlongOnesAreMalformed() {
-        List<byte[]> got = new ArrayList<>();
-        FrameDecoder d = new FrameDecoder();
+    void thriftFramesAreDecodedAndOverlongOnesRejected() {
+        List<byte[]> decoded = new ArrayList<>();
+        FrameDecoder decoder = new FrameDecoder();
         for (byte b : FrontCodec.call(7, Map.of("verb", "load"), bytes("x"))) {
-            d.feed(new byte[] {b}, 1, got::add);
+            decoder.feed(new byte[] {b}, 1, decoded::add);
         }
-        assertThat(got).hasSize(1);
-        Message.Call call = (Message.Call) FrontCodec.read(got.get(0));
+        assertThat(decoded).hasSize(1);
+        Message.Call call = (Message.Call) FrontCodec.read(decoded.get(0));
         assertThat(call.seqid()).isEqualTo(7);
         assertThat(call.fields()).containsEntry("verb", "load");
         assertThat(call.body()).isEqualTo(bytes("x"));
-        assertThatThrownBy(() -> new FrameDecoder().feed(new byte[] {0x7f, 0, 0, 0}, 4, got::add))
+        assertThatThrownBy(() -> new FrameDecoder().feed(new byte[] {0x7f, 0, 0, 0}, 4, decoded::add))
                 .isInstanceOf(MalformedException.class);
     }
 
     @Test
-    void aTruncatedCallIsAnsweredByItsNumberAndOneWithoutNumberIsMalformed() {
-        byte[] whole = callFrame(bytes("SELECT 1"));
+    void aTruncatedCallIsInvalidWithItsSequenceNumberOrRejectedWithoutOne() {
+        byte[] complete = callFrame(bytes("SELECT 1"));
         int head = 4 + 4 + 4 + 4; // version, the method's length and name, sequence number
-        for (int n = 0; n < whole.length; n++) {
-            byte[] part = Arrays.copyOf(whole, n);
+        for (int n = 0; n < complete.length; n++) {
+            byte[] part = Arrays.copyOf(complete, n);
             if (n < head) {
                 assertThatThrownBy(() -> FrontCodec.read(part)).isInstanceOf(MalformedException.class);
             } else {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void fieldsThatAreNotUtf8AreAnsweredByTheCallsNumber() {
+    void fieldsThatAreNotUtf8MakeACallInvalid() {
         byte[] frame = callFrame(bytes("x"));
         int at = new String(frame, StandardCharsets.ISO_8859_1).indexOf("lookup");
         frame[at] = (byte) 0xff;
@@ -131,21 +131,21 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1000})
-    void httpResponsesComeByLengthAndInChunks(int step) {
+    void httpResponsesAreDecodedByLengthAndInChunks(int step) {
         String text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"
                 + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n"
                 + "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-        List<ResponseDecoder.Response> got = http(text, step);
-        assertThat(got).extracting(ResponseDecoder.Response::status).containsExactly(200, 200, 503);
-        assertThat(got).extracting(r -> new String(r.body(), StandardCharsets.US_ASCII))
+        List<ResponseDecoder.Response> decoded = http(text, step);
+        assertThat(decoded).extracting(ResponseDecoder.Response::status).containsExactly(200, 200, 503);
+        assertThat(decoded).extracting(r -> new String(r.body(), StandardCharsets.US_ASCII))
                 .containsExactly("abcd", "abcde", "");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"SSH-2.0\r\n", "HTTP/1.1 x\r\n", "HTTP/1.1 200 OK\r\nno header\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n"})
-    void httpThatCannotBeRightIsMalformed(String wrong) {
-        assertThatThrownBy(() -> http(wrong, 100)).isInstanceOf(MalformedException.class);
+    void invalidHttpIsRejected(String invalid) {
+        assertThatThrownBy(() -> http(invalid, 100)).isInstanceOf(MalformedException.class);
     }
 
     @ParameterizedTest
@@ -155,20 +155,20 @@
         "INSERT INTO staging.t SELECT t_9.c FROM sales_6.t t_9|6",
         "SELECT 'it''s sales_3.x', d_2.c FROM stock_12.items d_2|12",
         "SELECT 1 FROM staging.t|0", "UPDATE stock_4.items SET n = 1|4", "SELECT 'open|0", "/* open|0"})
-    void theGroupIsTheNumberOfTheSchema(String statement, int group) {
+    void theTableGroupIsTheNumberOfTheSchema(String statement, int group) {
         assertThat(StatementScanner.tableGroup(bytes(statement.replace('¶', '\n')))).isEqualTo(group);
     }
 
     @Test
-    void changesAreReadWholeOrNotAtAll() {
-        String good = "{\"seq\":41,\"results\":[{\"seq\":41,\"fleet\":{\"revision\":7,\"complete\":false,\"members\":"
+    void invalidChangeLogAnswersAreRejected() {
+        String valid = "{\"seq\":41,\"results\":[{\"seq\":41,\"fleet\":{\"revision\":7,\"complete\":false,\"members\":"
                 + "[{\"id\":\"s-1\",\"host_port\":\"10.1.0.9:8080\",\"phase\":\"up\",\"size\":4,\"up_since_ms\":0}]}}]}";
-        ChangeLogCodec.Changes c = ChangeLogCodec.read(bytes(good));
-        assertThat(c.seq()).isEqualTo(41);
-        assertThat(c.events().get(0).members().get(0).phase()).isEqualTo(FleetEvent.Phase.UP);
-        for (String wrong : List.of("", "[]", "{\"seq\":1}", good.substring(0, 60), good.replace("\"up\"", "\"odd\""),
-                good.replace("10.1.0.9:8080", "10"))) {
-            assertThatThrownBy(() -> ChangeLogCodec.read(bytes(wrong))).isInstanceOf(MalformedException.class);
+        ChangeLogCodec.Changes changes = ChangeLogCodec.read(bytes(valid));
+        assertThat(changes.seq()).isEqualTo(41);
+        assertThat(changes.events().get(0).members().get(0).phase()).isEqualTo(FleetEvent.Phase.UP);
+        for (String invalid : List.of("", "[]", "{\"seq\":1}", valid.substring(0, 60), valid.replace("\"up\"", "\"odd\""),
+                valid.replace("10.1.0.9:8080", "10"))) {
+            assertThatThrownBy(() -> ChangeLogCodec.read(bytes(invalid))).isInstanceOf(MalformedException.class);
         }
     }
 }
