--- a/frontend/src/main/java/quincespar/simulator/RecordReader.java
+++ b/frontend/src/main/java/quincespar/simulator/RecordReader.java
@@ -4,44 +4,43 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads packed little-endian fields of one record, and names record and offset where they run out. */
+/** Reads the packed little-endian fields of one record; a field past the end is reported with record and offset. */
 final class RecordReader {
     private final ByteBuffer bytes;
-    private final String what;
+    private final String record;
     private final int start;
     private final int end;
-    private int at;
+    private int position;
 
-    /** A reader over {@code bytes} from {@code at} up to {@code end}; offsets are told from {@code start}. */
-    RecordReader(byte[] bytes, int start, int at, int end, String what) {
+    /** Reads from {@code position} up to {@code end}; messages name {@code record} and offsets relative to {@code start}. */
+    RecordReader(byte[] bytes, int start, int position, int end, String record) {
         this.bytes = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
         this.start = start;
-        this.at = at;
+        this.position = position;
         this.end = end;
-        this.what = what;
+        this.record = record;
     }
 
-    private int take(int n) {
-        if (n < 0 || n > end - at) {
-            throw new SimulatorProtocolException(what + ": field of " + Integer.toUnsignedString(n) + " bytes at offset "
-                    + (at - start) + " runs past the end at offset " + (end - start));
+    private int advance(int n) {
+        if (n < 0 || n > end - position) {
+            throw new SimulatorProtocolException(record + ": field of " + Integer.toUnsignedString(n) + " bytes at offset "
+                    + (position - start) + " runs past the end at offset " + (end - start));
         }
-        int old = at;
-        at += n;
-        return old;
+        int fieldStart = position;
+        position += n;
+        return fieldStart;
     }
 
-
     int u8() {
-        return bytes.get(take(1)) & 0xff;
+        return bytes.get(advance(1)) & 0xff;
     }
 
     int u16() {
-        return bytes.getShort(take(2)) & 0xffff;
+        return bytes.getShort(advance(2)) & 0xffff;
     }
 
     int i32() {
-        return bytes.getInt(take(4));
+        return bytes.getInt(advance(4));
     }
 
     long u32() {
@@ -49,25 +48,25 @@
     }
 
     long u64() {
-        return bytes.getLong(take(8));
+        return bytes.getLong(advance(8));
     }
 
     double f32() {
-        return bytes.getFloat(take(4));
+        return bytes.getFloat(advance(4));
     }
 
     double f64() {
-        return bytes.getDouble(take(8));
+        return bytes.getDouble(advance(8));
     }
 
-    /** Four bytes of address and a port, kept as they are in one number. */
+    /** Reads an engine id: four bytes of address and two of port, as one number. */
     long engine() {
         long address = u32();
         return address | (long) u16() << 32;
     }
 
     byte[] raw(int n) {
-        int from = take(n);
+        int from = advance(n);
         byte[] out = new byte[n];
         System.arraycopy(bytes.array(), from, out, 0, n);
         return out;
--- a/frontend/src/main/java/quincespar/simulator/ReplyWriter.java
+++ b/frontend/src/main/java/quincespar/simulator/ReplyWriter.java
@@ -4,11 +4,28 @@
 import java.util.Arrays;
 import quincespar.decision.Gateway;
 
-/** Builds one reply: a length and the records of the actions, packed little-endian. */
+/** Builds a reply: a length prefix and the records of the actions, packed little-endian. */
 final class ReplyWriter {
-    private static final int HEADER = 4;
-    private byte[] bytes = new byte[1 << 12];
-    private int size = HEADER;
+    private static final int HEADER_BYTES = 4;
+    private static final int INITIAL_BYTES = 1 << 12;
+    private static final int MAX_FAULT_TEXT_BYTES = 2000;
+    /** Destination of a {@code Tell} that goes to all instances. */
+    private static final int ALL_INSTANCES = 0xffff;
+
+    private static final int SEND = 10;
+    private static final int REFUSE = 20;
+    private static final int FAIL = 30;
+    private static final int CANCEL = 40;
+    private static final int SET_TIMER = 50;
+    private static final int PROBE = 60;
+    private static final int TELL = 80;
+    private static final int FAULT = 100;
+    private static final int WATCH = 110;
+    private static final int FETCH = 120;
+    private static final int TERMS = 130;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int size = HEADER_BYTES;
 
     private void u8(int v) {
         if (size == bytes.length) {
@@ -27,14 +44,14 @@
         number(Double.doubleToLongBits(v), 8);
     }
 
-    private void open(int code, int length, int instance) {
+    private void beginRecord(int code, int length, int instance) {
         u8(code);
         number(length, 4);
         number(instance, 2);
     }
 
-    private void request(int code, int extra, int instance, long id) {
-        open(code, 10 + extra, instance);
+    private void beginRequestRecord(int code, int extra, int instance, long id) {
+        beginRecord(code, 10 + extra, instance);
         number(id, 8);
     }
 
@@ -45,59 +62,59 @@
         }
     }
 
-    /** Adds the word that an instance's module failed. */
-    void fault(int instance, String why) {
-        byte[] body = why.getBytes(StandardCharsets.UTF_8);
-        byte[] cut = body.length > 2000 ? Arrays.copyOf(body, 2000) : body;
-        open(100, 4 + cut.length, instance);
-        text(cut);
+    /** Adds a record that reports the failure of an instance's decision module. */
+    void fault(int instance, String reason) {
+        byte[] body = reason.getBytes(StandardCharsets.UTF_8);
+        byte[] truncated = body.length > MAX_FAULT_TEXT_BYTES ? Arrays.copyOf(body, MAX_FAULT_TEXT_BYTES) : body;
+        beginRecord(FAULT, 4 + truncated.length, instance);
+        text(truncated);
     }
 
-    /** Adds one action of an instance. */
+    /** Adds the record of an action of an instance. */
     void action(int instance, Gateway.Action action) {
         if (action instanceof Gateway.Send a) {
-            request(10, 14, instance, a.id());
+            beginRequestRecord(SEND, 14, instance, a.id());
             number(a.engine(), 6);
             f64(a.timeout());
         } else if (action instanceof Gateway.Refuse a) {
-            request(20, 8, instance, a.id());
+            beginRequestRecord(REFUSE, 8, instance, a.id());
             f64(a.comeBack());
         } else if (action instanceof Gateway.Fail a) {
-            request(30, 0, instance, a.id());
+            beginRequestRecord(FAIL, 0, instance, a.id());
         } else if (action instanceof Gateway.Cancel a) {
-            request(40, 2, instance, a.id());
+            beginRequestRecord(CANCEL, 2, instance, a.id());
             number(a.attempt(), 2);
         } else if (action instanceof Gateway.SetTimer a) {
-            open(50, 14, instance);
+            beginRecord(SET_TIMER, 14, instance);
             number(a.token(), 4);
             f64(a.delay());
         } else if (action instanceof Gateway.Probe a) {
-            open(60, 8, instance);
+            beginRecord(PROBE, 8, instance);
             number(a.engine(), 6);
         } else if (action instanceof Gateway.Tell a) {
-            open(80, 6 + a.text().length, instance);
-            number(a.to() < 0 ? 0xffff : a.to(), 2);
+            beginRecord(TELL, 6 + a.text().length, instance);
+            number(a.to() < 0 ? ALL_INSTANCES : a.to(), 2);
             text(a.text());
         } else if (action instanceof Gateway.Watch a) {
-            open(110, 3, instance);
+            beginRecord(WATCH, 3, instance);
             u8(a.on() ? 1 : 0);
         } else if (action instanceof Gateway.Fetch) {
-            open(120, 2, instance);
+            beginRecord(FETCH, 2, instance);
         } else if (action instanceof Gateway.Terms a) {
-            request(130, 5, instance, a.id());
+            beginRequestRecord(TERMS, 5, instance, a.id());
             u8(a.priority());
             number(Float.floatToIntBits((float) a.memory()), 4);
         }
     }
 
-    /** The finished reply; the writer is empty again afterwards. */
+    /** Returns the finished reply and resets the writer. */
     byte[] take() {
         byte[] out = Arrays.copyOf(bytes, size);
-        int length = size - HEADER;
-        for (int i = 0; i < HEADER; i++) {
+        int length = size - HEADER_BYTES;
+        for (int i = 0; i < HEADER_BYTES; i++) {
             out[i] = (byte) (length >>> 8 * i);
         }
-        size = HEADER;
+        size = HEADER_BYTES;
         return out;
     }
 }
--- a/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
@@ -13,95 +13,110 @@
 import quincespar.decision.SettingsParser;
 
 /**
- * Hosts many instances of the decision module on the simulator's wire: turns batches into events, hands each
- * instance its own, and writes back the actions. It only translates; instances share nothing but this loop.
+ * Hosts instances of the decision module under a simulator. Decodes batches of records into events, passes each instance
+ * its own events, and encodes the resulting actions. Instances share nothing but this loop.
  */
 public final class SimulatorHost {
-    private static final int HEADER = 16;
-    private static final int RECORD_HEAD = 5;
-    private static final Gateway.Outcome[] OUTCOMES = new Gateway.Outcome[15];
+    private static final int HEADER_BYTES = 16;
+    private static final int RECORD_HEADER_BYTES = 5;
+
+    private static final int PEER_MESSAGE = 10;
+    private static final int REQUEST_LEFT = 20;
+    private static final int REQUEST = 30;
+    private static final int START_INSTANCE = 40;
+    private static final int ENGINE_LIST = 50;
+    private static final int ATTEMPT_STARTED = 60;
+    private static final int ATTEMPT_NOTE = 70;
+    private static final int STOP_INSTANCE = 80;
+    private static final int TIMER = 90;
+    private static final int ATTEMPT_ENDED = 100;
+    private static final int ENGINE_PROBED = 110;
+    private static final int ENGINES_LISTED = 120;
+
+    /** Outcomes of attempts by status code. */
+    private static final Gateway.Outcome[] OUTCOMES_BY_CODE = new Gateway.Outcome[15];
 
     static {
-        OUTCOMES[0] = Gateway.Outcome.OK;
-        OUTCOMES[13] = Gateway.Outcome.ERROR;
-        OUTCOMES[8] = Gateway.Outcome.FULL;
-        OUTCOMES[4] = Gateway.Outcome.TIMEOUT;
-        OUTCOMES[14] = Gateway.Outcome.CONNECT_FAILED;
-        OUTCOMES[10] = Gateway.Outcome.RESET;
-        OUTCOMES[1] = Gateway.Outcome.CANCELLED;
-        OUTCOMES[9] = Gateway.Outcome.MOOT;
+        OUTCOMES_BY_CODE[0] = Gateway.Outcome.OK;
+        OUTCOMES_BY_CODE[13] = Gateway.Outcome.ERROR;
+        OUTCOMES_BY_CODE[8] = Gateway.Outcome.FULL;
+        OUTCOMES_BY_CODE[4] = Gateway.Outcome.TIMEOUT;
+        OUTCOMES_BY_CODE[14] = Gateway.Outcome.CONNECT_FAILED;
+        OUTCOMES_BY_CODE[10] = Gateway.Outcome.RESET;
+        OUTCOMES_BY_CODE[1] = Gateway.Outcome.CANCELLED;
+        OUTCOMES_BY_CODE[9] = Gateway.Outcome.MOOT;
     }
 
-    /** Makes the module of one instance. */
+    /** Creates the decision module of an instance. */
     public interface GatewayFactory {
         Gateway create(Gateway.Settings settings, long seed);
     }
 
     private final GatewayFactory gatewayFactory;
     private final Map<Integer, Gateway> instances = new TreeMap<>();
-    private final Map<Integer, List<Gateway.Engine>> rosters = new TreeMap<>();
-    private Map<Integer, List<Gateway.Event>> pending = new LinkedHashMap<>();
+    private final Map<Integer, List<Gateway.Engine>> engineLists = new TreeMap<>();
+    private Map<Integer, List<Gateway.Event>> pendingEvents = new LinkedHashMap<>();
 
-    /** A host of the project's own module. */
+    /** Creates a host of instances of {@link Brain}. */
     public SimulatorHost() {
         this(Brain::new);
     }
 
-    /** A host of modules that are made by someone else. */
+    /** Creates a host of instances that the factory creates. */
     public SimulatorHost(GatewayFactory gatewayFactory) {
         this.gatewayFactory = gatewayFactory;
     }
 
-    /** Answers batches until the input ends. */
+    /** Answers batches until the end of the input. */
     public void serve(InputStream in, OutputStream out) throws IOException {
-        byte[] header = new byte[HEADER];
+        byte[] header = new byte[HEADER_BYTES];
         while (true) {
-            int n = in.readNBytes(header, 0, HEADER);
+            int n = in.readNBytes(header, 0, HEADER_BYTES);
             if (n == 0) {
                 return;
             }
-            if (n < HEADER) {
-                throw new SimulatorProtocolException("batch header: ends at offset " + n + " of " + HEADER);
+            if (n < HEADER_BYTES) {
+                throw new SimulatorProtocolException("batch header: ends at offset " + n + " of " + HEADER_BYTES);
             }
-            RecordReader head = new RecordReader(header, 0, 0, HEADER, "batch header");
-            long length = head.u32();
-            long count = head.u32();
-            double now = head.f64();
-            if (length > Integer.MAX_VALUE - HEADER) {
+            RecordReader headReader = new RecordReader(header, 0, 0, HEADER_BYTES, "batch header");
+            long length = headReader.u32();
+            long count = headReader.u32();
+            double now = headReader.f64();
+            if (length > Integer.MAX_VALUE - HEADER_BYTES) {
                 throw new SimulatorProtocolException("batch header: length " + length + " at offset 0 is too large");
             }
             byte[] body = in.readNBytes((int) length);
             if (body.length < length) {
                 throw new SimulatorProtocolException("batch: input ends at offset " + body.length + " of " + length);
             }
-            out.write(batch(body, count, now));
+            out.write(processBatch(body, count, now));
             out.flush();
         }
     }
 
-    /** Decodes one batch and answers it. */
-    byte[] batch(byte[] body, long count, double now) {
-        pending = new LinkedHashMap<>();
-        int at = 0;
+    /** Decodes one batch and returns the encoded reply. */
+    byte[] processBatch(byte[] body, long count, double now) {
+        pendingEvents = new LinkedHashMap<>();
+        int offset = 0;
         for (long i = 0; i < count; i++) {
-            String what = "record " + i;
-            RecordReader head = new RecordReader(body, at, at, body.length, what);
-            int code = head.u8();
-            long size = head.u32();
-            if (size > body.length - at - RECORD_HEAD) {
-                throw new SimulatorProtocolException(what + " (code " + code + "): length " + size + " at offset 1 runs past "
-                        + "the end of the batch");
+            String recordName = "record " + i;
+            RecordReader headReader = new RecordReader(body, offset, offset, body.length, recordName);
+            int code = headReader.u8();
+            long size = headReader.u32();
+            if (size > body.length - offset - RECORD_HEADER_BYTES) {
+                throw new SimulatorProtocolException(recordName + " (code " + code + "): length " + size
+                        + " at offset 1 runs past the end of the batch");
             }
-            int end = at + RECORD_HEAD + (int) size;
-            record(code, new RecordReader(body, at, at + RECORD_HEAD, end, what + " (code " + code + ")"));
-            at = end;
+            int end = offset + RECORD_HEADER_BYTES + (int) size;
+            record(code, new RecordReader(body, offset, offset + RECORD_HEADER_BYTES, end, recordName + " (code " + code + ")"));
+            offset = end;
         }
-        if (at != body.length) {
-            throw new SimulatorProtocolException("batch: " + (body.length - at) + " bytes at offset " + at
+        if (offset != body.length) {
+            throw new SimulatorProtocolException("batch: " + (body.length - offset) + " bytes at offset " + offset
                     + " after its last record");
         }
         ReplyWriter reply = new ReplyWriter();
-        for (Map.Entry<Integer, List<Gateway.Event>> e : pending.entrySet()) {
+        for (Map.Entry<Integer, List<Gateway.Event>> e : pendingEvents.entrySet()) {
             answer(e.getKey(), e.getValue(), now, reply);
         }
         return reply.take();
@@ -125,148 +140,148 @@
         }
     }
 
-    private void record(int code, RecordReader r) {
-        if (code == 50) {
-            int id = r.u16();
-            rosters.put(id, entries(r));
+    private void record(int code, RecordReader reader) {
+        if (code == ENGINE_LIST) {
+            int id = reader.u16();
+            engineLists.put(id, engineList(reader));
             return;
         }
-        boolean known = code % 10 == 0 && code >= 10 && code <= 120;
+        boolean known = code % 10 == 0 && code >= PEER_MESSAGE && code <= ENGINES_LISTED;
         if (!known) {
             return;
         }
-        int instance = r.u16();
+        int instance = reader.u16();
         switch (code) {
-            case 40 -> provision(instance, r);
-            case 80 -> {
+            case START_INSTANCE -> startInstance(instance, reader);
+            case STOP_INSTANCE -> {
                 instances.remove(instance);
-                pending.remove(instance);
+                pendingEvents.remove(instance);
             }
-            default -> pending.computeIfAbsent(instance, k -> new ArrayList<>()).add(event(code, r));
+            default -> pendingEvents.computeIfAbsent(instance, k -> new ArrayList<>()).add(event(code, reader));
         }
     }
 
-    private void provision(int instance, RecordReader r) {
-        long seed = r.u64();
-        String text = r.text(r.i32());
+    private void startInstance(int instance, RecordReader reader) {
+        long seed = reader.u64();
+        String text = reader.text(reader.i32());
         try {
             instances.put(instance, gatewayFactory.create(SettingsParser.parse(text), seed));
         } catch (IllegalArgumentException e) {
             throw new SimulatorProtocolException("settings of instance " + instance + ": " + e.getMessage());
         }
-        pending.put(instance, new ArrayList<>());
+        pendingEvents.put(instance, new ArrayList<>());
     }
 
-    private static List<Gateway.Engine> entries(RecordReader r) {
-        long n = r.u32();
+    private static List<Gateway.Engine> engineList(RecordReader reader) {
+        long n = reader.u32();
         List<Gateway.Engine> out = new ArrayList<>();
         for (long i = 0; i < n; i++) {
-            long id = r.engine();
-            int zone = r.u8();
-            int kind = r.u8();
-            int cell = r.u16();
-            int mode = r.u8();
-            double weight = r.f32();
-            double born = r.f64();
-            Gateway.EngineState state = switch (mode) {
+            long id = reader.engine();
+            int zone = reader.u8();
+            int kind = reader.u8();
+            int cell = reader.u16();
+            int stateCode = reader.u8();
+            double weight = reader.f32();
+            double startedAt = reader.f64();
+            Gateway.EngineState state = switch (stateCode) {
                 case 2 -> Gateway.EngineState.READY;
                 case 1 -> Gateway.EngineState.GONE;
                 default -> Gateway.EngineState.DRAINING;
             };
-            out.add(new Gateway.Engine(id, zone, kind, cell, state, weight, born));
+            out.add(new Gateway.Engine(id, zone, kind, cell, state, weight, startedAt));
         }
         return out;
     }
 
-    private Gateway.Event event(int code, RecordReader r) {
+    private Gateway.Event event(int code, RecordReader reader) {
         return switch (code) {
-            case 10 -> new Gateway.Told(r.u32(), r.raw(r.u16()));
-            case 20 -> new Gateway.Left(r.u64());
-            case 30 -> request(r);
-            case 60 -> started(r);
-            case 70 -> note(r);
-            case 90 -> new Gateway.Timer(r.i32());
-            case 100 -> ended(r);
-            case 110 -> {
-                long engine = r.engine();
-                boolean ok = r.u16() == 0;
-                double latency = r.f64();
-                yield new Gateway.Probed(engine, ok, latency, load(r));
+            case PEER_MESSAGE -> new Gateway.Told(reader.u32(), reader.raw(reader.u16()));
+            case REQUEST_LEFT -> new Gateway.Left(reader.u64());
+            case REQUEST -> request(reader);
+            case ATTEMPT_STARTED -> started(reader);
+            case ATTEMPT_NOTE -> note(reader);
+            case TIMER -> new Gateway.Timer(reader.i32());
+            case ATTEMPT_ENDED -> ended(reader);
+            case ENGINE_PROBED -> {
+                long engine = reader.engine();
+                boolean ok = reader.u16() == 0;
+                double latency = reader.f64();
+                yield new Gateway.Probed(engine, ok, latency, load(reader));
             }
-            default -> listed(r);
+            default -> listed(reader);
         };
     }
 
-    private static Gateway.Event request(RecordReader r) {
-        long id = r.u64();
-        int tenant = r.i32();
-        double tables = r.f32();
-        double memory = r.f32();
-        long key = r.u64();
-        int bits = r.u16();
-        double guess = r.f64();
-        int cls = r.u8();
-        double patience = r.f64();
-        double work = (bits & 1) != 0 ? guess : Double.NaN;
-        return new Gateway.Request(id, cls, tenant, patience, work, memory, tables, key, (bits & 2) != 0,
-                (bits & 4) != 0);
+    private static Gateway.Event request(RecordReader reader) {
+        long id = reader.u64();
+        int tenant = reader.i32();
+        double tables = reader.f32();
+        double memory = reader.f32();
+        long key = reader.u64();
+        int flags = reader.u16();
+        double workEstimate = reader.f64();
+        int requestClass = reader.u8();
+        double patience = reader.f64();
+        double work = (flags & 1) != 0 ? workEstimate : Double.NaN;
+        return new Gateway.Request(id, requestClass, tenant, patience, work, memory, tables, key, (flags & 2) != 0,
+                (flags & 4) != 0);
     }
 
-    private static Gateway.Event started(RecordReader r) {
-        long id = r.u64();
-        double latency = r.f64();
-        long engine = r.engine();
-        return new Gateway.Started(id, r.u16(), engine, latency);
+    private static Gateway.Event started(RecordReader reader) {
+        long id = reader.u64();
+        double latency = reader.f64();
+        long engine = reader.engine();
+        return new Gateway.Started(id, reader.u16(), engine, latency);
     }
 
-    private static Gateway.Event note(RecordReader r) {
-        long id = r.u64();
-        int attempt = r.u16();
-        long engine = r.engine();
-        Gateway.NoteKind kind = switch (r.u8()) {
+    private static Gateway.Event note(RecordReader reader) {
+        long id = reader.u64();
+        int attempt = reader.u16();
+        long engine = reader.engine();
+        Gateway.NoteKind kind = switch (reader.u8()) {
             case 1 -> Gateway.NoteKind.PROGRESS;
             case 2 -> Gateway.NoteKind.SPILL;
             default -> Gateway.NoteKind.WAIT;
         };
-        return new Gateway.Note(id, attempt, engine, kind, r.f32());
+        return new Gateway.Note(id, attempt, engine, kind, reader.f32());
     }
 
-    private static Gateway.Event ended(RecordReader r) {
-        long id = r.u64();
-        int attempt = r.u16();
-        long engine = r.engine();
-        int code = r.u16();
-        double latency = r.f64();
-        boolean over = r.u8() != 0;
-        long stats = r.u32();
-        Gateway.Outcome known = code < OUTCOMES.length ? OUTCOMES[code] : null;
-        boolean told = known == Gateway.Outcome.OK && stats != 0;
+    private static Gateway.Event ended(RecordReader reader) {
+        long id = reader.u64();
+        int attempt = reader.u16();
+        long engine = reader.engine();
+        int code = reader.u16();
+        double latency = reader.f64();
+        boolean over = reader.u8() != 0;
+        long stats = reader.u32();
+        Gateway.Outcome known = code < OUTCOMES_BY_CODE.length ? OUTCOMES_BY_CODE[code] : null;
+        boolean hasStats = known == Gateway.Outcome.OK && stats != 0;
         return new Gateway.Ended(id, attempt, engine, known == null ? Gateway.Outcome.ERROR : known, latency, over,
-                told ? (double) (stats >>> 12) : Double.NaN, told ? 4.0 * (stats & 4095) : Double.NaN, load(r));
+                hasStats ? (double) (stats >>> 12) : Double.NaN, hasStats ? 4.0 * (stats & 4095) : Double.NaN, load(reader));
     }
 
-    private static List<Double> load(RecordReader r) {
-        int n = r.u8();
+    private static List<Double> load(RecordReader reader) {
+        int n = reader.u8();
         List<Double> out = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
-            out.add(r.f32());
+            out.add(reader.f32());
         }
         return out;
     }
 
-    private Gateway.Event listed(RecordReader r) {
-        int how = r.u8();
-        long version = r.u64();
-        int roster = r.u16();
-        Gateway.ListKind kind = switch (how) {
+    private Gateway.Event listed(RecordReader reader) {
+        int kindCode = reader.u8();
+        long version = reader.u64();
+        int listNumber = reader.u16();
+        Gateway.ListKind kind = switch (kindCode) {
             case 0 -> Gateway.ListKind.DELTA;
             case 1 -> Gateway.ListKind.FULL;
             case 2 -> Gateway.ListKind.CACHED;
             default -> Gateway.ListKind.FAILED;
         };
-        List<Gateway.Engine> engines = kind == Gateway.ListKind.FAILED ? List.of() : rosters.get(roster);
+        List<Gateway.Engine> engines = kind == Gateway.ListKind.FAILED ? List.of() : engineLists.get(listNumber);
         if (engines == null) {
-            throw new SimulatorProtocolException("TOPOLOGY names list " + roster + ", which has not come");
+            throw new SimulatorProtocolException("TOPOLOGY refers to list " + listNumber + ", which has not been sent");
         }
         return new Gateway.Listed(kind, version, engines);
     }
--- a/frontend/src/main/java/quincespar/simulator/SimulatorProtocolException.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package quincespar.simulator;
 
-/** Input that can't be understood; the message says what and where in plain words. */
+/** Malformed input from the simulator; the message names the record and the offset. */
 public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one with a message for whoever reads standard error. */
+    /** Creates an exception with a message that is printed to standard error. */
     public SimulatorProtocolException(String message) {
         super(message);
     }
--- a/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -17,15 +17,15 @@
 import quincespar.decision.Gateway;
 import org.junit.jupiter.api.Test;
 
-/** The wire: the facts of worked frames, round trips, and input that is cut or wrong. */
+/** The simulator protocol: decoded and encoded sample frames, and truncated or invalid input. */
 class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
             + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
-    private final List<Gateway.Event> seen = new ArrayList<>();
-    private List<Gateway.Action> reply = List.of();
+    private final List<Gateway.Event> receivedEvents = new ArrayList<>();
+    private List<Gateway.Action> actions = List.of();
     private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
-        seen.addAll(events);
-        return reply;
+        receivedEvents.addAll(events);
+        return actions;
     });
 
     private static byte[] hex(String s) {
@@ -57,15 +57,15 @@
             + "0000000000d4b740 78 0d000000 0300 02 2900000000000000 0000");
 
     @Test
-    void aRequestAndAListAreReadFieldByField() {
-        host.batch(join(provision(SETTINGS), LIST, REQUEST), 4, 1);
-        Gateway.Listed l = (Gateway.Listed) seen.get(0);
+    void aRequestAndAnEngineListAreDecoded() {
+        host.processBatch(join(provision(SETTINGS), LIST, REQUEST), 4, 1);
+        Gateway.Listed l = (Gateway.Listed) receivedEvents.get(0);
         assertEquals(Gateway.ListKind.CACHED, l.kind());
         assertEquals(41, l.version());
         assertEquals(1.5, l.engines().get(0).weight());
         assertEquals(6100, l.engines().get(0).startedAt());
         assertEquals(1, l.engines().get(0).zone());
-        Gateway.Request r = (Gateway.Request) seen.get(1);
+        Gateway.Request r = (Gateway.Request) receivedEvents.get(1);
         assertEquals(0x0008b4fd5d3a91c4L, r.id());
         assertEquals(12, r.work());
         assertEquals(240, r.patience());
@@ -75,10 +75,10 @@
     }
 
     @Test
-    void anOutcomeTellsWorkAndMemory() {
-        host.batch(join(provision(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
+    void anOutcomeCarriesWorkAndMemory() {
+        host.processBatch(join(provision(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
                 + "0000000000803240 01 60100100 02 0000e040 52b81e3f")), 4, 1);
-        Gateway.Ended e = (Gateway.Ended) seen.get(1);
+        Gateway.Ended e = (Gateway.Ended) receivedEvents.get(1);
         assertEquals(Gateway.Outcome.OK, e.outcome());
         assertEquals(18.5, e.latency());
         assertTrue(e.over());
@@ -88,17 +88,17 @@
     }
 
     @Test
-    void actionsAreWrittenAsTheWireHasThem() {
+    void actionsAreEncoded() {
         long engine = new RecordReader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
-        reply = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
+        actions = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
                 new Gateway.Terms(0x0008b4fd5d3a91c4L, 2, 640));
-        byte[] out = host.batch(join(provision(SETTINGS), LIST), 3, 1);
+        byte[] out = host.processBatch(join(provision(SETTINGS), LIST), 3, 1);
         assertArrayEquals(hex("44000000 0a 18000000 0300 c4913a5dfdb40800 0a124a07 1b5b 0000000000005440"
                 + "32 0e000000 0300 4d000000 0000000000407f40 82 0f000000 0300 c4913a5dfdb40800 02 00002044"), out);
     }
 
     @Test
-    void emptyBatchesAreAnsweredAndTheEndOfInputEnds() throws IOException {
+    void emptyBatchesAreAnsweredUntilTheEndOfInput() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         host.serve(new ByteArrayInputStream(new byte[32]), out);
         assertArrayEquals(new byte[8], out.toByteArray());
@@ -106,21 +106,21 @@
 
     @Test
     void unknownEventsAndExtraFieldsAreSkipped() {
-        byte[] longer = record(20, hex("0300 0100000000000000 ffff"));
-        host.batch(join(provision(SETTINGS), record(77, new byte[9]), longer), 3, 1);
-        assertEquals(List.of(new Gateway.Left(1)), seen);
+        byte[] withExtraField = record(20, hex("0300 0100000000000000 ffff"));
+        host.processBatch(join(provision(SETTINGS), record(77, new byte[9]), withExtraField), 3, 1);
+        assertEquals(List.of(new Gateway.Left(1)), receivedEvents);
     }
 
     @Test
-    void aCutRecordIsNamedWithItsOffset() {
-        byte[] cut = record(20, hex("0300 01000000"));
-        String m = assertThrows(SimulatorProtocolException.class, () -> host.batch(join(provision(SETTINGS), cut), 2, 1))
-                .getMessage();
+    void aTruncatedRecordIsReportedWithItsOffset() {
+        byte[] truncated = record(20, hex("0300 01000000"));
+        String m = assertThrows(SimulatorProtocolException.class,
+                () -> host.processBatch(join(provision(SETTINGS), truncated), 2, 1)).getMessage();
         assertTrue(m.contains("record 1") && m.contains("offset 7"), m);
     }
 
     @Test
-    void aCutBatchWritesNothing() {
+    void aTruncatedBatchWritesNothing() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] head = hex("10000000 01000000 0000000000000000 14 0a");
         assertThrows(SimulatorProtocolException.class, () -> host.serve(new ByteArrayInputStream(head), out));
@@ -128,11 +128,11 @@
     }
 
     @Test
-    void aMissingOrWrongSettingIsNamed() {
-        String m = assertThrows(SimulatorProtocolException.class, () -> host.batch(provision("balancers=2\n"), 1, 1))
+    void aMissingOrInvalidSettingIsNamed() {
+        String m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(provision("balancers=2\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("requestClasses.count"), m);
-        m = assertThrows(SimulatorProtocolException.class, () -> host.batch(provision(SETTINGS + "tick=soon\n"), 1, 1))
+        m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(provision(SETTINGS + "tick=soon\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("tick"), m);
     }
@@ -142,20 +142,20 @@
         SimulatorHost failing = new SimulatorHost((settings, seed) -> (now, events) -> {
             throw new IllegalStateException("broken");
         });
-        byte[] out = failing.batch(join(provision(SETTINGS), LIST), 3, 1);
+        byte[] out = failing.processBatch(join(provision(SETTINGS), LIST), 3, 1);
         assertEquals(100, out[4]);
         assertTrue(new String(out, StandardCharsets.UTF_8).contains("broken"));
     }
 
     @Test
-    void aKilledInstanceIsForgottenAndAListNumberIsReused() {
-        byte[] kill = record(80, hex("0300"));
-        host.batch(join(provision(SETTINGS), LIST, REQUEST, kill), 5, 1);
-        assertTrue(seen.isEmpty());
-        host.batch(join(provision(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
+    void aStoppedInstanceIsRemovedAndAListNumberIsReused() {
+        byte[] stop = record(80, hex("0300"));
+        host.processBatch(join(provision(SETTINGS), LIST, REQUEST, stop), 5, 1);
+        assertTrue(receivedEvents.isEmpty());
+        host.processBatch(join(provision(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
                 + "2a00000000000000 0000")), 5, 2);
-        assertEquals(1, ((Gateway.Listed) seen.get(0)).engines().size());
-        assertEquals(0, ((Gateway.Listed) seen.get(1)).engines().size());
+        assertEquals(1, ((Gateway.Listed) receivedEvents.get(0)).engines().size());
+        assertEquals(0, ((Gateway.Listed) receivedEvents.get(1)).engines().size());
     }
 
     @Test
