--- a/frontend/src/main/antlr4/quincespar/settings/Conf.g4
+++ b/frontend/src/main/antlr4/quincespar/settings/Conf.g4
@@ -1,6 +1,7 @@
 /**
- * The operators' file, line by line: a keyword and its values, or a keyword and a block of such lines. A '#' begins
- * a comment where a word could begin; text with blanks stands in double quotes, in which \" and \\ are escapes.
+ * Grammar of the operators' settings file. Each line is a keyword with its values, or a keyword that opens a block of such
+ * lines. A '#' starts a comment where a word could start. Text with blanks is written in double quotes, with the escapes
+ * \" and \\.
  */
 grammar Conf;
 
--- a/frontend/src/main/java/quincespar/settings/ConfException.java
+++ b/frontend/src/main/java/quincespar/settings/ConfException.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** A file that is refused whole: all that is wrong with it, each as {@code file:line:column: what}. */
+/** A settings file was rejected; lists all its errors, each as {@code file:line:column: problem}. */
 public final class ConfException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final List<String> problems;
 
-    /** With a line for each thing that is wrong. */
+    /** Creates an exception with one line per problem. */
     public ConfException(List<String> problems) {
         super(String.join("\n", problems));
         this.problems = List.copyOf(problems);
     }
 
-    /** One line each, in the order of the file. */
+    /** The problems, one line each, in the order of the file. */
     public List<String> problems() {
         return problems;
     }
--- a/frontend/src/main/java/quincespar/settings/ConfReader.java
+++ b/frontend/src/main/java/quincespar/settings/ConfReader.java
@@ -17,24 +17,24 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** Reads the text of an operators' file; one for each file. */
+/** Parses and checks an operators' settings file; use one instance per file. */
 public final class ConfReader {
-    private record Problem(int line, int column, String what) { }
+    private record Problem(int line, int column, String message) { }
 
-    /** A keyword further off than this is not what was meant. */
-    private static final int NEAR = 3;
+    /** Largest edit distance at which a known word is suggested for an unknown one. */
+    private static final int MAX_SUGGESTION_DISTANCE = 3;
 
     private final String file;
     private final List<Problem> problems = new ArrayList<>();
-    private final Map<Keyword, String> set = new EnumMap<>(Keyword.class);
-    private final Map<Keyword, Integer> setAt = new EnumMap<>(Keyword.class);
-    private final Map<String, Integer> blockAt = new HashMap<>();
+    private final Map<Keyword, String> values = new EnumMap<>(Keyword.class);
+    private final Map<Keyword, Integer> settingLines = new EnumMap<>(Keyword.class);
+    private final Map<String, Integer> blockLines = new HashMap<>();
 
     private ConfReader(String file) {
         this.file = file;
     }
 
-    /** Reads a text whole, or throws with all that is wrong with it; {@code file} is its name in what is said. */
+    /** Parses the text of a file, or throws with all its errors; {@code file} is its name in messages. */
     public static Settings read(String file, String text) throws ConfException {
         return new ConfReader(file).read(text);
     }
@@ -53,44 +53,45 @@
         ConfParser parser = new ConfParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
         parser.addErrorListener(listener);
-        parser.file().line().forEach(this::topLine);
+        parser.file().line().forEach(this::topLevelLine);
         if (!problems.isEmpty()) {
             problems.sort(Comparator.comparingInt(Problem::line).thenComparingInt(Problem::column));
             throw new ConfException(problems.stream().map(p -> file + ":" + p.line() + ":" + (p.column() + 1) + ": "
-                    + p.what()).distinct().toList());
+                    + p.message()).distinct().toList());
         }
-        return new Settings(set);
+        return new Settings(values);
     }
 
     private static String unexpected(Token t) {
         return switch (t.getType()) {
-            case Token.EOF -> "the file ends inside a block; '}' is missing";
-            case ConfParser.CLOSE -> "'}' without a block that is open";
-            case ConfParser.OPEN -> "'{' must be the last on the line of a block's keyword";
-            case ConfParser.NEWLINE -> "the line ends where a value or '{' was expected";
-            default -> "unexpected '" + t.getText() + "'; expected a keyword with its values, or '}', a line each";
+            case Token.EOF -> "unexpected end of file in a block; '}' is missing";
+            case ConfParser.CLOSE -> "'}' without an open block";
+            case ConfParser.OPEN -> "'{' must end the line that begins a block";
+            case ConfParser.NEWLINE -> "unexpected end of line; expected a value or '{'";
+            default -> "unexpected '" + t.getText() + "'; expected a keyword with its value, or '}', on a line of its own";
         };
     }
 
-    private void problem(Token at, String what) {
-        problem(at.getLine(), at.getCharPositionInLine(), what);
+    private void problem(Token at, String message) {
+        problem(at.getLine(), at.getCharPositionInLine(), message);
     }
 
-    private void problem(int line, int column, String what) {
-        problems.add(new Problem(line, column, what));
+    private void problem(int line, int column, String message) {
+        problems.add(new Problem(line, column, message));
     }
 
-    private void topLine(ConfParser.LineContext line) {
+    private void topLevelLine(ConfParser.LineContext line) {
         if (line.setting() != null && line.setting().WORD() != null) {
-            Token word = line.setting().WORD().getSymbol();
-            if (Keyword.blocks().contains(word.getText())) {
-                problem(word, "'" + word.getText() + "' is a block: '" + word.getText() + " {', its settings, '}'");
-            } else if (Arrays.stream(Keyword.values()).anyMatch(k -> k.key.equals(word.getText()))) {
-                problem(word, "'" + word.getText() + "' stands outside its block, " + Arrays.stream(Keyword.values())
-                        .filter(k -> k.key.equals(word.getText())).map(k -> "'" + k.block + "'")
+            Token token = line.setting().WORD().getSymbol();
+            if (Keyword.blocks().contains(token.getText())) {
+                problem(token, "'" + token.getText() + "' is a block; write '" + token.getText()
+                        + " {', its settings and '}' on separate lines");
+            } else if (Arrays.stream(Keyword.values()).anyMatch(k -> k.key.equals(token.getText()))) {
+                problem(token, "'" + token.getText() + "' must be inside its block, " + Arrays.stream(Keyword.values())
+                        .filter(k -> k.key.equals(token.getText())).map(k -> "'" + k.block + "'")
                         .collect(Collectors.joining(" or ")));
             } else {
-                problem(word, "unknown keyword '" + word.getText() + "' outside a block" + nearest(word.getText(),
+                problem(token, "unknown keyword '" + token.getText() + "' outside a block" + suggestion(token.getText(),
                         Keyword.blocks()));
             }
         } else if (line.block() != null && line.block().WORD() != null) {
@@ -99,42 +100,42 @@
     }
 
     private void block(ConfParser.BlockContext b) {
-        Token word = b.WORD().getSymbol();
-        if (!Keyword.blocks().contains(word.getText())) {
-            problem(word, "unknown block '" + word.getText() + "'" + nearest(word.getText(), Keyword.blocks()));
+        Token token = b.WORD().getSymbol();
+        if (!Keyword.blocks().contains(token.getText())) {
+            problem(token, "unknown block '" + token.getText() + "'" + suggestion(token.getText(), Keyword.blocks()));
             return;
         }
         if (!b.value().isEmpty()) {
-            problem(b.value(0).getStart(), "block '" + word.getText() + "' takes no values");
+            problem(b.value(0).getStart(), "block '" + token.getText() + "' takes no values");
         }
-        Integer before = blockAt.putIfAbsent(word.getText(), word.getLine());
-        if (before != null) {
-            problem(word, "block '" + word.getText() + "' stands in line " + before + " already");
+        Integer earlierLine = blockLines.putIfAbsent(token.getText(), token.getLine());
+        if (earlierLine != null) {
+            problem(token, "block '" + token.getText() + "' is already defined in line " + earlierLine);
         }
         for (ConfParser.LineContext l : b.line()) {
             if (l.block() != null && l.block().WORD() != null) {
-                problem(l.block().WORD().getSymbol(), "a block within block '" + word.getText() + "'");
+                problem(l.block().WORD().getSymbol(), "nested block in block '" + token.getText() + "'");
             } else if (l.setting() != null && l.setting().WORD() != null) {
-                setting(word.getText(), l.setting());
+                setting(token.getText(), l.setting());
             }
         }
     }
 
     private void setting(String block, ConfParser.SettingContext s) {
-        Token word = s.WORD().getSymbol();
-        Optional<Keyword> found = Keyword.in(block).stream().filter(k -> k.key.equals(word.getText())).findFirst();
+        Token token = s.WORD().getSymbol();
+        Optional<Keyword> found = Keyword.in(block).stream().filter(k -> k.key.equals(token.getText())).findFirst();
         if (found.isEmpty()) {
-            problem(word, "unknown keyword '" + word.getText() + "' in block '" + block + "'"
-                    + nearest(word.getText(), Keyword.in(block).stream().map(k -> k.key).toList()));
+            problem(token, "unknown keyword '" + token.getText() + "' in block '" + block + "'"
+                    + suggestion(token.getText(), Keyword.in(block).stream().map(k -> k.key).toList()));
             return;
         }
         Keyword k = found.get();
-        Integer before = setAt.putIfAbsent(k, word.getLine());
-        if (before != null) {
-            problem(word, "'" + k.key + "' is set in line " + before + " already");
+        Integer earlierLine = settingLines.putIfAbsent(k, token.getLine());
+        if (earlierLine != null) {
+            problem(token, "'" + k.key + "' is already set in line " + earlierLine);
         } else if (s.value().size() != 1) {
-            problem(s.value().isEmpty() ? word : s.value(1).getStart(),
-                    "'" + k.key + "' takes one value, " + k.expected() + "; " + s.value().size() + " are given");
+            problem(s.value().isEmpty() ? token : s.value(1).getStart(),
+                    "'" + k.key + "' takes one value, " + k.expected() + "; got " + s.value().size() + " values");
         } else {
             value(k, s.value(0));
         }
@@ -146,39 +147,40 @@
         if (k.type == Keyword.Type.CHOICE) {
             if (!k.choices.contains(text)) {
                 problem(v.getStart(), "'" + k.key + "' takes " + k.expected() + ", not '" + text + "'"
-                        + nearest(text, k.choices));
+                        + suggestion(text, k.choices));
             }
         } else if (k.isQuantity()) {
             double n = Quantity.read(k.type, text);
             if (Double.isNaN(n)) {
                 problem(v.getStart(), "'" + k.key + "' takes " + k.expected() + ", not '" + text + "'");
             } else if (n < k.min || n > k.max) {
-                problem(v.getStart(), "'" + k.key + "' is " + text + "; it must lie in " + k.range());
+                problem(v.getStart(), "'" + k.key + "' is " + text + "; it must be in the range " + k.range());
             }
         }
-        set.put(k, text);
+        values.put(k, text);
     }
 
-    private static String nearest(String word, Collection<String> known) {
-        return known.stream().min(Comparator.comparingInt(k -> distance(word, k)))
-                .filter(k -> distance(word, k) <= NEAR).map(k -> "; did you mean '" + k + "'?")
-                .orElse("; known are " + String.join(", ", known));
+    /** The end of a message on an unknown word: the closest known word, or all known words. */
+    private static String suggestion(String token, Collection<String> known) {
+        return known.stream().min(Comparator.comparingInt(k -> distance(token, k)))
+                .filter(k -> distance(token, k) <= MAX_SUGGESTION_DISTANCE).map(k -> "; did you mean '" + k + "'?")
+                .orElse("; expected one of " + String.join(", ", known));
     }
 
-    /** Edits from one word to the other (Levenshtein). */
+    /** Levenshtein distance between two words. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
                 int above = row[j];
-                int change = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-                row[j] = Math.min(Math.min(above, row[j - 1]) + 1, corner + change);
-                corner = above;
+                int substitution = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
+                row[j] = Math.min(Math.min(above, row[j - 1]) + 1, diagonal + substitution);
+                diagonal = above;
             }
         }
         return row[b.length()];
--- a/frontend/src/main/java/quincespar/settings/Keyword.java
+++ b/frontend/src/main/java/quincespar/settings/Keyword.java
@@ -3,155 +3,127 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** All that can be set, in the order in which it is printed: one line each, with unit, range, default and description. */
+/**
+ * The settings of the operators' file, in the order in which {@code conf --defaults} prints them, each with its block,
+ * key, type, default, range and description. The block and the key are the setting's name in the file.
+ */
 public enum Keyword {
-    /** How log lines are written. */
-    LOG_FORMAT("log", "format", Type.CHOICE, "text", "text|json", "Log lines as text, or as one JSON object each."),
-    /** The least level that is logged. */
-    LOG_LEVEL("log", "level", Type.CHOICE, "info", "error|warn|info|debug", "The least level that is logged."),
-    /** Log lines that wait for the writer. */
+    LOG_FORMAT("log", "format", Type.CHOICE, "text", "text|json",
+            "Writes log lines as text, or as one JSON object per line."),
+    LOG_LEVEL("log", "level", Type.CHOICE, "info", "error|warn|info|debug",
+            "Lowest level that is logged."),
     LOG_QUEUE_LENGTH("log", "queue", Type.COUNT, "1024", 16, 65_536,
-            "Log lines that may wait to be written; more are dropped and counted, as no log call waits."),
-    /** How often counters go to the log. */
+            "Log lines that can wait for the writer. Further lines are dropped and counted, because logging never blocks."),
     REPORT_INTERVAL("report", "every", Type.TIME, "0ms", 0, 86_400_000,
-            "How often the counters go to the log; 0 is never."),
-    /** Time for the first whole request. */
+            "Interval at which the counters are logged; 0 turns this off."),
     CLIENTS_FIRST_REQUEST_TIMEOUT("clients", "first-word", Type.TIME, "2s", 100, 3_600_000,
-            "A client that has sent no whole request by then is closed."),
-    /** Time with nothing open. */
+            "Closes a client's connection that has not sent a complete request within this time."),
     CLIENTS_IDLE_TIMEOUT("clients", "idle", Type.TIME, "2500ms", 100, 86_400_000,
-            "A client's connection with nothing open for so long is closed."),
-    /** Clients' part of the descriptors. */
+            "Closes a client's connection that has had no open request for this time."),
     CLIENTS_DESCRIPTOR_SHARE("clients", "share", Type.PERCENT, "38%", 1, 45,
-            "The clients' part of the descriptors; one more than that, and one that is idle makes room."),
-    /** Links to one engine. */
-    LINKS_PER_ENGINE("links", "per-engine", Type.COUNT, "8", 1, 1000, "Connections to one engine at the most."),
-    /** Requests that share a link. */
+            "Share of the file descriptors for clients' connections. A new connection beyond it closes an idle one."),
+    LINKS_PER_ENGINE("links", "per-engine", Type.COUNT, "8", 1, 1000,
+            "Maximum number of connections to one engine."),
     LINKS_REQUESTS_PER_LINK("links", "shared", Type.COUNT, "8", 1, 1000,
-            "Requests that share a connection while the engine may have another: a spoilt answer takes them all."),
-    /** Time for the rest of a message. */
+            "Requests on one connection before another is opened to the engine. A malformed reply fails all requests on"
+            + " its connection."),
     LINKS_PARTIAL_MESSAGE_TIMEOUT("links", "midway", Type.TIME, "500ms", 10, 60_000,
-            "An engine's message that has begun and is not whole by then ends its connection."),
-    /** How long a question may wait. */
+            "Closes a connection to an engine if a message that has begun is not complete within this time."),
     CHANGE_LOG_LONG_POLL_WAIT("change-log", "wait", Type.TIME, "1s", 100, 5000,
-            "How long the change log may hold back its answer while there is no news."),
-    /** How much later an answer may come. */
+            "How long the change log may hold a request while there are no changes (long polling)."),
     CHANGE_LOG_ANSWER_SLACK("change-log", "slack", Type.TIME, "1s", 100, 10_000,
-            "How much later than that an answer may come before the question counts as lost."),
-    /** The first pause. */
-    CHANGE_LOG_RETRY_DELAY("change-log", "pause", Type.TIME, "50ms", 10, 10_000, "The pause after a first failure; it doubles."),
-    /** The longest pause. */
-    CHANGE_LOG_MAX_RETRY_DELAY("change-log", "longest-pause", Type.TIME, "1s", 10, 60_000, "The longest such pause."),
-    /** The longest pause after a question that was not sent. */
+            "Additional time for the answer to arrive before the request counts as failed."),
+    CHANGE_LOG_RETRY_DELAY("change-log", "pause", Type.TIME, "50ms", 10, 10_000,
+            "Retry delay after the first failure; it doubles with each further failure."),
+    CHANGE_LOG_MAX_RETRY_DELAY("change-log", "longest-pause", Type.TIME, "1s", 10, 60_000,
+            "Maximum retry delay."),
     CHANGE_LOG_MAX_UNREACHED_RETRY_DELAY("change-log", "unreached-pause", Type.TIME, "250ms", 10, 60_000,
-            "The longest such pause where no connection could be had, which costs the change log nothing."),
-    /** How long a connection may take. */
+            "Maximum retry delay after failed connects, which put no load on the change log."),
     CHANGE_LOG_CONNECT_TIMEOUT("change-log", "connect", Type.TIME, "400ms", 10, 60_000,
-            "How long a connection may take to come up; it doubles with each that took longer."),
-    /** How long nothing is sent. */
+            "Timeout of a connect; it doubles after each timeout."),
     CHANGE_LOG_MAX_HOLD("change-log", "hold", Type.TIME, "5s", 10, 3_600_000,
-            "Nothing new is sent for so long at the most where this machine's own failing calls keep it from asking beyond the grace"
-            + " of servers that drain."),
-    /** When a list is stale. */
+            "Longest time for which new requests are held back when failing system calls on this machine keep it from asking"
+            + " the change log for longer than the grace period of draining engines."),
     CHANGE_LOG_STALE_AFTER("change-log", "stale-after", Type.TIME, "10s", 1000, 3_600_000,
-            "With no whole answer for so long the list is logged as stale; it stays in use."),
-    /** Where captures go. */
+            "Logs the engine list as stale after this time without a complete answer; the list stays in use."),
     CAPTURE_FOLDER("capture", "folder", Type.TEXT, "",
-            "All that the module is told and decides is written to segments in this folder; with \"\" nothing is."),
-    /** Where a segment ends. */
-    CAPTURE_SEGMENT_SIZE("capture", "segment", Type.SIZE, "16m", 65_536, 1L << 34, "A segment of so many bytes is full."),
-    /** How long a segment lasts. */
+            "Folder for capture segments, which record all inputs and decisions of the decision module. With \"\""
+            + " nothing is captured."),
+    CAPTURE_SEGMENT_SIZE("capture", "segment", Type.SIZE, "16m", 65_536, 1L << 34,
+            "Size at which a segment is closed."),
     CAPTURE_SEGMENT_DURATION("capture", "every", Type.TIME, "10m", 1000, 86_400_000,
-            "A segment ends after so long at the latest; each begins with the module's state."),
-    /** What all segments hold. */
+            "Longest duration of a segment; each begins with the state of the decision module."),
     CAPTURE_TOTAL_SIZE("capture", "total", Type.SIZE, "256m", 131_072, 1L << 40,
-            "All segments of one name hold so many bytes at the most, two segments at the least: the oldest go."),
-    /** How long segments are kept. */
+            "Total size of the segments of one instance name, at least two segments. The oldest are deleted first."),
     CAPTURE_RETENTION("capture", "keep", Type.TIME, "24h", 1000, 8_640_000_000.0,
-            "A segment goes so long after its end."),
-    /** When what was written is safe. */
+            "Deletes a segment this long after its end."),
     CAPTURE_FLUSH_INTERVAL("capture", "flush", Type.TIME, "500ms", 10, 60_000,
-            "How often what was written is handed to the system: so much is lost at the most by a kill."),
-    /** Calls that wait for the writer. */
+            "Interval at which captured data is flushed to the operating system; a kill loses at most this much."),
     CAPTURE_QUEUE_LENGTH("capture", "ring", Type.COUNT, "1024", 64, 1_000_000,
-            "Calls that may wait for the writer; more are lost and counted, as the module never waits."),
-    /** Who votes. */
+            "Calls that can wait for the capture writer. Further calls are not captured but counted, because the"
+            + " decision module never blocks."),
     FLEET_VOTERS("fleet", "voters", Type.TEXT, "",
-            "The instances that vote, as \"n1=10.0.0.1:7000,n2=...\": 1, 3 or 5 of them; all others follow. With \"\" there"
-            + " is no fleet, and nothing of it is loaded."),
-    /** The fleet's name. */
-    FLEET_GROUP("fleet", "group", Type.TEXT, "quincespar", "The fleet's name: another fleet's instances have no say here."),
-    /** Where voters are reached from here. */
+            "Voting instances as \"n1=10.0.0.1:7000,n2=...\": 1, 3 or 5 of them; all others are followers. With \"\" the"
+            + " fleet is disabled and none of its code is loaded."),
+    FLEET_GROUP("fleet", "group", Type.TEXT, "quincespar",
+            "Name of the fleet; messages of instances of another fleet are ignored."),
     FLEET_VOTER_ADDRESS_OVERRIDES("fleet", "via", Type.TEXT, "",
-            "Voters that are reached at another address from here, in the form of voters."),
-    /** How often a session is renewed. */
+            "Addresses of voters that this instance reaches at a different address, in the format of voters."),
     FLEET_RENEW_INTERVAL("fleet", "renew", Type.TIME, "500ms", 20, 60_000,
-            "How often an instance says that it lives; news reach followers so late at the most."),
-    /** When an instance is suspected. */
+            "Interval at which an instance renews its session; also the longest delay before followers see a change."),
     FLEET_SUSPECT_AFTER("fleet", "suspect", Type.TIME, "2s", 100, 600_000,
-            "An instance not heard of for so long is suspected; it still counts."),
-    /** When an instance is gone. */
+            "Suspects an instance after this time without a renewal; it still counts as a member."),
     FLEET_GONE_AFTER("fleet", "gone", Type.TIME, "6s", 200, 3_600_000,
-            "An instance not heard of for so long is gone: it counts no more, and returns as another life."),
-    /** When voters look for a leader. */
+            "Removes an instance after this time without a renewal; it can rejoin only as a new incarnation."),
     FLEET_ELECTION_TIMEOUT("fleet", "election", Type.TIME, "400ms", 50, 60_000,
-            "A voter that has heard no leader for so long, up to twice as long by chance, asks to be one."),
-    /** How long shares stay small. */
+            "Minimum election timeout: a voter that has not heard a leader for this time, or randomly up to twice as"
+            + " long, starts an election."),
     FLEET_SHARE_GROWTH_DELAY("fleet", "hold", Type.TIME, "10s", 1000, 3_600_000,
-            "Fewer front ends must have been known for so long before each takes a larger share of the engines."),
-    /** Whether registers may be written from outside. */
+            "How long a smaller number of front ends must be known before each takes a larger share of the engines."),
     FLEET_REGISTER_WRITES("fleet", "writes", Type.CHOICE, "off", "off|on",
-            "Whether registers may be written through the second address."),
-    /** Where the library is. */
+            "Whether registers can be written through the admin address."),
     FLEET_LIBRARY("fleet", "library", Type.TEXT, "",
-            "The jar that holds the agreement; with \"\" quincespar-agreement.jar beside the program's own."),
-    /** Whether a return from a loss of power is looked for. */
+            "Path of the agreement library's jar; with \"\" quincespar-agreement.jar in the folder of the program's jar."),
     RECOVERY_ENABLED("recovery", "use", Type.CHOICE, "off", "off|on",
-            "Whether a start is taken for a return from a loss of power unless others are known to have stood through it."),
-    /** Whether loads wait for the disk. */
+            "Whether a start is treated as a recovery from a loss of power unless other instances are known to have survived"
+            + " it."),
     RECOVERY_PERSIST_LOADS("recovery", "loads", Type.CHOICE, "on", "on|off",
-            "Whether what may not run twice goes out only once it is on disk that it may run."),
-    /** Time for the folder. */
+            "Whether a request that must not run twice is recorded on disk before it is sent."),
     RECOVERY_READ_TIMEOUT("recovery", "reading", Type.TIME, "2s", 100, 600_000,
-            "How long what was kept is waited for; until then nothing is sent."),
-    /** Time for a majority. */
+            "How long to wait for the state on disk to be read; no requests are sent until then."),
     RECOVERY_MAJORITY_TIMEOUT("recovery", "finding", Type.TIME, "5s", 100, 600_000,
-            "How long a majority of the fleet is waited for, before an instance returns alone."),
-    /** Time until it is clear who stood. */
+            "How long to wait for a majority of the fleet before the instance recovers alone."),
     RECOVERY_AGREEMENT_TIMEOUT("recovery", "agreeing", Type.TIME, "4s", 100, 600_000,
-            "How long others may take to show that they stood through it; else all engines count as cold."),
-    /** Time for the change log. */
+            "How long other instances have to show that they survived the loss of power; after that all engines count as"
+            + " cold."),
     RECOVERY_CHANGE_LOG_TIMEOUT("recovery", "probing", Type.TIME, "3s", 100, 600_000,
-            "How long the change log's first whole answer is waited for."),
-    /** Time between classes. */
+            "How long to wait for the first complete answer of the change log."),
     RECOVERY_CLASS_INTERVAL("recovery", "step", Type.TIME, "1s", 10, 600_000,
-            "The time between one class of requests that goes again and the next: cheap ones first, loads last."),
-    /** Over which clients come back. */
+            "Interval between the request classes that are admitted again: cheap classes first, loads last."),
     RECOVERY_RETRY_SPREAD("recovery", "spread", Type.TIME, "2s", 0, 600_000,
-            "Those who are turned away meanwhile are told to come back over so long, not all at once."),
-    /** When somebody has stood. */
+            "Spreads the retries of requests that are refused during recovery over this time."),
     RECOVERY_SURVIVED_AFTER("recovery", "stood", Type.TIME, "30s", 1000, 86_400_000,
-            "Whoever has served for so long, and still lives, has stood through the loss; at least as long as engines are cold."),
-    /** The durable folder. */
+            "An instance that has served for this time and is alive counts as a survivor; at least as long as engines"
+            + " are cold."),
     STATE_FOLDER("state", "folder", Type.TEXT, "",
-            "Where this instance keeps what must be there after a kill: a lasting disk, a folder of its own. With \"\" it"
-            + " keeps nothing, and can't vote."),
-    /** What the folder may hold. */
-    STATE_SIZE_LIMIT("state", "total", Type.SIZE, "64m", 1 << 20, 1L << 40, "A folder that holds more is told of.");
+            "Folder for the state that must survive a kill, on a durable disk and not shared with another instance. With"
+            + " \"\" nothing is kept, and the instance can't vote."),
+    STATE_SIZE_LIMIT("state", "total", Type.SIZE, "64m", 1 << 20, 1L << 40,
+            "Size of the state folder above which a warning is logged.");
 
-    /** What a value is, and how it is written. */
+    /** Type of a value, which determines how it is written. */
     public enum Type {
-        /** A whole number. */
+        /** An integer. */
         COUNT("a whole number"),
         /** Milliseconds, written with ms, s, m or h. */
-        TIME("a time as 250ms, 2s, 5m or 1h"),
+        TIME("a time such as 250ms, 2s, 5m or 1h"),
         /** A percentage. */
-        PERCENT("a percentage as 38%"),
+        PERCENT("a percentage such as 38%"),
         /** Bytes, written with k, m or g. */
-        SIZE("a size as 64k, 16m or 1g"),
+        SIZE("a size such as 64k, 16m or 1g"),
         /** Any text. */
-        TEXT("a text, in double quotes where it has blanks"),
-        /** One of some words. */
+        TEXT("a text, in double quotes if it contains blanks"),
+        /** One of a list of words. */
         CHOICE("one of");
 
         final String wording;
@@ -194,7 +166,7 @@
         this.description = description;
     }
 
-    /** Whether its value is a number within a range. */
+    /** Whether the value is a number with a range. */
     boolean isQuantity() {
         return type != Type.CHOICE && type != Type.TEXT;
     }
@@ -207,17 +179,17 @@
         return Arrays.stream(values()).filter(k -> k.block.equals(block)).toList();
     }
 
-    /** The default as it stands in a file. */
+    /** The default as it is written in a file. */
     String written() {
         return defaultText.isEmpty() ? "\"\"" : defaultText;
     }
 
-    /** What a value must look like, in words. */
+    /** Describes the form of a valid value. */
     String expected() {
         return type == Type.CHOICE ? type.wording + " " + String.join(", ", choices) : type.wording;
     }
 
-    /** The range in the setting's own unit, in words. */
+    /** Describes the range in the setting's unit. */
     String range() {
         return write(min) + " to " + write(max);
     }
--- a/frontend/src/main/java/quincespar/settings/Quantity.java
+++ b/frontend/src/main/java/quincespar/settings/Quantity.java
@@ -3,18 +3,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Numbers with units, as the operators' file has them. */
+/** Parses and formats numbers with units, as in the operators' settings file. */
 final class Quantity {
     private static final Pattern TIME = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(ms|s|m|h)");
     private static final Pattern PERCENT = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,6})?)%");
     private static final Pattern COUNT = Pattern.compile("[0-9]{1,9}");
     private static final Pattern SIZE = Pattern.compile("([0-9]{1,9})([kmg]?)");
-    private static final double KILO = 1024, MEGA = KILO * KILO, GIGA = MEGA * KILO;
-    private static final double SECOND = 1000, MINUTE = 60 * SECOND, HOUR = 60 * MINUTE;
+    private static final double KIB = 1024;
+    private static final double MIB = KIB * KIB;
+    private static final double GIB = MIB * KIB;
+    private static final double SECOND_MS = 1000;
+    private static final double MINUTE_MS = 60 * SECOND_MS;
+    private static final double HOUR_MS = 60 * MINUTE_MS;
 
     private Quantity() { }
 
-    /** The value in the type's base unit (milliseconds, bytes, per cent, one); NaN where the text is none. */
+    /** Parses a value into the type's base unit (milliseconds, bytes, per cent, one); NaN if the text is invalid. */
     static double read(Keyword.Type type, String text) {
         switch (type) {
             case TIME -> {
@@ -23,9 +27,9 @@
                     return Double.NaN;
                 }
                 double unit = switch (m.group(2)) {
-                    case "s" -> SECOND;
-                    case "m" -> MINUTE;
-                    case "h" -> HOUR;
+                    case "s" -> SECOND_MS;
+                    case "m" -> MINUTE_MS;
+                    case "h" -> HOUR_MS;
                     default -> 1;
                 };
                 return Double.parseDouble(m.group(1)) * unit;
@@ -40,38 +44,38 @@
                     return Double.NaN;
                 }
                 return Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-                    case "k" -> KILO;
-                    case "m" -> MEGA;
-                    case "g" -> GIGA;
+                    case "k" -> KIB;
+                    case "m" -> MIB;
+                    case "g" -> GIB;
                     default -> 1;
                 };
             }
             case COUNT -> {
                 return COUNT.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
             }
-            default -> throw new IllegalArgumentException("no quantity: " + type);
+            default -> throw new IllegalArgumentException("not a quantity: " + type);
         }
     }
 
-    /** Bytes in the largest unit that gives a whole number. */
+    /** Formats bytes in the largest unit that gives a whole number. */
     static String size(double bytes) {
-        if (bytes >= GIGA && bytes % GIGA == 0) {
-            return Math.round(bytes / GIGA) + "g";
+        if (bytes >= GIB && bytes % GIB == 0) {
+            return Math.round(bytes / GIB) + "g";
         }
-        if (bytes >= MEGA && bytes % MEGA == 0) {
-            return Math.round(bytes / MEGA) + "m";
+        if (bytes >= MIB && bytes % MIB == 0) {
+            return Math.round(bytes / MIB) + "m";
         }
-        return bytes >= KILO && bytes % KILO == 0 ? Math.round(bytes / KILO) + "k" : Long.toString(Math.round(bytes));
+        return bytes >= KIB && bytes % KIB == 0 ? Math.round(bytes / KIB) + "k" : Long.toString(Math.round(bytes));
     }
 
-    /** Milliseconds in the largest unit that gives a whole number. */
+    /** Formats milliseconds in the largest unit that gives a whole number. */
     static String time(double ms) {
-        if (ms >= HOUR && ms % HOUR == 0) {
-            return Math.round(ms / HOUR) + "h";
+        if (ms >= HOUR_MS && ms % HOUR_MS == 0) {
+            return Math.round(ms / HOUR_MS) + "h";
         }
-        if (ms >= MINUTE && ms % MINUTE == 0) {
-            return Math.round(ms / MINUTE) + "m";
+        if (ms >= MINUTE_MS && ms % MINUTE_MS == 0) {
+            return Math.round(ms / MINUTE_MS) + "m";
         }
-        return ms >= SECOND && ms % SECOND == 0 ? Math.round(ms / SECOND) + "s" : Math.round(ms) + "ms";
+        return ms >= SECOND_MS && ms % SECOND_MS == 0 ? Math.round(ms / SECOND_MS) + "s" : Math.round(ms) + "ms";
     }
 }
--- a/frontend/src/main/java/quincespar/settings/Settings.java
+++ b/frontend/src/main/java/quincespar/settings/Settings.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What is set, each by the file or by its default. */
+/** The values of all settings, from the file or by default. */
 public final class Settings {
     private final Map<Keyword, String> texts;
 
@@ -12,27 +12,27 @@
         this.texts.putAll(texts);
     }
 
-    /** All by default, as where there is no file. */
+    /** All settings with their defaults. */
     public static Settings defaults() {
         return new Settings(Map.of());
     }
 
-    /** A quantity in its base unit: milliseconds, bytes, per cent, one. */
+    /** The value of a quantity in its base unit: milliseconds, bytes, per cent, one. */
     public double number(Keyword k) {
         return Quantity.read(k.type, text(k));
     }
 
-    /** A count. */
+    /** The value of a count. */
     public int count(Keyword k) {
         return (int) number(k);
     }
 
-    /** A word or text, as written, without its quotes. */
+    /** The value as written in the file, without quotes. */
     public String text(Keyword k) {
         return texts.getOrDefault(k, k.defaultText);
     }
 
-    /** A file that sets everything to its default, each line with its meaning: a template, and the reference. */
+    /** The text of a file that sets everything to its default, with descriptions as comments: the reference of all settings. */
     public static String template() {
         StringBuilder out = new StringBuilder();
         for (String block : Keyword.blocks()) {
