--- a/agreement/src/main/java/quincespar/agreement/Token.java
+++ b/agreement/src/main/java/quincespar/agreement/CorrelationToken.java
@@ -9,13 +9,13 @@
  * Eight bytes before each question, which its answer brings back. The transport hands answers out in the order in which they
  * come: one that was lost on the way shifts all that follow on that connection, and each would pass for another's.
  */
-final class Token {
+final class CorrelationToken {
     private static final int LENGTH = Long.BYTES;
 
-    private Token() { }
+    private CorrelationToken() { }
 
     /** A question with a token of its own. */
-    static ByteString question(byte[] bytes) {
+    static ByteString tagRequest(byte[] bytes) {
         return with(ByteString.copyFrom(ByteBuffer.allocate(LENGTH).putLong(ThreadLocalRandom.current().nextLong()).flip()),
                 bytes);
     }
@@ -25,17 +25,17 @@
     }
 
     /** An answer to a question. */
-    static Message answer(ByteString question, byte[] bytes) {
+    static Message tagReply(ByteString question, byte[] bytes) {
         return Message.valueOf(with(question.substring(0, Math.min(LENGTH, question.size())), bytes));
     }
 
     /** What is behind the token; empty where there is none. */
-    static byte[] content(ByteString bytes) {
+    static byte[] payload(ByteString bytes) {
         return bytes.size() < LENGTH ? new byte[0] : bytes.substring(LENGTH).toByteArray();
     }
 
     /** Whether an answer is to this question. */
-    static boolean answers(ByteString question, ByteString answer) {
+    static boolean matches(ByteString question, ByteString answer) {
         return answer.size() >= LENGTH && answer.substring(0, LENGTH).equals(question.substring(0, LENGTH));
     }
 }
--- a/agreement/src/main/java/quincespar/agreement/Via.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetRpcType.java
@@ -12,8 +12,8 @@
 import org.apache.ratis.conf.Parameters;
 import org.apache.ratis.conf.RaftProperties;
 import org.apache.ratis.netty.NettyFactory;
-import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto.AppendResult;
+import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesRequestProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotReplyProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotResult;
@@ -27,18 +27,18 @@
 import org.apache.ratis.server.ServerFactory;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quincespar.fleet.Plan;
+import quincespar.fleet.FleetConfig;
 
 /**
  * The library's transport, which reaches each voter where the plan says that it is reached from here, and on a new
  * connection after each failure. The agreed list of voters
  * holds one address for each, the leader's word for it; from another network that may be another.
  */
-public final class Via implements RpcType {
+public final class FleetRpcType implements RpcType {
     private static final String PLAN = "quincespar.plan", CLOSING = "quincespar.closing";
 
     /** Called by the library, which knows it by its class's name. */
-    public Via() { }
+    public FleetRpcType() { }
 
     /**
      * What the library hands to {@link #newFactory}.
@@ -46,25 +46,25 @@
      * @param closing ends connections after failures: the library waits up to 5 s for that where an answer comes in just then, which is
      *                longer than a session lasts
      */
-    static Parameters parameters(Plan plan, Executor closing) {
+    static Parameters parameters(FleetConfig plan, Executor closing) {
         Parameters out = new Parameters();
-        out.put(PLAN, plan, Plan.class);
+        out.put(PLAN, plan, FleetConfig.class);
         out.put(CLOSING, closing, Executor.class);
         return out;
     }
 
     @Override
     public String name() {
-        return Via.class.getName();
+        return FleetRpcType.class.getName();
     }
 
     @Override
     public RpcFactory newFactory(Parameters parameters) {
-        return new Factory(parameters.get(PLAN, Plan.class), parameters.get(CLOSING, Executor.class), parameters);
+        return new Factory(parameters.get(PLAN, FleetConfig.class), parameters.get(CLOSING, Executor.class), parameters);
     }
 
-    private static RaftPeer reached(Plan plan, RaftPeer p) {
-        String at = plan.reach(p.getId().toString());
+    private static RaftPeer reached(FleetConfig plan, RaftPeer p) {
+        String at = plan.addressOf(p.getId().toString());
         return at == null ? p : RaftPeer.newBuilder(p).setAddress(at).build();
     }
 
@@ -80,7 +80,7 @@
      * behind the entry that was asked for, a follower that led until just now has entries of its own that nobody agreed on. Such a leader would
      * count that follower for what it does not have, and never give it what it lacks. Seen on the rig with library 3.2.0 and 3.2.1.
      */
-    static Object heard(Object question, Object answer) throws IOException {
+    static Object checkReply(Object question, Object answer) throws IOException {
         if (answer instanceof AppendEntriesReplyProto a && a.getResult() == AppendResult.NOT_LEADER
                 || answer instanceof InstallSnapshotReplyProto i && i.getResult() == InstallSnapshotResult.NOT_LEADER) {
             throw new IOException("the follower knows of another leader, or of a later term");
@@ -94,12 +94,12 @@
     }
 
     private static final class Factory implements ServerFactory, ClientFactory {
-        private final Logger log = LoggerFactory.getLogger(Via.class);
-        private final Plan plan;
+        private final Logger log = LoggerFactory.getLogger(FleetRpcType.class);
+        private final FleetConfig plan;
         private final Executor closing;
         private final NettyFactory netty;
 
-        Factory(Plan plan, Executor closing, Parameters parameters) {
+        Factory(FleetConfig plan, Executor closing, Parameters parameters) {
             this.plan = plan;
             this.closing = closing;
             netty = new NettyFactory(parameters);
@@ -135,7 +135,7 @@
                     return method.getReturnType() == boolean.class ? true : null;
                 }
                 try {
-                    return heard(args == null ? null : args[0], method.invoke(to, args));
+                    return checkReply(args == null ? null : args[0], method.invoke(to, args));
                 } catch (InvocationTargetException e) {
                     throw e.getCause();
                 }
--- a/agreement/src/main/java/quincespar/agreement/FleetMachine.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetStateMachine.java
@@ -31,18 +31,18 @@
 import quincespar.records.MalformedRecord;
 
 /** The fleet's state as the library calls it: one command after the other, answers, snapshots. */
-final class FleetMachine extends BaseStateMachine {
+final class FleetStateMachine extends BaseStateMachine {
     private static final String NEXT = ".next";
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final Consumer<Snapshot> applied;
     private FleetCodec codec = new FleetCodec();
-    private FleetState state = FleetState.of(Snapshot.EMPTY);
+    private FleetState state = FleetState.restore(Snapshot.EMPTY);
     private long told;
     private boolean spoilt;
     private volatile boolean logFailed;
 
-    FleetMachine(Consumer<Snapshot> applied) {
+    FleetStateMachine(Consumer<Snapshot> applied) {
         this.applied = applied;
     }
 
@@ -78,7 +78,7 @@
         if (digest != null) {
             MD5FileUtil.verifySavedMD5(file, digest);
         }
-        state = FleetState.of(codec.snapshot(Files.readAllBytes(file.toPath())));
+        state = FleetState.restore(codec.readSnapshot(Files.readAllBytes(file.toPath())));
         updateLastAppliedTermIndex(SimpleStateMachineStorage.getTermIndexFromSnapshotFile(file));
         tell();
     }
@@ -110,7 +110,7 @@
     }
 
     /** Whether its log has ended, as on a disk that refuses. */
-    boolean logFailed() {
+    boolean hasLogFailed() {
         return logFailed;
     }
 
@@ -118,7 +118,7 @@
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
         TransactionContext trx = super.startTransaction(request);
-        if (!FleetCodec.whole(Token.content(request.getMessage().getContent()))) {
+        if (!FleetCodec.isIntact(CorrelationToken.payload(request.getMessage().getContent()))) {
             trx.setException(new IOException("a command that is not what was sent"));
         }
         return trx;
@@ -132,10 +132,10 @@
     public CompletableFuture<Message> applyTransaction(TransactionContext trx) {
         LogEntryProto entry = trx.getLogEntry();
         ByteString question = entry.getStateMachineLogEntry().getLogData();
-        byte[] command = Token.content(question);
+        byte[] command = CorrelationToken.payload(question);
         byte[] answer;
         synchronized (this) {
-            spoilt |= !FleetCodec.whole(command);
+            spoilt |= !FleetCodec.isIntact(command);
             if (spoilt) {
                 return CompletableFuture.failedFuture(new IOException("an entry of the log is not what was agreed"));
             }
@@ -143,12 +143,12 @@
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
             tell();
         }
-        return CompletableFuture.completedFuture(Token.answer(question, answer));
+        return CompletableFuture.completedFuture(CorrelationToken.tagReply(question, answer));
     }
 
     private byte[] apply(byte[] command) {
         try {
-            return codec.write((Record) state.apply(codec.command(command)));
+            return codec.write((Record) state.apply(codec.readCommand(command)));
         } catch (MalformedRecord e) { // the same bytes are refused everywhere, so that states stay the same
             return codec.write(new Result.Refused(Result.Why.FULL, "no command: " + e.getMessage()));
         }
@@ -163,7 +163,7 @@
 
     @Override
     public CompletableFuture<Message> query(Message request) {
-        return CompletableFuture.completedFuture(Token.answer(request.getContent(), bytes()));
+        return CompletableFuture.completedFuture(CorrelationToken.tagReply(request.getContent(), bytes()));
     }
 
     private synchronized byte[] bytes() {
@@ -171,12 +171,12 @@
     }
 
     /** Whether its log holds what was not agreed, so that it must take no part in votes. */
-    synchronized boolean spoilt() {
+    synchronized boolean isCorrupt() {
         return spoilt;
     }
 
     /** Agreed time as far as this voter has applied it. */
-    synchronized long time() {
+    synchronized long agreedTime() {
         return state.time();
     }
 }
--- a/agreement/src/main/java/quincespar/agreement/LeaderClock.java
+++ b/agreement/src/main/java/quincespar/agreement/LeaderClock.java
@@ -14,12 +14,12 @@
     }
 
     /** This instance does not lead. */
-    void rest() {
+    void reset() {
         time = -1;
     }
 
     /** The time to tell at {@code now}, both in milliseconds, where {@code agreed} is what has been agreed so far. */
-    long tell(double now, long agreed) {
+    long advance(double now, long agreed) {
         time = Math.max(agreed, time < 0 ? agreed : time + Math.min(Math.max(0, now - toldAt), longestStepMs));
         toldAt = now;
         return Math.round(time);
--- a/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
+++ b/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
@@ -41,7 +41,7 @@
 import quincespar.fleet.Agreement;
 import quincespar.fleet.Command;
 import quincespar.fleet.FleetCodec;
-import quincespar.fleet.Plan;
+import quincespar.fleet.FleetConfig;
 import quincespar.fleet.Snapshot;
 
 /** One instance's part in the agreement: a client always, a server where it votes. */
@@ -57,7 +57,7 @@
     private static final long TRY_MS = 100, TICK_MS = 200, COMPACT_MS = 3000;
 
     private final Logger log = LoggerFactory.getLogger(RatisAgreement.class);
-    private final Plan plan;
+    private final FleetConfig plan;
     private final String self;
     private final Consumer<Snapshot> applied;
     private final RaftGroup group;
@@ -73,9 +73,9 @@
     private final FleetCodec codec = new FleetCodec();
     /** Null where this instance does not vote; read without a lock, as a start may wait for its disk. */
     private volatile RaftServer server;
-    private volatile FleetMachine machine;
+    private volatile FleetStateMachine machine;
 
-    RatisAgreement(Plan plan, String self, Consumer<Snapshot> applied) {
+    RatisAgreement(FleetConfig plan, String self, Consumer<Snapshot> applied) {
         this.plan = plan;
         this.self = self;
         this.applied = applied;
@@ -86,7 +86,7 @@
         RaftProperties p = properties();
         RaftClientConfigKeys.Rpc.setRequestTimeout(p, ms(3 * plan.electionMs()));
         client = RaftClient.newBuilder().setProperties(p).setRaftGroup(group)
-                .setParameters(Via.parameters(plan, closing))
+                .setParameters(FleetRpcType.parameters(plan, closing))
                 .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(TRIES, TimeDuration.valueOf(TRY_MS,
                         TimeUnit.MILLISECONDS))).build();
         ticks.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -102,7 +102,7 @@
 
     private static RaftProperties properties() {
         RaftProperties p = new RaftProperties();
-        RaftConfigKeys.Rpc.setType(p, new Via());
+        RaftConfigKeys.Rpc.setType(p, new FleetRpcType());
         NettyConfigKeys.Server.setUseEpoll(p, false); // no native parts are packed
         NettyConfigKeys.Client.setUseEpoll(p, false);
         return p;
@@ -118,12 +118,12 @@
     }
 
     @Override
-    public CompletionStage<byte[]> read() {
+    public CompletionStage<byte[]> readLinearizable() {
         return ask(calls, new byte[0], client.io()::sendReadOnly);
     }
 
     @Override
-    public CompletionStage<byte[]> ask(String voter) {
+    public CompletionStage<byte[]> readStale(String voter) {
         return ask(calls, new byte[0], m -> client.io().sendStaleRead(m, 0, RaftPeerId.valueOf(voter)));
     }
 
@@ -136,14 +136,14 @@
     }
 
     private CompletionStage<byte[]> ask(ExecutorService on, byte[] bytes, Question q) {
-        ByteString question = Token.question(bytes);
-        return call(on, () -> checked(question, q.ask(Message.valueOf(question)))).thenApply(answer -> Token.content(
+        ByteString question = CorrelationToken.tagRequest(bytes);
+        return call(on, () -> checked(question, q.ask(Message.valueOf(question)))).thenApply(answer -> CorrelationToken.payload(
                 ByteString.copyFrom(answer)));
     }
 
     /** An answer to another question: nothing on that connection can be told apart any more, so it is given up. */
     private RaftClientReply checked(ByteString question, RaftClientReply r) throws IOException {
-        if (r.isSuccess() && !Token.answers(question, r.getMessage().getContent())) {
+        if (r.isSuccess() && !CorrelationToken.matches(question, r.getMessage().getContent())) {
             IOException e = new IOException("an answer to another question from " + r.getServerId());
             client.getClientRpc().handleException(r.getServerId(), e, true);
             throw e;
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public synchronized void vote(Path folder) throws IOException {
+    public synchronized void startVoting(Path folder) throws IOException {
         String address = plan.voters().get(self);
         int colon = address.lastIndexOf(':');
         RaftProperties p = properties();
@@ -197,7 +197,7 @@
         RaftServerConfigKeys.ThreadPool.setServerSize(p, SERVERS);
         RaftServerConfigKeys.ThreadPool.setClientSize(p, SERVERS);
         RaftServerConfigKeys.ThreadPool.setProxySize(p, SERVERS);
-        FleetMachine m = new FleetMachine(applied);
+        FleetStateMachine m = new FleetStateMachine(applied);
         Path own = folder.resolve(group.getGroupId().getUuid().toString());
         boolean begun = Files.exists(own);
         Path lastVote = own.resolve("current").resolve("raft-meta");
@@ -205,7 +205,7 @@
             throw new IOException("its last vote was lost on a disk that refused it: it follows until it is made a voter anew");
         }
         RaftServer s = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(self)).setGroup(group).setProperties(p)
-                .setParameters(Via.parameters(plan, closing)).setStateMachine(m)
+                .setParameters(FleetRpcType.parameters(plan, closing)).setStateMachine(m)
                 .setOption(begun ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT).build();
         try {
             s.start();
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void handOver() {
+    public void transferLeadership() {
         Status s = status();
         if (s.voting() && s.leader().equals(self)) {
             call(commands, () -> client.admin().transferLeadership(null, RaftPeerId.valueOf(self), Math.round(2
@@ -247,7 +247,7 @@
     }
 
     @Override
-    public void compact() throws IOException {
+    public void compactLog() throws IOException {
         if (server != null) {
             RaftClientReply r = client.getSnapshotManagementApi(RaftPeerId.valueOf(self)).create(COMPACT_MS);
             if (!r.isSuccess()) {
@@ -259,13 +259,13 @@
     /** Null where it takes no part in votes, or can't any more: its log ends at the first write that the disk refuses. */
     private DivisionInfo info() throws IOException {
         RaftServer s = server;
-        FleetMachine m = machine;
-        if (s == null || m.spoilt()) {
+        FleetStateMachine m = machine;
+        if (s == null || m.isCorrupt()) {
             return null;
         }
         RaftServer.Division d = s.getDivision(group.getGroupId());
         boolean open = !(d.getRaftLog() instanceof RaftLogBase log) || log.isOpened();
-        return d.getInfo().isAlive() && open && !m.logFailed() ? d.getInfo() : null;
+        return d.getInfo().isAlive() && open && !m.hasLogFailed() ? d.getInfo() : null;
     }
 
     @Override
@@ -287,17 +287,17 @@
         try {
             DivisionInfo i = info();
             if (i == null || !i.isLeader() || !i.isLeaderReady()) {
-                clock.rest();
+                clock.reset();
                 return;
             }
-            long time = clock.tell(System.nanoTime() / 1e6, machine.time());
-            RaftClientReply r = client.io().send(Message.valueOf(Token.question(codec.write(new Command.Tick(time, Math.round(plan.suspectMs()),
+            long time = clock.advance(System.nanoTime() / 1e6, machine.agreedTime());
+            RaftClientReply r = client.io().send(Message.valueOf(CorrelationToken.tagRequest(codec.write(new Command.Tick(time, Math.round(plan.suspectMs()),
                     Math.round(plan.goneMs()))))));
             if (!r.isSuccess()) {
-                clock.rest();
+                clock.reset();
             }
         } catch (IOException | RuntimeException e) { // the next one tells
-            clock.rest();
+            clock.reset();
             log.debug("no tick: {}", e.toString());
         }
     }
--- a/agreement/src/test/java/quincespar/agreement/AgreementTest.java
+++ b/agreement/src/test/java/quincespar/agreement/AgreementTest.java
@@ -17,7 +17,7 @@
 import quincespar.fleet.Agreement;
 import quincespar.fleet.Command;
 import quincespar.fleet.FleetCodec;
-import quincespar.fleet.Plan;
+import quincespar.fleet.FleetConfig;
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
@@ -29,7 +29,7 @@
     @TempDir
     private Path folder;
 
-    private static Plan plan() throws Exception {
+    private static FleetConfig plan() throws Exception {
         Map<String, String> voters = new LinkedHashMap<>();
         List<ServerSocket> free = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
@@ -39,13 +39,13 @@
         for (ServerSocket s : free) {
             s.close();
         }
-        return new Plan("test", voters, Map.of(), 200, 1500, 4000, 300, 10_000);
+        return new FleetConfig("test", voters, Map.of(), 200, 1500, 4000, 300, 10_000);
     }
 
     private Result submit(Agreement a, Command c) throws Exception {
         while (true) {
             try {
-                return codec.result(a.submit(codec.write((Record) c)).toCompletableFuture().get(20, TimeUnit.SECONDS));
+                return codec.readResult(a.submit(codec.write((Record) c)).toCompletableFuture().get(20, TimeUnit.SECONDS));
             } catch (ExecutionException e) { // no leader yet; each command here is the same when sent again
                 assertThat(e.getCause()).isInstanceOf(java.io.IOException.class);
             }
@@ -54,28 +54,28 @@
 
     @Test
     void whatIsAgreedOutlivesAllWhoAgreedOnItAndTimeGoesOn() throws Exception {
-        Plan plan = plan();
+        FleetConfig plan = plan();
         long incarnation;
         List<Agreement> all = new ArrayList<>();
         for (String name : plan.voters().keySet()) {
-            all.add(new RatisLibrary().open(plan, name, s -> { }));
-            all.get(all.size() - 1).vote(folder.resolve(name));
+            all.add(new RatisProvider().open(plan, name, s -> { }));
+            all.get(all.size() - 1).startVoting(folder.resolve(name));
         }
         incarnation = ((Result.Joined) submit(all.get(0), new Command.Join("n1", "f", 0, 0, "", true, "t", 7))).incarnation();
         assertThat(submit(all.get(1), new Command.Write("n1", incarnation, 1, "r", 0, "one"))).isEqualTo(
                 new Result.Written(1));
-        assertThat(codec.snapshot(all.get(2).read().toCompletableFuture().get()).registers().get(0).value()).isEqualTo("one");
+        assertThat(codec.readSnapshot(all.get(2).readLinearizable().toCompletableFuture().get()).registers().get(0).value()).isEqualTo("one");
         all.forEach(Agreement::close);
         all.clear();
         for (String name : plan.voters().keySet()) {
-            all.add(new RatisLibrary().open(plan, name, s -> { }));
-            all.get(all.size() - 1).vote(folder.resolve(name));
+            all.add(new RatisProvider().open(plan, name, s -> { }));
+            all.get(all.size() - 1).startVoting(folder.resolve(name));
         }
         assertThat(submit(all.get(1), new Command.Write("n1", incarnation, 2, "r", 1, "two"))).isEqualTo(
                 new Result.Written(2));
         Snapshot s;
         do { // nobody renews n1: the leader's time alone makes it gone
-            s = codec.snapshot(all.get(0).read().toCompletableFuture().get());
+            s = codec.readSnapshot(all.get(0).readLinearizable().toCompletableFuture().get());
         } while (s.instances().get(0).standing() != Standing.GONE);
         assertThat(s.time()).isGreaterThan(4000);
         assertThat(all.stream().map(a -> a.status().leader()).distinct()).hasSize(1);
--- a/agreement/src/test/java/quincespar/agreement/ViaTest.java
+++ b/agreement/src/test/java/quincespar/agreement/FleetRpcTypeTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
-import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto.AppendResult;
+import org.apache.ratis.proto.RaftProtos.AppendEntriesReplyProto;
 import org.apache.ratis.proto.RaftProtos.AppendEntriesRequestProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotReplyProto;
 import org.apache.ratis.proto.RaftProtos.InstallSnapshotResult;
@@ -13,20 +13,20 @@
 import org.apache.ratis.proto.RaftProtos.TermIndexProto;
 import org.junit.jupiter.api.Test;
 
-class ViaTest {
+class FleetRpcTypeTest {
     @Test
     void aFollowersWordThatThisLeaderLeadsNoMoreNeverReachesTheThreadThatWouldWaitForTheVotersLock() throws IOException {
-        assertThatThrownBy(() -> Via.heard(null, AppendEntriesReplyProto.newBuilder().setTerm(9).setResult(AppendResult.NOT_LEADER).build()))
+        assertThatThrownBy(() -> FleetRpcType.checkReply(null, AppendEntriesReplyProto.newBuilder().setTerm(9).setResult(AppendResult.NOT_LEADER).build()))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> Via.heard(null, InstallSnapshotReplyProto.newBuilder().setResult(InstallSnapshotResult.NOT_LEADER).build()))
+        assertThatThrownBy(() -> FleetRpcType.checkReply(null, InstallSnapshotReplyProto.newBuilder().setResult(InstallSnapshotResult.NOT_LEADER).build()))
                 .isInstanceOf(IOException.class);
         Object success = AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS).build();
-        assertThat(Via.heard(null, success)).isSameAs(success);
-        assertThat(Via.heard(null, null)).isNull();
+        assertThat(FleetRpcType.checkReply(null, success)).isSameAs(success);
+        assertThat(FleetRpcType.checkReply(null, null)).isNull();
     }
 
     private static Object yes(AppendEntriesRequestProto.Builder question, long end) throws IOException {
-        return Via.heard(question.build(), AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS).setNextIndex(end).build());
+        return FleetRpcType.checkReply(question.build(), AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS).setNextIndex(end).build());
     }
 
     /** A follower that led before has entries behind that one of which nothing is known here. */
--- a/agreement/src/test/java/quincespar/agreement/LeaderClockTest.java
+++ b/agreement/src/test/java/quincespar/agreement/LeaderClockTest.java
@@ -8,11 +8,11 @@
     @Test
     void timeGoesOnFromWhatWasAgreedAndNotByWhatALeaderSleptThrough() {
         LeaderClock c = new LeaderClock(400);
-        assertThat(c.tell(1000, 70)).isEqualTo(70);
-        assertThat(c.tell(1200, 70)).isEqualTo(270);
-        assertThat(c.tell(9000, 270)).isEqualTo(670); // stopped for 7.8 s: two steps at the most
-        assertThat(c.tell(9100, 5000)).isEqualTo(5000); // another has led meanwhile
-        c.rest();
-        assertThat(c.tell(99_000, 5100)).isEqualTo(5100);
+        assertThat(c.advance(1000, 70)).isEqualTo(70);
+        assertThat(c.advance(1200, 70)).isEqualTo(270);
+        assertThat(c.advance(9000, 270)).isEqualTo(670); // stopped for 7.8 s: two steps at the most
+        assertThat(c.advance(9100, 5000)).isEqualTo(5000); // another has led meanwhile
+        c.reset();
+        assertThat(c.advance(99_000, 5100)).isEqualTo(5100);
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -20,7 +20,7 @@
     }
 
     /** Whether these are bytes as {@link #write} makes them, whole and unchanged. */
-    public static boolean whole(byte[] bytes) {
+    public static boolean isIntact(byte[] bytes) {
         return bytes.length > Integer.BYTES && ByteBuffer.wrap(bytes).getInt() == sum(Arrays.copyOfRange(bytes, Integer.BYTES,
                 bytes.length));
     }
@@ -32,24 +32,24 @@
     }
 
     private <T> T read(byte[] bytes, Class<T> type) throws MalformedRecord {
-        if (!whole(bytes)) {
+        if (!isIntact(bytes)) {
             throw new MalformedRecord("bytes that are not what was written", null);
         }
         return records.read(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length), type);
     }
 
     /** Reads a command; throws {@link MalformedRecord} at what is none. */
-    public Command command(byte[] bytes) throws MalformedRecord {
+    public Command readCommand(byte[] bytes) throws MalformedRecord {
         return read(bytes, Command.class);
     }
 
     /** Reads a result; throws {@link MalformedRecord} at what is none. */
-    public Result result(byte[] bytes) throws MalformedRecord {
+    public Result readResult(byte[] bytes) throws MalformedRecord {
         return read(bytes, Result.class);
     }
 
     /** Reads a state; throws {@link MalformedRecord} at what is none, or at one of a form that is not known here. */
-    public Snapshot snapshot(byte[] bytes) throws MalformedRecord {
+    public Snapshot readSnapshot(byte[] bytes) throws MalformedRecord {
         Snapshot s = read(bytes, Snapshot.class);
         if (s.format() != Snapshot.FORMAT) {
             throw new MalformedRecord("a fleet's state of format " + s.format() + ", and this program reads "
--- a/fleet/src/main/java/quincespar/fleet/Plan.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetConfig.java
@@ -18,14 +18,14 @@
  * @param electionMs a voter that has not heard of a leader for so long asks to be one, up to twice as long
  * @param holdMs how long fewer instances must be known before shares grow
  */
-public record Plan(String group, Map<String, String> voters, Map<String, String> via, double renewMs, double suspectMs,
+public record FleetConfig(String group, Map<String, String> voters, Map<String, String> addressOverrides, double renewMs, double suspectMs,
         double goneMs, double electionMs, double holdMs) {
 
     private static final int LEAST_PORT = 1, MOST_PORT = 65_535;
     private static final List<Integer> VOTERS = List.of(1, 3, 5);
 
     /** Names and addresses as {@code n1=10.0.0.1:7000,n2=...}; what is wrong goes to {@code problems}, a line each. */
-    public static Map<String, String> addresses(String text, String what, List<String> problems) {
+    public static Map<String, String> parseAddresses(String text, String what, List<String> problems) {
         Map<String, String> out = new LinkedHashMap<>();
         for (String part : text.isBlank() ? new String[0] : text.split(",")) {
             int at = part.indexOf('=');
@@ -64,7 +64,7 @@
                 out.add("fleet voters " + other + " and " + name + " share the address " + address);
             }
         });
-        via.keySet().stream().filter(n -> !voters.containsKey(n)).forEach(n -> out.add("fleet via names " + n
+        addressOverrides.keySet().stream().filter(n -> !voters.containsKey(n)).forEach(n -> out.add("fleet via names " + n
                 + ", which is no voter"));
         if (suspectMs < 3 * renewMs) {
             out.add("fleet suspect must be three times renew at least, so that one lost renewal moves nobody");
@@ -79,12 +79,12 @@
     }
 
     /** Where a voter is reached from here. */
-    public String reach(String voter) {
-        return via.getOrDefault(voter, voters.get(voter));
+    public String addressOf(String voter) {
+        return addressOverrides.getOrDefault(voter, voters.get(voter));
     }
 
     /** Whether it is one of those that vote. */
-    public boolean votes(String name) {
+    public boolean isVoter(String name) {
         return voters.containsKey(name);
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/FleetState.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetState.java
@@ -12,10 +12,10 @@
  */
 public final class FleetState {
     /** Instances that are remembered, those that have gone included; beyond it the longest gone are forgotten. */
-    static final int MOST_INSTANCES = 1024;
-    static final int MOST_REGISTERS = 4096;
+    static final int MAX_INSTANCES = 1024;
+    static final int MAX_REGISTERS = 4096;
     /** Characters in a name or an address, and in a register's value. */
-    static final int LONGEST_NAME = 200, LONGEST_VALUE = 65_536;
+    static final int MAX_NAME_CHARS = 200, MAX_VALUE_CHARS = 65_536;
 
     private final FleetCodec codec = new FleetCodec();
     private final Map<String, Instance> instances = new TreeMap<>();
@@ -26,7 +26,7 @@
     private long incarnations;
 
     /** As it was when that was taken. */
-    public static FleetState of(Snapshot s) {
+    public static FleetState restore(Snapshot s) {
         FleetState out = new FleetState();
         out.version = s.version();
         out.time = s.time();
@@ -88,7 +88,7 @@
             long silent = time - i.renewedAt();
             if (i.standing() != Standing.GONE && silent > x.goneMs()) {
                 put(i.standing(Standing.GONE, time));
-            } else if (i.standing().mayAct() && i.standing() != Standing.SUSPECTED && silent > x.suspectMs()) {
+            } else if (i.standing().isActive() && i.standing() != Standing.SUSPECTED && silent > x.suspectMs()) {
                 put(i.standing(Standing.SUSPECTED, time));
             }
         }
@@ -109,29 +109,29 @@
      * knows less than the fleet does is a copy, or was restored from before: what it has promised since it has forgotten.
      */
     private Result join(Command.Join x) {
-        if (x.name().isEmpty() || Math.max(x.name().length(), x.address().length()) > LONGEST_NAME) {
-            return new Result.Refused(Result.Why.FULL, "a name of 1 to " + LONGEST_NAME + " characters is needed");
+        if (x.name().isEmpty() || Math.max(x.name().length(), x.address().length()) > MAX_NAME_CHARS) {
+            return new Result.Refused(Result.Why.FULL, "a name of 1 to " + MAX_NAME_CHARS + " characters is needed");
         }
         Instance before = instances.get(x.name());
         Snapshot.Known known = names.getOrDefault(x.name(), Snapshot.Known.nothing(x.name()));
         boolean holder = before != null && !before.folder().isEmpty() && before.folder().equals(x.folder());
         boolean same = before != null && known.nonce() == x.nonce();
-        String against = x.voter() ? known.against(x.folder(), x.last(), x.mark(), x.nonce())
+        String against = x.voter() ? known.votingRejection(x.folder(), x.last(), x.mark(), x.nonce())
                 : holder && !same && x.last() < before.incarnation() ? "the folder of " + x.name() + " ends with incarnation "
                 + x.last() + ", and the fleet knows " + before.incarnation() + " of it" : "";
         if (!against.isEmpty()) {
             return new Result.Refused(Result.Why.FOLDER_OLD, against);
         }
-        if (same && before.standing().mayAct()) { // sent again, or by who was killed before it could keep the answer
+        if (same && before.standing().isActive()) { // sent again, or by who was killed before it could keep the answer
             return new Result.Joined(before.incarnation());
         }
-        if (before != null && before.standing().mayAct() && !(holder && before.address().equals(x.address()))) {
+        if (before != null && before.standing().isActive() && !(holder && before.address().equals(x.address()))) {
             return new Result.Refused(Result.Why.NAME_TAKEN, "the name " + x.name() + " is taken by incarnation "
                     + before.incarnation() + (before.address().isEmpty() ? "" : " at " + before.address())
                     + ", whose session is not over");
         }
-        if (before == null && instances.size() >= MOST_INSTANCES && !forgetOne()) {
-            return new Result.Refused(Result.Why.FULL, MOST_INSTANCES + " instances are known and none has gone");
+        if (before == null && instances.size() >= MAX_INSTANCES && !forgetOne()) {
+            return new Result.Refused(Result.Why.FULL, MAX_INSTANCES + " instances are known and none has gone");
         }
         incarnations++;
         names.put(x.name(), x.voter() ? new Snapshot.Known(x.name(), x.nonce(), x.folder(), incarnations, x.mark())
@@ -210,10 +210,10 @@
         if (x.ifVersion() >= 0 && x.ifVersion() != is) {
             return new Result.Conflict(is, before == null ? "" : before.value());
         }
-        if (before == null && registers.size() >= MOST_REGISTERS || x.register().length() > LONGEST_NAME
-                || x.value().length() > LONGEST_VALUE) {
-            return new Result.Refused(Result.Why.FULL, "registers are " + MOST_REGISTERS + " at the most, with values of "
-                    + LONGEST_VALUE + " characters");
+        if (before == null && registers.size() >= MAX_REGISTERS || x.register().length() > MAX_NAME_CHARS
+                || x.value().length() > MAX_VALUE_CHARS) {
+            return new Result.Refused(Result.Why.FULL, "registers are " + MAX_REGISTERS + " at the most, with values of "
+                    + MAX_VALUE_CHARS + " characters");
         }
         registers.put(x.register(), new Register(x.register(), is + 1, x.value(), x.name(), x.incarnation()));
         version++;
--- a/fleet/src/main/java/quincespar/fleet/FleetView.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetView.java
@@ -12,19 +12,19 @@
  * @param heardAt when a majority last answered, in milliseconds of this instance's clock; negative before the first time
  * @param inTouch whether that was lately
  */
-public record FleetView(Participation.Phase phase, String line, long incarnation, Snapshot state, double heardAt,
-        boolean inTouch) {
+public record FleetView(Participation.Phase phase, String statusLine, long incarnation, Snapshot state, double lastContactAt,
+        boolean quorumReachable) {
 
     /** Where there is no fleet, or nothing has been heard of it. */
     public static final FleetView NONE = new FleetView(Participation.Phase.OFF, "", 0, Snapshot.EMPTY, -1, false);
 
     /** Instances that may still send work to engines. */
-    public List<Instance> acting() {
-        return state.instances().stream().filter(i -> i.standing().mayAct()).toList();
+    public List<Instance> activeInstances() {
+        return state.instances().stream().filter(i -> i.standing().isActive()).toList();
     }
 
     /** Milliseconds since a majority last answered, by the same clock; infinite before the first time. */
-    public double age(double now) {
-        return heardAt < 0 ? Double.POSITIVE_INFINITY : Math.max(0, now - heardAt);
+    public double millisSinceContact(double now) {
+        return lastContactAt < 0 ? Double.POSITIVE_INFINITY : Math.max(0, now - lastContactAt);
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/Participation.java
+++ b/fleet/src/main/java/quincespar/fleet/Participation.java
@@ -32,54 +32,54 @@
     }
 
     /** What is known of the folder. */
-    public sealed interface Folder {
+    public sealed interface FolderResult {
         /**
          * It is open and locked: its identity, the last incarnation that it knows, 0 for none, and the nonce of a join
          * that may have been granted since, 0 for none; the last mark; {@code votes} where it was begun as a voter's.
          */
-        record Open(String identity, long last, long nonce, long mark, boolean votes) implements Folder { }
+        record Open(String identity, long lastIncarnation, long pendingNonce, long mark, boolean initializedForVoting) implements FolderResult { }
 
         /** Another process holds it. */
-        record Held(String line) implements Folder { }
+        record Locked(String message) implements FolderResult { }
 
         /** It can't be used; the instance goes on without, and votes in nothing. */
-        record Failed(String line) implements Folder { }
+        record Failed(String message) implements FolderResult { }
     }
 
     /** What is to be done. */
-    public sealed interface Act {
+    public sealed interface Action {
         /** Try to open and lock the folder. */
-        record OpenFolder() implements Act { }
+        record OpenFolder() implements Action { }
 
-        /** Ask the other voters whether what they know speaks against this folder: {@link Snapshot#against}. */
-        record AskOthers(String folder, long last, long mark, long nonce) implements Act { }
+        /** Ask the other voters whether what they know speaks against this folder: {@link Snapshot#votingRejection}. */
+        record QueryVoters(String folder, long lastIncarnation, long mark, long nonce) implements Action { }
 
         /** Take part in votes. */
-        record Vote() implements Act { }
+        record StartVoting() implements Action { }
 
         /** Take part in votes no more. */
-        record StopVoting() implements Act { }
+        record StopVoting() implements Action { }
 
-        /** Call {@link Participation#diskAgain} after a while. */
-        record DiskLater(double ms) implements Act { }
+        /** Call {@link Participation#diskRetryDue} after a while. */
+        record RetryDisk(double delayMs) implements Action { }
 
         /** Have a command agreed; its result, or that there is none, is told with this number. */
-        record Submit(long number, Command command) implements Act { }
+        record Submit(long requestId, Command command) implements Action { }
 
-        /** Keep these in the folder, for certain; {@link Participation#kept} is told. */
-        record Keep(long incarnation, long nonce) implements Act { }
+        /** Keep these in the folder, for certain; {@link Participation#persisted} is told. */
+        record Persist(long incarnation, long nonce) implements Action { }
 
-        /** Mark the folder, for certain; {@link Participation#marked} is told. */
-        record Mark(long mark) implements Act { }
+        /** Mark the folder, for certain; {@link Participation#markPersisted} is told. */
+        record PersistMark(long mark) implements Action { }
 
-        /** Call {@link Participation#due} with this number after a while. */
-        record Await(long number, double ms) implements Act { }
+        /** Call {@link Participation#timerFired} with this number after a while. */
+        record StartTimer(long timerId, double delayMs) implements Action { }
 
         /** Tell operators. */
-        record Say(String line) implements Act { }
+        record Log(String message) implements Action { }
 
         /** What is known has changed. */
-        record Publish(FleetView view) implements Act { }
+        record Publish(FleetView view) implements Action { }
     }
 
     /** Pauses between tries. */
@@ -87,7 +87,7 @@
     /** A voter's folder is marked so often: one restored from within a life is told apart where it is older than that. */
     private static final double MARK_MS = 1000;
 
-    private final Plan plan;
+    private final FleetConfig plan;
     private final String name;
     private final String address;
     private final String build;
@@ -115,7 +115,7 @@
     private long watched;
     private long submitted;
     private FleetView published = FleetView.NONE;
-    private List<Act> acts = new ArrayList<>();
+    private List<Action> acts = new ArrayList<>();
 
     /**
      * For one process.
@@ -123,46 +123,46 @@
      * @param address where operators reach it, empty for nowhere
      * @param nonce drawn for this process
      */
-    public Participation(Plan plan, String name, String address, String build, long nonce) {
+    public Participation(FleetConfig plan, String name, String address, String build, long nonce) {
         this.plan = plan;
         this.name = name;
         this.address = address;
         this.build = build;
         this.nonce = nonce;
-        mayVote = plan.votes(name);
+        mayVote = plan.isVoter(name);
     }
 
     /** The first step. */
-    public List<Act> start(double now) {
+    public List<Action> start(double now) {
         phase = Phase.WAITING;
-        acts.add(new Act.OpenFolder());
+        acts.add(new Action.OpenFolder());
         return done(now);
     }
 
     /** What came of opening the folder. */
-    public List<Act> folder(double now, Folder f) {
+    public List<Action> folderOpened(double now, FolderResult f) {
         if (phase != Phase.WAITING) {
             return done(now);
         }
-        if (f instanceof Folder.Held h) {
-            say("waits for its folder: " + h.line());
+        if (f instanceof FolderResult.Locked h) {
+            say("waits for its folder: " + h.message());
             await(RETRY_MS);
-        } else if (f instanceof Folder.Failed x) {
-            say("has no folder and votes in nothing: " + x.line());
+        } else if (f instanceof FolderResult.Failed x) {
+            say("has no folder and votes in nothing: " + x.message());
             join();
-        } else if (f instanceof Folder.Open o) {
+        } else if (f instanceof FolderResult.Open o) {
             folder = o.identity();
-            last = o.last();
+            last = o.lastIncarnation();
             mark = o.mark();
-            nonce = o.nonce() == 0 ? nonce : o.nonce(); // killed before the answer was kept, it asks for the same life
-            if (mayVote && o.votes()) {
+            nonce = o.pendingNonce() == 0 ? nonce : o.pendingNonce(); // killed before the answer was kept, it asks for the same life
+            if (mayVote && o.initializedForVoting()) {
                 phase = Phase.ASKING;
-                acts.add(new Act.AskOthers(folder, last, mark, nonce));
+                acts.add(new Action.QueryVoters(folder, last, mark, nonce));
                 await(ASK_MS);
             } else {
                 if (mayVote) {
                     mayVote = false;
-                    acts.add(new Act.Say("does not vote: its folder was not begun by 'quincespar fleet init', so what the one"
+                    acts.add(new Action.Log("does not vote: its folder was not begun by 'quincespar fleet init', so what the one"
                             + " before it has promised may be lost"));
                 }
                 join();
@@ -176,7 +176,7 @@
      * this one: it joins first, and votes once what is agreed does not speak against its folder. Where nobody is there, its
      * vote may be needed for that.
      */
-    public List<Act> others(double now, String against, boolean answered) {
+    public List<Action> votersAnswered(double now, String against, boolean answered) {
         boolean late = phase == Phase.JOINING && incarnation == 0 && !folder.isEmpty();
         if (!against.isEmpty() && (phase == Phase.ASKING || late)) {
             oldFolder(against);
@@ -197,7 +197,7 @@
     private void vote() {
         if (mayVote && !voting) {
             voting = true;
-            acts.add(new Act.Vote());
+            acts.add(new Action.StartVoting());
         }
     }
 
@@ -207,7 +207,7 @@
         if (folder.isEmpty()) {
             ask();
         } else {
-            acts.add(new Act.Keep(last, nonce));
+            acts.add(new Action.Persist(last, nonce));
         }
     }
 
@@ -216,7 +216,7 @@
     }
 
     /** What came of keeping: {@code why} is null where it is certain. */
-    public List<Act> kept(double now, String why) {
+    public List<Action> persisted(double now, String why) {
         if (!aside.isEmpty()) {
             return triedAgain(now, why);
         }
@@ -224,7 +224,7 @@
             say("goes on without its folder and votes in nothing for now: " + why);
             aside = folder;
             withoutFolder();
-            acts.add(new Act.DiskLater(DISK_LATER_MS));
+            acts.add(new Action.RetryDisk(DISK_LATER_MS));
         }
         if (phase == Phase.JOINING && incarnation == 0) {
             ask();
@@ -236,9 +236,9 @@
     }
 
     /** The folder was locked all the time, so nothing that it promised is forgotten: a life with it follows the one without. */
-    private List<Act> triedAgain(double now, String why) {
+    private List<Action> triedAgain(double now, String why) {
         if (why != null) {
-            acts.add(new Act.DiskLater(DISK_LATER_MS));
+            acts.add(new Action.RetryDisk(DISK_LATER_MS));
         } else if (phase == Phase.IN_TOUCH) {
             say("can write to its folder again");
             folder = aside;
@@ -246,7 +246,7 @@
             changing = true;
             submit(new Command.Leave(name, incarnation));
         } else { // not now: the life without it has to be ended first
-            acts.add(new Act.DiskLater(DISK_LATER_MS));
+            acts.add(new Action.RetryDisk(DISK_LATER_MS));
         }
         return done(now);
     }
@@ -259,7 +259,7 @@
     }
 
     /** What came of a mark: {@code why} is null where it is certain. The fleet hears of it with the next renewal, not before. */
-    public List<Act> marked(double now, long of, String why) {
+    public List<Action> markPersisted(double now, long of, String why) {
         if (of == marking) {
             marking = 0;
             mark = why == null ? of : mark;
@@ -275,21 +275,21 @@
     private void mark(double now) {
         markedAt = now;
         marking = mark + 1;
-        acts.add(new Act.Mark(marking));
+        acts.add(new Action.PersistMark(marking));
     }
 
     /** The library could not begin to take part in votes, or has ended that by itself, as on a disk that refuses. */
-    public List<Act> voteFailed(double now, String why) {
+    public List<Action> votingFailed(double now, String why) {
         return voting ? diskFailed(now, why) : done(now);
     }
 
-    private List<Act> diskFailed(double now, String why) {
+    private List<Action> diskFailed(double now, String why) {
         say("votes in nothing for now: " + why);
         if (voting) {
             voting = false;
-            acts.add(new Act.StopVoting());
+            acts.add(new Action.StopVoting());
         }
-        acts.add(new Act.DiskLater(DISK_LATER_MS));
+        acts.add(new Action.RetryDisk(DISK_LATER_MS));
         return done(now);
     }
 
@@ -297,9 +297,9 @@
      * It may be possible again: the folder is this process's own all the time, so nothing that it promised is forgotten. Votes
      * begin once the disk has taken something.
      */
-    public List<Act> diskAgain(double now) {
+    public List<Action> diskRetryDue(double now) {
         if (!aside.isEmpty()) {
-            acts.add(new Act.Keep(last, nonce));
+            acts.add(new Action.Persist(last, nonce));
         } else if (!folder.isEmpty() && mayVote && !voting && marking == 0) {
             mark(now);
         }
@@ -307,7 +307,7 @@
     }
 
     /** Whether it takes part in votes, as far as it has asked for that. */
-    public boolean voting() {
+    public boolean isVoting() {
         return voting;
     }
 
@@ -320,22 +320,22 @@
         folder = "";
         if (voting) {
             voting = false;
-            acts.add(new Act.StopVoting());
+            acts.add(new Action.StopVoting());
         }
     }
 
     private void submit(Command c) {
         submitted = ++number;
-        acts.add(new Act.Submit(submitted, c));
+        acts.add(new Action.Submit(submitted, c));
     }
 
     private void await(double ms) {
         awaited = ++number;
-        acts.add(new Act.Await(awaited, ms));
+        acts.add(new Action.StartTimer(awaited, ms));
     }
 
     /** This instance stands so from now on, as it says itself. */
-    public List<Act> stands(double now, Standing s) {
+    public List<Action> setStanding(double now, Standing s) {
         boolean news = s != standing && !leaving;
         standing = leaving ? standing : s;
         if (news && !changing && (phase == Phase.IN_TOUCH || phase == Phase.OUT_OF_TOUCH)) {
@@ -345,7 +345,7 @@
     }
 
     /** The process ends: the fleet is told, if it can be. */
-    public List<Act> leave(double now) {
+    public List<Action> leave(double now) {
         if (!leaving && incarnation > 0 && phase != Phase.DISPLACED) {
             leaving = true;
             submit(new Command.Leave(name, incarnation));
@@ -361,19 +361,19 @@
     }
 
     /** What became of a command; of one that was followed by another it is no news. */
-    public List<Act> result(double now, long of, Result r) {
+    public List<Action> commandCompleted(double now, long of, Result r) {
         if (of != submitted) {
             return done(now);
         }
         submitted = 0;
         heardAt = now; // a majority answered, whatever it said
         watched = ++number;
-        acts.add(new Act.Await(watched, plan.suspectMs() + 1));
+        acts.add(new Action.StartTimer(watched, plan.suspectMs() + 1));
         if (r instanceof Result.Joined j) {
             joined(j.incarnation());
         } else if (r instanceof Result.Renewed) {
             if (phase == Phase.OUT_OF_TOUCH) {
-                acts.add(new Act.Say("hears a majority again"));
+                acts.add(new Action.Log("hears a majority again"));
             }
             phase = Phase.IN_TOUCH;
             line = voting || !mayVote || folder.isEmpty() ? "" : line;
@@ -397,13 +397,13 @@
             last = given;
             vote(); // what is agreed knows no later life of this folder
         }
-        acts.add(new Act.Say("is incarnation " + given + " of " + name + (voting ? " and votes" : " and follows")));
+        acts.add(new Action.Log("is incarnation " + given + " of " + name + (voting ? " and votes" : " and follows")));
         line = "";
         if (folder.isEmpty()) {
             phase = Phase.IN_TOUCH;
             renew();
         } else {
-            acts.add(new Act.Keep(given, 0));
+            acts.add(new Action.Persist(given, 0));
         }
     }
 
@@ -424,13 +424,13 @@
             say("is no part of the fleet any more: " + x.line());
             if (voting) {
                 voting = false;
-                acts.add(new Act.StopVoting());
+                acts.add(new Action.StopVoting());
             }
         }
     }
 
     /** A state that came with an answer, or that this instance's own voter has applied. */
-    public List<Act> state(double now, Snapshot s) {
+    public List<Action> stateReceived(double now, Snapshot s) {
         if (s.version() > state.version()) {
             state = s;
         }
@@ -438,7 +438,7 @@
     }
 
     /** A command has come to nothing within its time, or can't be sent: whether it was agreed is not known. */
-    public List<Act> failed(double now, long of, String why) {
+    public List<Action> commandFailed(double now, long of, String why) {
         if (of == submitted) {
             submitted = 0;
             if (leaving) {
@@ -458,7 +458,7 @@
     }
 
     /** A wait is over. */
-    public List<Act> due(double now, long of) {
+    public List<Action> timerFired(double now, long of) {
         if (of == watched && phase == Phase.IN_TOUCH && now - heardAt > plan.suspectMs()) {
             phase = Phase.OUT_OF_TOUCH; // a renewal that goes on trying tells nothing by itself
             say("hears of no majority");
@@ -467,9 +467,9 @@
             return done(now);
         }
         if (phase == Phase.WAITING) {
-            acts.add(new Act.OpenFolder());
+            acts.add(new Action.OpenFolder());
         } else if (phase == Phase.ASKING) { // some say nothing, neither yes nor no
-            return others(now, "", true);
+            return votersAnswered(now, "", true);
         } else if (phase == Phase.JOINING) {
             join();
         } else if (changing) {
@@ -483,20 +483,20 @@
     private void say(String what) {
         if (!what.equals(line)) {
             line = what;
-            acts.add(new Act.Say(what));
+            acts.add(new Action.Log(what));
         }
     }
 
-    private List<Act> done(double now) {
+    private List<Action> done(double now) {
         boolean inTouch = phase == Phase.IN_TOUCH && now - heardAt <= plan.suspectMs();
         FleetView view = new FleetView(phase, line, incarnation, state, heardAt, inTouch);
-        if (view.phase() != published.phase() || !view.line().equals(published.line()) || view.inTouch() != published.inTouch()
+        if (view.phase() != published.phase() || !view.statusLine().equals(published.statusLine()) || view.quorumReachable() != published.quorumReachable()
                 || view.state() != published.state() || view.incarnation() != published.incarnation()
-                || view.heardAt() != published.heardAt()) {
+                || view.lastContactAt() != published.lastContactAt()) {
             published = view;
-            acts.add(new Act.Publish(view));
+            acts.add(new Action.Publish(view));
         }
-        List<Act> out = acts;
+        List<Action> out = acts;
         acts = new ArrayList<>();
         return out;
     }
--- a/fleet/src/main/java/quincespar/fleet/Shares.java
+++ b/fleet/src/main/java/quincespar/fleet/ShareTracker.java
@@ -7,7 +7,7 @@
  * that has joined may send from that moment on; they grow only after one has certainly been gone for a while, and one step
  * in that while: an instance that comes and goes faster moves nobody's share. Out of touch they shrink to what was configured.
  */
-public final class Shares {
+public final class ShareTracker {
     private final int configured;
     private final double holdMs;
     private int inForce;
@@ -17,7 +17,7 @@
     private int fewest;
 
     /** Among how many, and this instance's place among them from 0. */
-    public record Share(int among, int place) { }
+    public record Share(int frontEnds, int index) { }
 
     /**
      * Shares for an instance.
@@ -26,7 +26,7 @@
      * @param place this one's place among them
      * @param holdMs how long fewer must be known before shares grow, in milliseconds
      */
-    public Shares(int configured, int place, double holdMs) {
+    public ShareTracker(int configured, int place, double holdMs) {
         this.configured = configured;
         this.place = place;
         this.holdMs = holdMs;
@@ -39,27 +39,27 @@
     }
 
     /** What holds now. */
-    public Share share() {
+    public Share current() {
         return new Share(inForce, Math.floorMod(place, inForce));
     }
 
     /**
      * Takes what is known at {@code now} (milliseconds, never running backwards); to be called with each news and again
-     * {@link #dueMs} later.
+     * {@link #nextUpdateMs} later.
      */
-    public Share step(double now, FleetView view, String self) {
-        List<String> acting = view.acting().stream().map(Instance::name).toList();
+    public Share update(double now, FleetView view, String self) {
+        List<String> acting = view.activeInstances().stream().map(Instance::name).toList();
         int wanted = acting.contains(self) ? acting.size() : 0;
-        if (!view.inTouch() || wanted == 0) { // whoever has joined meanwhile is not known here
+        if (!view.quorumReachable() || wanted == 0) { // whoever has joined meanwhile is not known here
             fewerSince = Double.POSITIVE_INFINITY;
             inForce = Math.max(inForce, configured);
-            return share();
+            return current();
         }
         place = acting.indexOf(self);
         if (wanted >= inForce) {
             fewerSince = Double.POSITIVE_INFINITY;
             inForce = wanted;
-            return share();
+            return current();
         }
         if (fewerSince == Double.POSITIVE_INFINITY) {
             fewerSince = now;
@@ -72,11 +72,11 @@
             fewerSince = wanted < inForce ? now : Double.POSITIVE_INFINITY;
             fewest = wanted;
         }
-        return share();
+        return current();
     }
 
-    /** When {@link #step} is to be called again though nothing was heard, in milliseconds from {@code now}; infinite where not. */
-    public double dueMs(double now) {
+    /** When {@link #update} is to be called again though nothing was heard, in milliseconds from {@code now}; infinite where not. */
+    public double nextUpdateMs(double now) {
         return fewerSince == Double.POSITIVE_INFINITY ? Double.POSITIVE_INFINITY
                 : Math.max(0, Math.max(fewerSince, grownAt) + holdMs - now);
     }
--- a/fleet/src/main/java/quincespar/fleet/Snapshot.java
+++ b/fleet/src/main/java/quincespar/fleet/Snapshot.java
@@ -32,7 +32,7 @@
          * Why a folder must not vote under this name, as what it has promised it does not know any more; empty where nothing
          * speaks against it. A join under way, by its nonce, may have been granted though the folder does not know it.
          */
-        String against(String folder, long last, long marked, long asked) {
+        String votingRejection(String folder, long last, long marked, long asked) {
             if (votes.isEmpty()) {
                 return "";
             } else if (!votes.equals(folder)) {
@@ -46,9 +46,9 @@
         }
     }
 
-    /** Why that folder must not vote under that name, as far as this state knows: {@link Known#against}. */
-    public String against(String name, String folder, long last, long mark, long nonce) {
-        return names.stream().filter(k -> k.name().equals(name)).findFirst().map(k -> k.against(folder, last, mark, nonce))
+    /** Why that folder must not vote under that name, as far as this state knows: {@link Known#votingRejection}. */
+    public String votingRejection(String name, String folder, long last, long mark, long nonce) {
+        return names.stream().filter(k -> k.name().equals(name)).findFirst().map(k -> k.votingRejection(folder, last, mark, nonce))
                 .orElse("");
     }
 
--- a/fleet/src/main/java/quincespar/fleet/Standing.java
+++ b/fleet/src/main/java/quincespar/fleet/Standing.java
@@ -14,7 +14,7 @@
     GONE;
 
     /** Whether it may still send work to engines: all but those that have certainly gone. */
-    public boolean mayAct() {
+    public boolean isActive() {
         return this != GONE;
     }
 }
--- a/fleet/src/main/java/quincespar/recovery/Terms.java
+++ b/fleet/src/main/java/quincespar/recovery/ClassTraits.java
@@ -9,4 +9,4 @@
  * @param worth of one that is answered in time
  * @param aimMs how quickly it is to be answered: what is cheap is wanted soon
  */
-public record Terms(String name, boolean repeatable, boolean load, double worth, double aimMs) { }
+public record ClassTraits(String name, boolean repeatable, boolean load, double worth, double targetLatencyMs) { }
--- a/fleet/src/main/java/quincespar/recovery/Recovery.java
+++ b/fleet/src/main/java/quincespar/recovery/Recovery.java
@@ -38,42 +38,42 @@
     }
 
     /** What is to be done. */
-    public sealed interface Act {
-        /** Call {@link Recovery#due} with this number after a while. */
-        record Await(long number, double ms) implements Act { }
+    public sealed interface Action {
+        /** Call {@link Recovery#timerFired} with this number after a while. */
+        record StartTimer(long timerId, double delayMs) implements Action { }
 
-        /** Ask the fleet for what is agreed now; {@link Recovery#agreed} is told. */
-        record AskFleet() implements Act { }
+        /** Ask the fleet for what is agreed now; {@link Recovery#fleetStateRead} is told. */
+        record ReadFleetState() implements Action { }
 
         /** Keep this. */
-        record Keep(Entry entry) implements Act { }
+        record Persist(Entry entry) implements Action { }
 
         /** Tell operators. */
-        record Say(String line) implements Act { }
+        record Log(String message) implements Action { }
 
         /** Which engines count as cold, or take nothing, has changed: the list is to be told anew. */
-        record Relist() implements Act { }
+        record RefreshEngineList() implements Action { }
     }
 
     /** From where a list of engines came. */
-    public enum Source {
+    public enum ListSource {
         /** The configuration, or the change log's first whole answer: it may be older than what this instance has kept. */
         SNAPSHOT,
         /** News that came while the change log was followed. */
-        NEWS
+        UPDATE
     }
 
     /** An engine that nobody here has reached yet counts as started so long after this process, in milliseconds: it stays cold. */
-    static final double UNMET_MS = 3_600_000;
+    static final double UNREACHED_COLD_MS = 3_600_000;
 
-    private final Pace pace;
+    private final RecoveryTimeouts pace;
     private final String self;
     private final boolean fleet;
-    private Kept kept = Kept.of(List.of());
+    private RecoveryState kept = RecoveryState.replay(List.of());
     private Phase phase = Phase.READING;
     private String line = "";
-    private List<Act> acts = new ArrayList<>();
-    private List<Terms> classes;
+    private List<Action> acts = new ArrayList<>();
+    private List<ClassTraits> classes;
     private List<Integer> order;
     private final Map<Integer, Double> heldUntil = new HashMap<>();
     /** The engines that the list has as taking work, and when each started. */
@@ -97,19 +97,19 @@
      * @param self this instance's name
      * @param fleet whether there is a fleet to ask
      */
-    public Recovery(Pace pace, String self, boolean fleet, List<Terms> classes) {
+    public Recovery(RecoveryTimeouts pace, String self, boolean fleet, List<ClassTraits> classes) {
         this.pace = pace;
         this.self = self;
         this.fleet = fleet;
-        classes(classes);
+        setClasses(classes);
     }
 
     /** These classes are in force: what is cheap and may be repeated goes first, by worth; loads last. */
-    public void classes(List<Terms> inForce) {
+    public void setClasses(List<ClassTraits> inForce) {
         classes = List.copyOf(inForce);
         order = IntStream.range(0, classes.size()).boxed().sorted(Comparator
                 .comparing((Integer c) -> classes.get(c).load() || !classes.get(c).repeatable())
-                .thenComparing(c -> classes.get(c).aimMs())
+                .thenComparing(c -> classes.get(c).targetLatencyMs())
                 .thenComparing(c -> -classes.get(c).worth())).toList();
         open = phase == Phase.FULL ? order.size() : Math.min(open, order.size());
     }
@@ -117,7 +117,7 @@
     /**
      * The first step. A process that starts {@code beside} an older one of the same name, as in an upgrade, follows no loss.
      */
-    public List<Act> start(double now, boolean beside) {
+    public List<Action> start(double now, boolean beside) {
         startedAt = now;
         coldFrom = beside ? 0 : now;
         if (beside) {
@@ -133,25 +133,25 @@
      *
      * @param why it was found so, for operators; empty where it is whole
      */
-    public List<Act> read(double now, Trust.Finding found, List<Entry> entries, String why) {
-        Trust.Use doubts = Trust.LOAD_BEGUN.use(found);
-        Kept meanwhile = kept;
-        kept = Kept.of(doubts == Trust.Use.MISSED ? List.of() : entries);
-        keep(new Entry.Life(self, kept.life().number() + 1));
-        meanwhile.entries().stream().filter(e -> !(e instanceof Entry.Life)).forEach(this::keep);
-        if (found != Trust.Finding.WHOLE) {
-            acts.add(new Act.Say("its folder is " + found.name().toLowerCase(java.util.Locale.ROOT) + (why.isEmpty() ? "" : ": " + why)
-                    + (doubts == Trust.Use.MISSED ? "; no list of loads in doubt or of drained engines from before" : "; loads in doubt and"
+    public List<Action> folderRead(double now, DurableFact.FolderCondition found, List<Entry> entries, String why) {
+        DurableFact.Handling doubts = DurableFact.LOAD_STARTED.handling(found);
+        RecoveryState meanwhile = kept;
+        kept = RecoveryState.replay(doubts == DurableFact.Handling.MISSING ? List.of() : entries);
+        keep(new Entry.Life(self, kept.lastProcess().number() + 1));
+        meanwhile.compactedEntries().stream().filter(e -> !(e instanceof Entry.Life)).forEach(this::keep);
+        if (found != DurableFact.FolderCondition.WHOLE) {
+            acts.add(new Action.Log("its folder is " + found.name().toLowerCase(java.util.Locale.ROOT) + (why.isEmpty() ? "" : ": " + why)
+                    + (doubts == DurableFact.Handling.MISSING ? "; no list of loads in doubt or of drained engines from before" : "; loads in doubt and"
                     + " drained engines may be missing from its lists")));
         }
-        for (Kept.Load l : kept.doubtful()) {
-            heldUntil.merge(l.begun().tables(), startedAt + l.begun().limitMs(), Math::max);
+        for (RecoveryState.Load l : kept.doubtfulLoads()) {
+            heldUntil.merge(l.start().tables(), startedAt + l.start().limitMs(), Math::max);
         }
-        if (!kept.doubtful().isEmpty()) {
-            acts.add(new Act.Say(kept.doubtful().size() + " loads may have run before the loss, see 'quincespar fleet doubtful'"));
+        if (!kept.doubtfulLoads().isEmpty()) {
+            acts.add(new Action.Log(kept.doubtfulLoads().size() + " loads may have run before the loss, see 'quincespar fleet doubtful'"));
         }
-        if (up.keySet().stream().anyMatch(this::withholds)) {
-            acts.add(new Act.Relist());
+        if (up.keySet().stream().anyMatch(this::isWithheld)) {
+            acts.add(new Action.RefreshEngineList());
         }
         up.keySet().forEach(this::tell);
         if (phase == Phase.READING) {
@@ -178,14 +178,14 @@
     }
 
     /** The view of the fleet has changed. */
-    public List<Act> fleet(double now, FleetView view) {
-        if (view.inTouch() && alone && fleet) {
+    public List<Action> fleetChanged(double now, FleetView view) {
+        if (view.quorumReachable() && alone && fleet) {
             alone = false;
-            acts.add(new Act.Say("hears a majority"));
+            acts.add(new Action.Log("hears a majority"));
         }
-        if (phase == Phase.FINDING && view.inTouch()) {
+        if (phase == Phase.FINDING && view.quorumReachable()) {
             enter(now, Phase.AGREEING, pace.agreeingMs(), "asks whether others stood through it");
-            acts.add(new Act.AskFleet());
+            acts.add(new Action.ReadFleetState());
         }
         return taken();
     }
@@ -194,32 +194,32 @@
      * What is agreed now, or null where nobody could say. Whoever has served for long and has renewed its session since this instance
      * joined has stood through what this process did not; where all that are known came back as this one did, none has.
      */
-    public List<Act> agreed(double now, Snapshot s) {
+    public List<Action> fleetStateRead(double now, Snapshot s) {
         if (phase != Phase.AGREEING) {
             return taken();
         }
         Instance me = s == null ? null : s.instances().stream().filter(i -> i.name().equals(self)).findFirst().orElse(null);
         if (me == null) {
-            acts.add(new Act.AskFleet());
+            acts.add(new Action.ReadFleetState());
             return taken();
         }
         joinedAt = joinedAt < 0 ? s.time() : joinedAt;
-        List<Instance> others = s.instances().stream().filter(i -> !i.name().equals(self) && i.standing().mayAct()).toList();
+        List<Instance> others = s.instances().stream().filter(i -> !i.name().equals(self) && i.standing().isActive()).toList();
         String stood = others.stream().filter(i -> i.standing() == Standing.SERVING && i.renewedAt() > joinedAt
-                && s.time() - i.since() >= pace.stoodMs()).map(Instance::name).findFirst().orElse("");
+                && s.time() - i.since() >= pace.survivorUptimeMs()).map(Instance::name).findFirst().orElse("");
         if (!stood.isEmpty()) {
             full(stood + " has served all the time");
-        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.since() < pace.stoodMs())) {
-            acts.add(new Act.Say("all others that are known came back as this one did"));
+        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.since() < pace.survivorUptimeMs())) {
+            acts.add(new Action.Log("all others that are known came back as this one did"));
             probe(now);
         } else {
-            acts.add(new Act.AskFleet());
+            acts.add(new Action.ReadFleetState());
         }
         return taken();
     }
 
     /** The change log has answered whole for the first time. */
-    public List<Act> answered(double now) {
+    public List<Action> changeLogAnswered(double now) {
         answered = true;
         if (phase == Phase.PROBING) {
             step(now);
@@ -228,26 +228,26 @@
     }
 
     /** A wait is over: what the phase waited for did not come. */
-    public List<Act> due(double now, long of) {
+    public List<Action> timerFired(double now, long of) {
         if (of != awaited) {
             return taken();
         }
         switch (phase) {
             case READING -> {
-                acts.add(new Act.Say("what it has kept could not be read in time"));
+                acts.add(new Action.Log("what it has kept could not be read in time"));
                 find(now);
             }
             case FINDING -> {
                 alone = true;
-                acts.add(new Act.Say("hears of no majority: it serves alone by what is certain"));
+                acts.add(new Action.Log("hears of no majority: it serves alone by what is certain"));
                 probe(now);
             }
             case AGREEING -> {
-                acts.add(new Act.Say("nobody is known to have stood through it: all engines count as cold"));
+                acts.add(new Action.Log("nobody is known to have stood through it: all engines count as cold"));
                 probe(now);
             }
             case PROBING -> {
-                acts.add(new Act.Say("the change log is silent: it serves by the list that it has"));
+                acts.add(new Action.Log("the change log is silent: it serves by the list that it has"));
                 step(now);
             }
             case RETURNING -> step(now);
@@ -275,7 +275,7 @@
         if (why.endsWith("all the time")) { // others have sent to these engines meanwhile: they are as warm as the change log says
             coldFrom = 0;
             metAt.clear();
-            acts.add(new Act.Relist());
+            acts.add(new Action.RefreshEngineList());
         }
         phase = Phase.FULL;
         open = order.size();
@@ -288,13 +288,13 @@
         open = next == Phase.READING ? 0 : Math.max(1, open);
         awaited = ++number;
         phaseUntil = now + longestMs;
-        acts.add(new Act.Await(awaited, longestMs));
+        acts.add(new Action.StartTimer(awaited, longestMs));
         say(what);
     }
 
     private void say(String what) {
         line = what;
-        acts.add(new Act.Say(phase + ": " + what));
+        acts.add(new Action.Log(phase + ": " + what));
     }
 
     /**
@@ -320,7 +320,7 @@
     }
 
     /** A wait as one client is told it: spread by the request's own name, so that those turned away don't return in one wave. */
-    public double comeBackMs(double waitMs, String txn) {
+    public double retryAfterMs(double waitMs, String txn) {
         return waitMs + Math.floorMod(txn.hashCode() * 0x9E3779B9, 1000) / 1000.0 * pace.spreadMs();
     }
 
@@ -330,13 +330,13 @@
     }
 
     /** What the change log, or the configuration, says of an engine that takes work or no longer does. */
-    public List<Act> engine(Source from, String id, boolean takes, double started) {
+    public List<Action> engineListed(ListSource from, String id, boolean takes, double started) {
         if (!takes) {
             up.remove(id);
             keep(new Entry.Left(id, started));
         } else {
             up.put(id, started);
-            if (kept.left(id) != null && (from == Source.NEWS || started > kept.left(id).startedAt())) {
+            if (kept.departure(id) != null && (from == ListSource.UPDATE || started > kept.departure(id).startedAt())) {
                 keep(new Entry.Back(id));
             }
             tell(id);
@@ -345,21 +345,21 @@
     }
 
     private void tell(String id) {
-        if (withholds(id) && told.add(id)) {
-            acts.add(new Act.Say("engine " + id + " takes nothing: it drained or was gone before the loss, and the list that has it may be"
+        if (isWithheld(id) && told.add(id)) {
+            acts.add(new Action.Log("engine " + id + " takes nothing: it drained or was gone before the loss, and the list that has it may be"
                     + " older"));
         }
     }
 
     /** Whether an engine that the list has as taking work gets none all the same. */
-    public boolean withholds(String id) {
-        return kept.left(id) != null && up.containsKey(id);
+    public boolean isWithheld(String id) {
+        return kept.departure(id) != null && up.containsKey(id);
     }
 
     /** A connection to an engine has come up: it stands, and may have its power back only just now. */
-    public List<Act> met(double now, String id) {
+    public List<Action> engineConnected(double now, String id) {
         if (coldFrom > 0 && metAt.putIfAbsent(id, now) == null) {
-            acts.add(new Act.Relist());
+            acts.add(new Action.RefreshEngineList());
         }
         return taken();
     }
@@ -369,40 +369,40 @@
      * That this process has run for a while says nothing of an engine whose power came back later.
      */
     public double coldFrom(String id, double started) {
-        return coldFrom == 0 ? started : Math.max(started, metAt.getOrDefault(id, coldFrom + UNMET_MS));
+        return coldFrom == 0 ? started : Math.max(started, metAt.getOrDefault(id, coldFrom + UNREACHED_COLD_MS));
     }
 
     /** A load may run once this is kept. */
-    public Entry.Begun begun(String txn, int cls, String team, String digest, int tables, double limitMs, long at) {
+    public Entry.Begun loadStarted(String txn, int cls, String team, String digest, int tables, double limitMs, long at) {
         return new Entry.Begun(txn, classes.get(cls).name(), team, digest, tables, limitMs, at);
     }
 
     /** Takes an entry; the acts say whether it is to be kept. */
-    public List<Act> note(Entry e) {
+    public List<Action> recordEntry(Entry e) {
         keep(e);
         return taken();
     }
 
     private void keep(Entry e) {
         if (kept.apply(e)) {
-            acts.add(new Act.Keep(e));
+            acts.add(new Action.Persist(e));
         }
     }
 
     /** Whether a load of that name is in doubt, so that staff can say that they have looked into it. */
-    public boolean acknowledges(String txn) {
-        return kept.doubtful().stream().anyMatch(l -> l.begun().txn().equals(txn));
+    public boolean isDoubtful(String txn) {
+        return kept.doubtfulLoads().stream().anyMatch(l -> l.start().txn().equals(txn));
     }
 
     /** What is kept. */
-    public Kept kept() {
+    public RecoveryState state() {
         return kept;
     }
 
     /** What is known now, for whoever asks. */
     public View view(double now) {
-        return new View(phase, line, alone, IntStream.range(0, open).mapToObj(this::name).toList(), kept.doubtful().size(),
-                (int) up.keySet().stream().filter(this::withholds).count(),
+        return new View(phase, line, alone, IntStream.range(0, open).mapToObj(this::name).toList(), kept.doubtfulLoads().size(),
+                (int) up.keySet().stream().filter(this::isWithheld).count(),
                 coldFrom, now - startedAt);
     }
 
@@ -415,11 +415,11 @@
      * @param coldFrom since when engines count as started at the least, 0 where the change log's word counts
      * @param ageMs since the start, in milliseconds
      */
-    public record View(Phase phase, String line, boolean alone, List<String> sends, int doubtful, int withheld, double coldFrom,
-            double ageMs) { }
+    public record View(Phase phase, String statusLine, boolean withoutQuorum, List<String> openClasses, int doubtfulLoads, int withheldEngines, double coldFrom,
+            double uptimeMs) { }
 
-    private List<Act> taken() {
-        List<Act> out = acts;
+    private List<Action> taken() {
+        List<Action> out = acts;
         acts = new ArrayList<>();
         return out;
     }
--- a/fleet/src/main/java/quincespar/store/Disk.java
+++ b/fleet/src/main/java/quincespar/store/Disk.java
@@ -30,13 +30,13 @@
     }
 
     /** Opens a file to add to it, made where it is missing. */
-    Appender append(String name) throws IOException;
+    Appender openForAppend(String name) throws IOException;
 
     /** Bytes that are free for files of this folder. */
-    long free() throws IOException;
+    long freeBytes() throws IOException;
 
     /** Bytes that all files of the folder and below hold. */
-    long size() throws IOException;
+    long usedBytes() throws IOException;
 
     @Override
     void close() throws IOException;
--- a/fleet/src/main/java/quincespar/store/FolderDisk.java
+++ b/fleet/src/main/java/quincespar/store/FolderDisk.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public Appender append(String name) throws IOException {
+    public Appender openForAppend(String name) throws IOException {
         try {
             return new End(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                     StandardOpenOption.APPEND));
@@ -107,12 +107,12 @@
     }
 
     @Override
-    public long free() throws IOException {
+    public long freeBytes() throws IOException {
         return Files.getFileStore(folder).getUsableSpace();
     }
 
     @Override
-    public long size() throws IOException {
+    public long usedBytes() throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
             return all.filter(Files::isRegularFile).mapToLong(FolderDisk::size).sum();
         } catch (UncheckedIOException e) {
--- a/fleet/src/main/java/quincespar/store/Journal.java
+++ b/fleet/src/main/java/quincespar/store/Journal.java
@@ -15,19 +15,19 @@
     private static final int HEAD = 2 * Integer.BYTES, LONGEST = 1 << 20;
 
     /** How a file was found. */
-    public enum State {
+    public enum Condition {
         /** There was none. */
-        NONE,
+        MISSING,
         /** As it was written. */
-        WHOLE,
+        INTACT,
         /** Its last record is not whole: nobody was told that it was there. */
         TORN,
         /** A record in its midst is not what was written; those before it are given. */
-        SPOILT
+        CORRUPT
     }
 
     /** What was found. */
-    public record Found(State state, List<byte[]> records) { }
+    public record Contents(Condition condition, List<byte[]> records) { }
 
     private final Disk disk;
     private final String name;
@@ -40,12 +40,12 @@
     }
 
     /** What the file holds. */
-    public Found read() throws IOException {
+    public Contents read() throws IOException {
         byte[] all = disk.read(name);
-        return all == null ? new Found(State.NONE, List.of()) : parse(all);
+        return all == null ? new Contents(Condition.MISSING, List.of()) : parse(all);
     }
 
-    private static Found parse(byte[] all) {
+    private static Contents parse(byte[] all) {
         List<byte[]> out = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(all);
         while (in.remaining() > 0) {
@@ -57,11 +57,11 @@
             in.get(record);
             if (!whole || sum != sum(record)) {
                 // a write that was cut off ends the file; a record that is followed by another was whole once
-                return new Found(whole && in.remaining() > 0 || isSpoiltLength(all, at) ? State.SPOILT : State.TORN, out);
+                return new Contents(whole && in.remaining() > 0 || isSpoiltLength(all, at) ? Condition.CORRUPT : Condition.TORN, out);
             }
             out.add(record);
         }
-        return new Found(State.WHOLE, out);
+        return new Contents(Condition.INTACT, out);
     }
 
     /** Whether somewhere behind {@code at} a whole record stands: then the one at {@code at} was once written whole too. */
@@ -97,7 +97,7 @@
     }
 
     /** Keeps a copy of the file as it is, beside it: what is spoilt may still be of use to people. */
-    public void setAside() throws IOException {
+    public void backUp() throws IOException {
         byte[] all = disk.read(name);
         if (all != null) {
             disk.replace(name + "-spoilt", all);
@@ -108,13 +108,13 @@
     public void rewrite(List<byte[]> records) throws IOException {
         close();
         disk.replace(name, frames(records));
-        file = disk.append(name);
+        file = disk.openForAppend(name);
     }
 
     /** Adds a group of records, forced out once; after it throws, any first part of them may be there. */
     public void append(List<byte[]> records) throws IOException {
         if (file == null) {
-            file = disk.append(name);
+            file = disk.openForAppend(name);
         }
         file.write(frames(records));
         file.force();
--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -9,7 +9,7 @@
 
 /**
  * The facts that an instance keeps for itself: who its folder is, and the last incarnation that it was given. A fact counts
- * as kept only once {@link #keep} has returned. One thread uses it.
+ * as kept only once {@link #persist} has returned. One thread uses it.
  */
 public final class StateFolder implements AutoCloseable {
     /** The file that holds the facts. */
@@ -109,7 +109,7 @@
     }
 
     /** Marks the folder; once this has returned, a copy from before can be told by its lower mark. */
-    public void mark(long number) throws IOException {
+    public void persistMark(long number) throws IOException {
         disk.replace(MARK, frame(ByteBuffer.allocate(Long.BYTES).putLong(number).array()));
         mark = number;
     }
@@ -120,7 +120,7 @@
     }
 
     /** Keeps these; after it throws, what was kept before may still be found at the next start, or these. */
-    public void keep(long incarnation, long nonce) throws IOException {
+    public void persist(long incarnation, long nonce) throws IOException {
         Facts before = facts;
         facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.votes());
         try {
--- a/fleet/src/test/java/quincespar/fleet/PlanTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetConfigTest.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class PlanTest {
+class FleetConfigTest {
     @Test
     void addressesAreReadOrToldApartByWhatIsWrong() {
         List<String> problems = new ArrayList<>();
-        assertThat(Plan.addresses("a=10.0.0.1:7000, b=h:2", "voters", problems)).isEqualTo(Map.of("a", "10.0.0.1:7000", "b",
+        assertThat(FleetConfig.parseAddresses("a=10.0.0.1:7000, b=h:2", "voters", problems)).isEqualTo(Map.of("a", "10.0.0.1:7000", "b",
                 "h:2"));
         assertThat(problems).isEmpty();
-        Plan.addresses("x,=h:1,a=h:0,a=h,b=h:1,b=h:2", "voters", problems);
+        FleetConfig.parseAddresses("x,=h:1,a=h:0,a=h,b=h:1,b=h:2", "voters", problems);
         assertThat(problems).containsExactly("voters: 'x' is no NAME=HOST:PORT", "voters: '=h:1' is no NAME=HOST:PORT",
                 "voters: 'h:0' of a is no HOST:PORT", "voters: 'h' of a is no HOST:PORT", "voters: b is named twice");
     }
@@ -22,9 +22,9 @@
     @Test
     void whatCannotWorkTogetherIsSaid() {
         Map<String, String> three = Map.of("a", "h:1", "b", "h:2", "c", "h:3");
-        assertThat(new Plan("g", three, Map.of("a", "h:9"), 500, 2000, 6000, 400, 1).problems()).isEmpty();
-        assertThat(new Plan("g", Map.of("a", "h:1", "b", "h:1"), Map.of("z", "h:9"), 500, 1000, 1200, 400, 1).problems())
+        assertThat(new FleetConfig("g", three, Map.of("a", "h:9"), 500, 2000, 6000, 400, 1).problems()).isEmpty();
+        assertThat(new FleetConfig("g", Map.of("a", "h:1", "b", "h:1"), Map.of("z", "h:9"), 500, 1000, 1200, 400, 1).problems())
                 .hasSize(6);
-        assertThat(new Plan("g", three, Map.of("a", "h:9"), 500, 2000, 6000, 400, 1).reach("a")).isEqualTo("h:9");
+        assertThat(new FleetConfig("g", three, Map.of("a", "h:9"), 500, 2000, 6000, 400, 1).addressOf("a")).isEqualTo("h:9");
     }
 }
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -15,7 +15,7 @@
 class FleetStateTest {
     private static final long SUSPECT = 2000, GONE = 6000;
 
-    private final FleetState state = FleetState.of(Snapshot.EMPTY);
+    private final FleetState state = FleetState.restore(Snapshot.EMPTY);
     private final FleetCodec codec = new FleetCodec();
 
     private long joined(String name, String folder, long last, String at, long nonce) {
@@ -93,7 +93,7 @@
         assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
         assertThat(refused(new Command.Join("a", "f", 0, 7, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
         state.apply(new Command.Leave("a", first + 1));
-        assertThat(state.snapshot().against("a", "f", first, 7, 9)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", first, 7, 9)).isEmpty();
         assertThat(state.apply(new Command.Join("a", "f", first, 7, "x", true, "t", 4))).isInstanceOf(Result.Joined.class);
     }
 
@@ -101,9 +101,9 @@
     @Test
     void aJoinUnderWayDoesNotMakeItsFolderAnOldOne() {
         long first = joined("a", "f", 0, "x", 1);
-        assertThat(state.snapshot().against("a", "f", 0, 0, 1)).isEmpty();
-        assertThat(state.snapshot().against("a", "f", 0, 0, 2)).contains("ends with incarnation 0");
-        assertThat(state.snapshot().against("b", "g", 0, 0, 2)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 1)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 2)).contains("ends with incarnation 0");
+        assertThat(state.snapshot().votingRejection("b", "g", 0, 0, 2)).isEmpty();
         tick(GONE + 1);
         assertThat(joined("a", "f", 0, "x", 1)).isGreaterThan(first);
     }
@@ -123,7 +123,7 @@
     @Test
     void instancesThatAreForgottenMakeRoomAndVotersAreKept() {
         joined("voter", "f", 0, "x", 1);
-        for (int i = 1; i < FleetState.MOST_INSTANCES; i++) {
+        for (int i = 1; i < FleetState.MAX_INSTANCES; i++) {
             state.apply(new Command.Join("i" + i, "", 0, 0, "", false, "t", i));
         }
         Command.Join more = new Command.Join("more", "", 0, 0, "", false, "t", 1);
@@ -131,15 +131,15 @@
         tick(GONE + 1);
         assertThat(state.apply(more)).isInstanceOf(Result.Joined.class);
         assertThat(state.instance("voter")).isNotNull();
-        assertThat(state.instances()).hasSize(FleetState.MOST_INSTANCES);
+        assertThat(state.instances()).hasSize(FleetState.MAX_INSTANCES);
     }
 
     /** The same commands give the same bytes, also through a snapshot at any place; incarnations are never given twice. */
     @Property(tries = 300)
     void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecord {
         Random chance = new Random(seed);
-        FleetState one = FleetState.of(Snapshot.EMPTY);
-        FleetState other = FleetState.of(Snapshot.EMPTY);
+        FleetState one = FleetState.restore(Snapshot.EMPTY);
+        FleetState other = FleetState.restore(Snapshot.EMPTY);
         Set<Long> given = new HashSet<>();
         long time = 0;
         for (int i = 0; i < 80; i++) {
@@ -157,14 +157,14 @@
             long before = one.version();
             boolean known = one.instance(name) != null && c instanceof Command.Join j && one.snapshot().names().stream().anyMatch(
                     k -> k.name().equals(j.name()) && k.nonce() == j.nonce());
-            Result r = one.apply(codec.command(codec.write((Record) c)));
+            Result r = one.apply(codec.readCommand(codec.write((Record) c)));
             assertThat(codec.write((Record) other.apply(c))).isEqualTo(codec.write((Record) r));
             assertThat(one.version()).isGreaterThanOrEqualTo(before);
             if (r instanceof Result.Joined j && !known) {
                 assertThat(given.add(j.incarnation())).isTrue();
             }
             if (chance.nextInt(10) == 0) {
-                other = FleetState.of(codec.snapshot(codec.write(other.snapshot())));
+                other = FleetState.restore(codec.readSnapshot(codec.write(other.snapshot())));
             }
         }
         assertThat(codec.write(other.snapshot())).isEqualTo(codec.write(one.snapshot()));
@@ -173,7 +173,7 @@
     @Test
     void aStateOfAnotherFormatIsRefusedInOneSentence() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
-        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecord.class)
+        assertThatThrownBy(() -> codec.readSnapshot(next)).isInstanceOf(MalformedRecord.class)
                 .hasMessage("a fleet's state of format 3, and this program reads 2 only");
     }
 
@@ -185,8 +185,8 @@
             for (int bit = 0; bit < 8 * good.length; bit++) {
                 byte[] bad = good.clone();
                 bad[bit / 8] ^= (byte) (1 << bit % 8);
-                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecord.class);
-                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecord.class);
+                assertThatThrownBy(() -> codec.readCommand(bad)).isInstanceOf(MalformedRecord.class);
+                assertThatThrownBy(() -> codec.readResult(bad)).isInstanceOf(MalformedRecord.class);
             }
         }
     }
--- a/fleet/src/test/java/quincespar/recovery/KeptTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryStateTest.java
@@ -11,43 +11,43 @@
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
 
-class KeptTest {
+class RecoveryStateTest {
     static Entry.Begun load(String txn, int tables) {
         return new Entry.Begun(txn, "load", "acme", "d", tables, 2000, 5);
     }
 
     @Test
     void whatWasOpenWhenAProcessEndedIsInDoubtUntilStaffHaveLooked() {
-        Kept k = Kept.of(List.of(new Entry.Life("n1", 1), load("a", 1), new Entry.SentTo("a", "s-1"), load("b", 2), load("c", 3),
+        RecoveryState k = RecoveryState.replay(List.of(new Entry.Life("n1", 1), load("a", 1), new Entry.SentTo("a", "s-1"), load("b", 2), load("c", 3),
                 new Entry.Ended("b"), new Entry.Life("n1", 2), load("d", 1)));
-        assertThat(k.doubtful()).containsExactly(new Kept.Load(load("a", 1), "s-1"), new Kept.Load(load("c", 3), ""));
-        assertThat(k.open()).isEqualTo(1);
+        assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("a", 1), "s-1"), new RecoveryState.Load(load("c", 3), ""));
+        assertThat(k.openLoads()).isEqualTo(1);
         assertThat(k.apply(new Entry.Ended("a"))).isFalse(); // of another life: its client can't have been told by this one
         assertThat(k.apply(new Entry.Acknowledged("a"))).isTrue();
-        assertThat(k.doubtful()).containsExactly(new Kept.Load(load("c", 3), ""));
+        assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("c", 3), ""));
         k.apply(new Entry.Life("n1", 3));
-        assertThat(k.doubtful()).hasSize(2);
+        assertThat(k.doubtfulLoads()).hasSize(2);
     }
 
     @Test
     void anEngineThatLeftIsRememberedByItsStart() {
-        Kept k = Kept.of(List.of(new Entry.Left("s-1", 100)));
+        RecoveryState k = RecoveryState.replay(List.of(new Entry.Left("s-1", 100)));
         assertThat(k.apply(new Entry.Left("s-1", 50))).isFalse(); // older news
-        assertThat(k.left("s-1").startedAt()).isEqualTo(100);
+        assertThat(k.departure("s-1").startedAt()).isEqualTo(100);
         assertThat(k.apply(new Entry.Back("s-1"))).isTrue();
-        assertThat(k.left("s-1")).isNull();
+        assertThat(k.departure("s-1")).isNull();
     }
 
     @Test
     void theListOfDoubtsIsBoundedAndWhatWentIsCounted() {
         List<Entry> all = new ArrayList<>();
-        for (int i = 0; i < Kept.MOST_DOUBTS + 3; i++) {
+        for (int i = 0; i < RecoveryState.MAX_DOUBTFUL_LOADS + 3; i++) {
             all.add(load("t" + i, 0));
         }
         all.add(new Entry.Life("n1", 1));
-        Kept k = Kept.of(all);
-        assertThat(k.doubtful()).hasSize(Kept.MOST_DOUBTS);
-        assertThat(k.forgotten()).isEqualTo(3);
+        RecoveryState k = RecoveryState.replay(all);
+        assertThat(k.doubtfulLoads()).hasSize(RecoveryState.MAX_DOUBTFUL_LOADS);
+        assertThat(k.droppedLoads()).isEqualTo(3);
     }
 
     /** A file rewritten at any place, and read back through its bytes, comes to the same. */
@@ -55,8 +55,8 @@
     void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecord {
         Random chance = new Random(seed);
         RecordCodec codec = new RecordCodec(Entry.class);
-        Kept one = Kept.of(List.of());
-        Kept other = Kept.of(List.of());
+        RecoveryState one = RecoveryState.replay(List.of());
+        RecoveryState other = RecoveryState.replay(List.of());
         for (int i = 0; i < 60; i++) {
             String txn = "t" + chance.nextInt(8);
             String engine = "s" + chance.nextInt(3);
@@ -72,10 +72,10 @@
             one.apply(codec.read(codec.write((Record) e), Entry.class));
             other.apply(e);
             if (chance.nextInt(6) == 0) {
-                other = Kept.of(other.entries());
+                other = RecoveryState.replay(other.compactedEntries());
             }
         }
-        assertThat(other.entries()).isEqualTo(one.entries());
-        assertThat(other.doubtful()).containsExactlyElementsOf(one.doubtful());
+        assertThat(other.compactedEntries()).isEqualTo(one.compactedEntries());
+        assertThat(other.doubtfulLoads()).containsExactlyElementsOf(one.doubtfulLoads());
     }
 }
--- a/fleet/src/test/java/quincespar/store/JournalTest.java
+++ b/fleet/src/test/java/quincespar/store/JournalTest.java
@@ -19,23 +19,23 @@
         return s.getBytes(StandardCharsets.UTF_8);
     }
 
-    private List<String> read(Journal.State expected) throws IOException {
-        Journal.Found f = new Journal(new FolderDisk(folder), "j").read();
-        assertThat(f.state()).isEqualTo(expected);
+    private List<String> read(Journal.Condition expected) throws IOException {
+        Journal.Contents f = new Journal(new FolderDisk(folder), "j").read();
+        assertThat(f.condition()).isEqualTo(expected);
         return f.records().stream().map(r -> new String(r, StandardCharsets.UTF_8)).toList();
     }
 
     @Test
     void whatWasAddedIsThereInOrderAlsoBehindARewrite() throws IOException {
-        assertThat(read(Journal.State.NONE)).isEmpty();
+        assertThat(read(Journal.Condition.MISSING)).isEmpty();
         try (Journal j = new Journal(new FolderDisk(folder), "j")) {
             j.append(List.of(bytes("one"), bytes("two")));
             j.append(List.of(bytes("three")));
-            assertThat(read(Journal.State.WHOLE)).containsExactly("one", "two", "three");
+            assertThat(read(Journal.Condition.INTACT)).containsExactly("one", "two", "three");
             j.rewrite(List.of(bytes("two")));
             j.append(List.of(bytes("four")));
         }
-        assertThat(read(Journal.State.WHOLE)).containsExactly("two", "four");
+        assertThat(read(Journal.Condition.INTACT)).containsExactly("two", "four");
     }
 
     /** Cut off at each byte: what is whole before it, and never what was not written. */
@@ -48,7 +48,7 @@
         int first = all.length / 2;
         for (int n = 1; n < all.length; n++) {
             Files.write(folder.resolve("j"), Arrays.copyOf(all, n));
-            assertThat(read(n == first ? Journal.State.WHOLE : Journal.State.TORN)).isEqualTo(n < first ? List.of() : List.of("one"));
+            assertThat(read(n == first ? Journal.Condition.INTACT : Journal.Condition.TORN)).isEqualTo(n < first ? List.of() : List.of("one"));
         }
     }
 
@@ -63,10 +63,10 @@
             byte[] bad = all.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(folder.resolve("j"), bad);
-            Journal.Found f = new Journal(new FolderDisk(folder), "j").read();
+            Journal.Contents f = new Journal(new FolderDisk(folder), "j").read();
             int before = bit / 8 < 11 ? 0 : bit / 8 < 22 ? 1 : 2;
             assertThat(f.records()).hasSize(before);
-            assertThat(f.state()).isIn(before < 2 ? List.of(Journal.State.SPOILT) : List.of(Journal.State.SPOILT, Journal.State.TORN));
+            assertThat(f.condition()).isIn(before < 2 ? List.of(Journal.Condition.CORRUPT) : List.of(Journal.Condition.CORRUPT, Journal.Condition.TORN));
         }
     }
 }
--- a/fleet/src/test/java/quincespar/store/StateFolderTest.java
+++ b/fleet/src/test/java/quincespar/store/StateFolderTest.java
@@ -28,9 +28,9 @@
     void whatWasKeptIsThereAgainAndTheFolderHasOneOwner() throws IOException {
         try (StateFolder f = open("a")) {
             assertThat(f.mark()).isZero();
-            assertThat(new FolderDisk(folder.resolve("state")).free()).isPositive();
-            f.keep(7, 8);
-            f.mark(9);
+            assertThat(new FolderDisk(folder.resolve("state")).freeBytes()).isPositive();
+            f.persist(7, 8);
+            f.persistMark(9);
             assertThat(new FolderDisk(folder.resolve("state")).lock()).isFalse();
         }
         try (StateFolder f = open("a")) {
@@ -44,7 +44,7 @@
     @Test
     void aSpoiltFileIsSaidToBeSpoilt() throws IOException {
         StateFolder begun = open("a");
-        begun.mark(3);
+        begun.persistMark(3);
         begun.close();
         for (String file : java.util.List.of(StateFolder.FACTS, StateFolder.MARK)) {
             Path at = folder.resolve("state").resolve(file);
@@ -75,9 +75,9 @@
         };
         assertThat(disk.lock()).isTrue();
         StateFolder f = StateFolder.open(disk, "a", "drawn", true);
-        f.keep(1, 0);
+        f.persist(1, 0);
         full[0] = true;
-        assertThatThrownBy(() -> f.keep(2, 0)).hasMessage("No space left on device");
+        assertThatThrownBy(() -> f.persist(2, 0)).hasMessage("No space left on device");
         assertThat(f.facts().incarnation()).isEqualTo(1);
     }
 }
--- a/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
@@ -106,14 +106,14 @@
             @Option(names = "--name", paramLabel = "NAME", required = true, description = "The instance.") String name)
             throws IOException, ConfException {
         FleetSettings f = FleetSettings.of(ConfReader.read(conf.toString(), Files.readString(conf)), conf.toString());
-        if (f.folder() == null || !f.plan().votes(name)) {
+        if (f.folder() == null || !f.plan().isVoter(name)) {
             throw new IOException(f.folder() == null ? "'state folder' names none" : name + " is not one of 'fleet voters'");
         }
         try (FolderDisk disk = new FolderDisk(f.folder())) {
             if (!disk.lock()) {
                 throw new IOException("another process holds " + f.folder());
             }
-            if (disk.size() > 0) {
+            if (disk.usedBytes() > 0) {
                 throw new IOException(f.folder() + " is not empty: it was begun before");
             }
             StateFolder.open(disk, name, FleetLink.identity(), true);
--- a/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
@@ -20,10 +20,10 @@
 import quincespar.fleet.FleetCodec;
 import quincespar.fleet.FleetView;
 import quincespar.fleet.Instance;
-import quincespar.fleet.Participation;
-import quincespar.fleet.Participation.Act;
-import quincespar.fleet.Participation.Folder;
+import quincespar.fleet.Participation.Action;
+import quincespar.fleet.Participation.FolderResult;
 import quincespar.fleet.Participation.Phase;
+import quincespar.fleet.Participation;
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
@@ -84,7 +84,7 @@
         participation = new Participation(settings.plan(), name, address, build, new SecureRandom().nextLong() | 1);
         writes = new Writes(name);
         agreement = LibraryJar.open(settings.library()).open(settings.plan(), name,
-                s -> run(() -> perform(participation.state(now(), s))));
+                s -> run(() -> perform(participation.stateReceived(now(), s))));
         thread.setRemoveOnCancelPolicy(true);
     }
 
@@ -132,9 +132,9 @@
 
     /** This instance stands so from now on. */
     public void stands(Standing s) {
-        run(() -> perform(participation.stands(now(), s)));
+        run(() -> perform(participation.setStanding(now(), s)));
         if (s == Standing.LEAVING) {
-            agreement.handOver();
+            agreement.transferLeadership();
         }
     }
 
@@ -168,7 +168,7 @@
 
     /** Milliseconds since a majority last answered; infinite before the first time. */
     public double age() {
-        return view.age(now());
+        return view.millisSinceContact(now());
     }
 
     /** What the library knows now. */
@@ -197,12 +197,12 @@
     /** The agreed state, with all that was agreed before this call. */
     public CompletionStage<Snapshot> read() {
         CompletableFuture<Snapshot> out = new CompletableFuture<>();
-        agreement.read().whenComplete((got, e) -> run(() -> {
+        agreement.readLinearizable().whenComplete((got, e) -> run(() -> {
             try {
                 if (e != null) {
                     out.completeExceptionally(e);
                 } else {
-                    out.complete(codec.snapshot(got));
+                    out.complete(codec.readSnapshot(got));
                 }
             } catch (MalformedRecord x) {
                 out.completeExceptionally(x);
@@ -250,51 +250,51 @@
     /** Null where it can't be read. */
     private Result result(byte[] got) {
         try {
-            return codec.result(got);
+            return codec.readResult(got);
         } catch (MalformedRecord e) {
             say.accept("fleet: an answer that can't be read: " + e.getMessage());
             return null;
         }
     }
 
-    private void perform(List<Act> acts) {
+    private void perform(List<Action> acts) {
         acts.forEach(this::perform);
     }
 
-    private void perform(Act act) {
-        if (act instanceof Act.OpenFolder) {
+    private void perform(Action act) {
+        if (act instanceof Action.OpenFolder) {
             on(files, () -> {
-                Folder found = open();
-                run(() -> perform(participation.folder(now(), found)));
+                FolderResult found = open();
+                run(() -> perform(participation.folderOpened(now(), found)));
             });
-        } else if (act instanceof Act.AskOthers a) {
+        } else if (act instanceof Action.QueryVoters a) {
             askOthers(a);
-        } else if (act instanceof Act.Vote) {
+        } else if (act instanceof Action.StartVoting) {
             turn(this::vote);
-        } else if (act instanceof Act.StopVoting) {
+        } else if (act instanceof Action.StopVoting) {
             turn(() -> {
                 agreement.stopVoting();
                 return null;
             });
-        } else if (act instanceof Act.DiskLater a) {
-            after(a.ms(), () -> perform(participation.diskAgain(now())));
-        } else if (act instanceof Act.Submit a) {
+        } else if (act instanceof Action.RetryDisk a) {
+            after(a.delayMs(), () -> perform(participation.diskRetryDue(now())));
+        } else if (act instanceof Action.Submit a) {
             submit(a);
-        } else if (act instanceof Act.Keep a) {
+        } else if (act instanceof Action.Persist a) {
             on(files, () -> {
-                String why = tried(() -> folder.keep(a.incarnation(), a.nonce()));
-                run(() -> perform(participation.kept(now(), why)));
+                String why = tried(() -> folder.persist(a.incarnation(), a.nonce()));
+                run(() -> perform(participation.persisted(now(), why)));
             });
-        } else if (act instanceof Act.Mark a) {
+        } else if (act instanceof Action.PersistMark a) {
             on(files, () -> {
                 String why = tried(() -> mark(a.mark()));
-                run(() -> perform(participation.marked(now(), a.mark(), why)));
+                run(() -> perform(participation.markPersisted(now(), a.mark(), why)));
             });
-        } else if (act instanceof Act.Await a) {
-            after(a.ms(), () -> perform(participation.due(now(), a.number())));
-        } else if (act instanceof Act.Say a) {
-            say.accept("fleet: " + name + " " + a.line());
-        } else if (act instanceof Act.Publish a) {
+        } else if (act instanceof Action.StartTimer a) {
+            after(a.delayMs(), () -> perform(participation.timerFired(now(), a.timerId())));
+        } else if (act instanceof Action.Log a) {
+            say.accept("fleet: " + name + " " + a.message());
+        } else if (act instanceof Action.Publish a) {
             members(view.state(), a.view().state());
             view = a.view();
             publish.accept(view);
@@ -320,24 +320,24 @@
         return HexFormat.of().formatHex(drawn);
     }
 
-    private Folder open() {
+    private FolderResult open() {
         Path at = settings.folder();
         if (at == null) {
-            return new Folder.Failed("'state folder' names none");
+            return new FolderResult.Failed("'state folder' names none");
         }
         FolderDisk d = new FolderDisk(at);
         try {
             if (!d.lock()) {
-                return new Folder.Held("another process holds " + at);
+                return new FolderResult.Locked("another process holds " + at);
             }
             folder = StateFolder.open(d, name, identity(), false);
             disk = d;
             StateFolder.Facts f = folder.facts();
-            return new Folder.Open(f.identity(), f.incarnation(), f.nonce(), folder.mark(), f.votes());
+            return new FolderResult.Open(f.identity(), f.incarnation(), f.nonce(), folder.mark(), f.votes());
         } catch (IOException e) {
             failures.incrementAndGet();
             closeQuietly(d);
-            return new Folder.Failed(e.getMessage());
+            return new FolderResult.Failed(e.getMessage());
         }
     }
 
@@ -355,10 +355,10 @@
 
     /** Votes end before the disk is full: the library loses the last vote that it kept where it finds no room for the next. */
     private void mark(long number) throws IOException {
-        if (disk.free() < ROOM) {
+        if (disk.freeBytes() < ROOM) {
             throw new IOException("less than " + ROOM + " bytes are free");
         }
-        folder.mark(number);
+        folder.persistMark(number);
     }
 
     /** Null where it is there for certain, else why not. */
@@ -375,7 +375,7 @@
     /** Null where it takes part in votes now, else why not. */
     private String vote() {
         try {
-            agreement.vote(settings.folder().resolve(VOTES));
+            agreement.startVoting(settings.folder().resolve(VOTES));
             return null;
         } catch (IOException | RuntimeException e) {
             failures.incrementAndGet();
@@ -391,57 +391,57 @@
             run(() -> {
                 turning--;
                 if (why != null) {
-                    perform(participation.voteFailed(now(), why));
+                    perform(participation.votingFailed(now(), why));
                 }
             });
         });
     }
 
-    private void askOthers(Act.AskOthers what) {
+    private void askOthers(Action.QueryVoters what) {
         List<String> others = settings.plan().voters().keySet().stream().filter(v -> !v.equals(name)).toList();
         int[] open = {others.size()};
         String[] against = {""};
         boolean[] answered = {false};
         if (others.isEmpty()) {
-            perform(participation.others(now(), "", false));
+            perform(participation.votersAnswered(now(), "", false));
         }
         for (String v : others) {
-            agreement.ask(v).whenComplete((got, e) -> run(() -> {
+            agreement.readStale(v).whenComplete((got, e) -> run(() -> {
                 open[0]--;
                 answered[0] |= e == null;
                 against[0] = against[0].isEmpty() && e == null ? against(got, what) : against[0];
                 if (open[0] == 0 || !against[0].isEmpty()) {
-                    perform(participation.others(now(), against[0], answered[0]));
+                    perform(participation.votersAnswered(now(), against[0], answered[0]));
                 }
             }));
         }
     }
 
-    private String against(byte[] state, Act.AskOthers what) {
+    private String against(byte[] state, Action.QueryVoters what) {
         try {
-            return codec.snapshot(state).against(name, what.folder(), what.last(), what.mark(), what.nonce());
+            return codec.readSnapshot(state).votingRejection(name, what.folder(), what.lastIncarnation(), what.mark(), what.nonce());
         } catch (MalformedRecord e) {
             say.accept("fleet: an answer that can't be read: " + e.getMessage());
             return "";
         }
     }
 
-    private void submit(Act.Submit a) {
+    private void submit(Action.Submit a) {
         agreement.submit(codec.write((Record) a.command())).whenComplete((got, e) -> run(() -> {
             Result r = e == null ? result(got) : null;
             if (r == null) {
                 lost.incrementAndGet();
-                perform(participation.failed(now(), a.number(), String.valueOf(e)));
+                perform(participation.commandFailed(now(), a.requestId(), String.valueOf(e)));
                 return;
             }
             if (r instanceof Result.Renewed x && x.state().length > 0) {
                 try {
-                    perform(participation.state(now(), codec.snapshot(x.state())));
+                    perform(participation.stateReceived(now(), codec.readSnapshot(x.state())));
                 } catch (MalformedRecord bad) {
                     say.accept("fleet: a state that can't be read: " + bad.getMessage());
                 }
             }
-            perform(participation.result(now(), a.number(), r));
+            perform(participation.commandCompleted(now(), a.requestId(), r));
             writeNext();
         }));
     }
@@ -455,9 +455,9 @@
             say.accept("fleet: " + (leader.isEmpty() ? "no leader is known" : leader + " leads") + (s.voting() ? ", term "
                     + s.term() : ""));
         }
-        if (participation.voting() && turning == 0 && !s.voting()) {
+        if (participation.isVoting() && turning == 0 && !s.voting()) {
             failures.incrementAndGet();
-            perform(participation.voteFailed(now(), "the log of votes has ended, as on a disk that refuses"));
+            perform(participation.votingFailed(now(), "the log of votes has ended, as on a disk that refuses"));
         }
         if (now() >= sizedAt + SIZE_MS) {
             sizedAt = now();
@@ -472,13 +472,13 @@
             return;
         }
         try {
-            bytes = disk.size();
+            bytes = disk.usedBytes();
             boolean over = bytes > settings.total();
             if (over && !overTotal) {
                 say.accept("fleet: its folder holds " + bytes + " bytes, over 'state total'; the log of votes is cut");
             }
             if (over) {
-                agreement.compact();
+                agreement.compactLog();
             }
             overTotal = over;
         } catch (IOException e) {
--- a/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
@@ -104,9 +104,9 @@
         return json(to -> {
             to.writeStringField("group", link.settings().plan().group());
             to.writeStringField("phase", v.phase().name());
-            to.writeStringField("line", v.line());
+            to.writeStringField("line", v.statusLine());
             to.writeNumberField("incarnation", v.incarnation());
-            to.writeBooleanField("inTouch", v.inTouch());
+            to.writeBooleanField("inTouch", v.quorumReachable());
             to.writeNumberField("ageMs", age == Double.POSITIVE_INFINITY ? -1 : Math.round(age));
             to.writeBooleanField("voting", s.voting());
             to.writeStringField("leader", s.leader());
@@ -143,7 +143,7 @@
         out.append(Arrays.stream(Standing.values()).map(x -> "gw_fleet_members{standing=\"" + x.name().toLowerCase(
                 java.util.Locale.ROOT) + "\"} " + v.state().instances().stream().filter(i -> i.standing() == x).count() + "\n")
                 .collect(Collectors.joining()));
-        single(out, "gw_fleet_in_touch", "gauge", "Whether a majority has answered lately.", v.inTouch() ? 1 : 0);
+        single(out, "gw_fleet_in_touch", "gauge", "Whether a majority has answered lately.", v.quorumReachable() ? 1 : 0);
         single(out, "gw_fleet_voting", "gauge", "Whether this instance takes part in votes.", s.voting() ? 1 : 0);
         single(out, "gw_fleet_leading", "gauge", "Whether this instance leads.",
                 s.voting() && s.leader().equals(link.name()) ? 1 : 0);
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.fleet.Plan;
+import quincespar.fleet.FleetConfig;
 import quincespar.settings.ConfException;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
@@ -16,7 +16,7 @@
  * @param library the jar that holds the agreement; null for the one beside the program's own
  * @param writes whether registers may be written through the second address
  */
-public record FleetSettings(Plan plan, Path folder, long total, Path library, boolean writes) {
+public record FleetSettings(FleetConfig plan, Path folder, long total, Path library, boolean writes) {
 
     /** Whether the file has a fleet. */
     public static boolean on(Settings s) {
@@ -26,9 +26,9 @@
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
     public static FleetSettings of(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
-        Plan plan = new Plan(s.word(Keyword.FLEET_GROUP),
-                Plan.addresses(s.word(Keyword.FLEET_VOTERS), "fleet voters", problems),
-                Plan.addresses(s.word(Keyword.FLEET_VIA), "fleet via", problems), s.number(Keyword.FLEET_RENEW),
+        FleetConfig plan = new FleetConfig(s.word(Keyword.FLEET_GROUP),
+                FleetConfig.parseAddresses(s.word(Keyword.FLEET_VOTERS), "fleet voters", problems),
+                FleetConfig.parseAddresses(s.word(Keyword.FLEET_VIA), "fleet via", problems), s.number(Keyword.FLEET_RENEW),
                 s.number(Keyword.FLEET_SUSPECT), s.number(Keyword.FLEET_GONE), s.number(Keyword.FLEET_ELECTION),
                 s.number(Keyword.FLEET_HOLD));
         problems.addAll(plan.problems());
--- a/frontend/src/main/java/quincespar/program/fleet/LibraryJar.java
+++ b/frontend/src/main/java/quincespar/program/fleet/LibraryJar.java
@@ -20,7 +20,7 @@
     private LibraryJar() { }
 
     /** Opens it; throws {@link IOException} in one plain line where it can't be had. */
-    static Agreement.Library open(Path given) throws IOException {
+    static Agreement.Provider open(Path given) throws IOException {
         Path jar = given == null ? beside() : given;
         if (!Files.isReadable(jar)) {
             throw new IOException("no agreement library at " + jar + "; 'fleet library' names another place");
@@ -28,7 +28,7 @@
         try {
             URLClassLoader loader = new URLClassLoader("agreement", new URL[] {jar.toUri().toURL()},
                     LibraryJar.class.getClassLoader()); // open for as long as the process lives
-            return ServiceLoader.load(Agreement.Library.class, loader).findFirst().orElseThrow(
+            return ServiceLoader.load(Agreement.Provider.class, loader).findFirst().orElseThrow(
                     () -> new IOException(jar + " holds no agreement library"));
         } catch (MalformedURLException e) {
             throw new IOException("no place for a library: " + jar, e);
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
+import quincespar.recovery.DurableFact;
 import quincespar.recovery.Entry;
-import quincespar.recovery.Kept;
-import quincespar.recovery.Trust;
+import quincespar.recovery.RecoveryState;
 import quincespar.routing.Input;
 import quincespar.store.FolderDisk;
 import quincespar.store.Journal;
@@ -47,7 +47,7 @@
     private final Consumer<String> say;
     private final Thread thread = Threads.daemon("kept", this::run);
     /** What the file should hold; with it the file is written anew when it has grown, or the disk has refused. */
-    private Kept kept = Kept.of(List.of());
+    private RecoveryState kept = RecoveryState.replay(List.of());
     /** What was to be kept while the file could not be read. */
     private final List<Entry> unread = new ArrayList<>();
     /** Entries in the file. */
@@ -137,15 +137,15 @@
                 locked = disk.lock();
                 Thread.sleep(locked ? 0 : LOCK_AGAIN_MS);
             }
-            Journal.Found f = journal.read();
+            Journal.Contents f = journal.read();
             List<Entry> entries = new ArrayList<>();
             for (byte[] r : f.records()) {
                 entries.add(codec.read(r, Entry.class));
             }
-            found(f.state(), entries);
+            found(f.condition(), entries);
             return true;
         } catch (MalformedRecord e) { // whole, and yet not what this program writes
-            to.accept(new Input.KeptRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
+            to.accept(new Input.KeptRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
             refused(e);
@@ -170,19 +170,19 @@
         return true;
     }
 
-    private void found(Journal.State state, List<Entry> entries) throws IOException {
+    private void found(Journal.Condition state, List<Entry> entries) throws IOException {
         String other = entries.stream().filter(Entry.Life.class::isInstance).map(e -> ((Entry.Life) e).owner()).filter(o -> !o.equals(owner))
                 .findFirst().orElse("");
         foreign = !other.isEmpty();
-        behind = state != Journal.State.WHOLE || !unread.isEmpty();
+        behind = state != Journal.Condition.INTACT || !unread.isEmpty();
         written = entries.size();
-        kept = Kept.of(entries);
+        kept = RecoveryState.replay(entries);
         unread.forEach(kept::apply);
-        if (state == Journal.State.SPOILT) {
-            journal.setAside();
+        if (state == Journal.Condition.CORRUPT) {
+            journal.backUp();
         }
-        Trust.Finding found = foreign ? Trust.Finding.ANOTHERS : state == Journal.State.SPOILT ? Trust.Finding.CORRUPT
-                : state == Journal.State.NONE ? Trust.Finding.LOST : Trust.Finding.WHOLE;
+        DurableFact.FolderCondition found = foreign ? DurableFact.FolderCondition.ANOTHERS : state == Journal.Condition.CORRUPT ? DurableFact.FolderCondition.CORRUPT
+                : state == Journal.Condition.MISSING ? DurableFact.FolderCondition.LOST : DurableFact.FolderCondition.WHOLE;
         to.accept(new Input.KeptRead(found, entries, switch (found) {
             case ANOTHERS -> "it is that of " + other + ", and nothing is kept";
             case CORRUPT -> "what stands behind " + entries.size() + " entries is not what was written, and was set aside";
@@ -224,7 +224,7 @@
             return false;
         }
         try {
-            List<Entry> whole = behind || written > REWRITE_AFTER ? kept.entries() : null;
+            List<Entry> whole = behind || written > REWRITE_AFTER ? kept.compactedEntries() : null;
             if (whole != null && (behind || written > REWRITE_AFTER + whole.size())) {
                 journal.rewrite(bytes(whole));
                 written = whole.size();
--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import quincespar.program.fleet.FleetPages.Page;
-import quincespar.recovery.Kept;
 import quincespar.recovery.Recovery;
+import quincespar.recovery.RecoveryState;
 import quincespar.routing.Input;
 import quincespar.routing.Returned;
 
@@ -45,7 +45,7 @@
             return new Page(OK, JSON, json(r));
         } else if (path.startsWith(DOUBTFUL) && method.equals("PUT")) {
             String txn = path.substring(DOUBTFUL.length());
-            if (r.doubtful().stream().noneMatch(l -> l.begun().txn().equals(txn))) {
+            if (r.doubtful().stream().noneMatch(l -> l.start().txn().equals(txn))) {
                 return new Page(NOT_FOUND, TEXT, "no load " + txn + " is in doubt\n");
             }
             to.accept(new Input.Acknowledged(txn));
@@ -63,23 +63,23 @@
         try (JsonGenerator to = new JsonFactory().createGenerator(out)) {
             to.writeStartObject();
             to.writeStringField("phase", v.phase().name());
-            to.writeStringField("line", v.line());
-            to.writeBooleanField("alone", v.alone());
-            to.writeStringField("sends", String.join(",", v.sends()));
+            to.writeStringField("line", v.statusLine());
+            to.writeBooleanField("alone", v.withoutQuorum());
+            to.writeStringField("sends", String.join(",", v.openClasses()));
             to.writeBooleanField("cold", v.coldFrom() > 0);
-            to.writeNumberField("withheldEngines", v.withheld());
-            to.writeNumberField("doubtfulLoads", v.doubtful());
+            to.writeNumberField("withheldEngines", v.withheldEngines());
+            to.writeNumberField("doubtfulLoads", v.doubtfulLoads());
             to.writeNumberField("unkeptLoads", r.unkept());
             to.writeArrayFieldStart("doubtful");
-            for (Kept.Load l : r.doubtful()) {
+            for (RecoveryState.Load l : r.doubtful()) {
                 to.writeStartObject();
-                to.writeStringField("txn", l.begun().txn());
-                to.writeStringField("class", l.begun().cls());
-                to.writeStringField("team", l.begun().team());
-                to.writeStringField("digest", l.begun().digest());
-                to.writeNumberField("tables", l.begun().tables());
+                to.writeStringField("txn", l.start().txn());
+                to.writeStringField("class", l.start().cls());
+                to.writeStringField("team", l.start().team());
+                to.writeStringField("digest", l.start().digest());
+                to.writeNumberField("tables", l.start().tables());
                 to.writeStringField("engine", l.engine());
-                to.writeStringField("at", Instant.ofEpochMilli(l.begun().at()).toString());
+                to.writeStringField("at", Instant.ofEpochMilli(l.start().at()).toString());
                 to.writeEndObject();
             }
             to.writeEndArray();
@@ -103,9 +103,9 @@
             out.append("gw_recovery_phase{phase=\"").append(p.name().toLowerCase(java.util.Locale.ROOT)).append("\"} ").append(p
                     == r.view().phase() ? 1 : 0).append('\n');
         }
-        for (Figure f : List.of(new Figure("gw_recovery_alone", "gauge", "Whether it returns without a majority.", r.view().alone() ? 1 : 0),
-                new Figure("gw_recovery_withheld_engines", "gauge", "Listed engines that take nothing since the loss.", r.view().withheld()),
-                new Figure("gw_recovery_doubtful_loads", "gauge", "Loads that may have run before the loss.", r.view().doubtful()),
+        for (Figure f : List.of(new Figure("gw_recovery_alone", "gauge", "Whether it returns without a majority.", r.view().withoutQuorum() ? 1 : 0),
+                new Figure("gw_recovery_withheld_engines", "gauge", "Listed engines that take nothing since the loss.", r.view().withheldEngines()),
+                new Figure("gw_recovery_doubtful_loads", "gauge", "Loads that may have run before the loss.", r.view().doubtfulLoads()),
                 new Figure("gw_recovery_unkept_loads_total", "counter", "Loads that went out though the disk refused.", r.unkept()),
                 new Figure("gw_recovery_forces_total", "counter", "Groups of entries forced to disk.", c.forces()),
                 new Figure("gw_recovery_entries_total", "counter", "Entries in them.", c.entries()),
--- a/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.recovery.Pace;
+import quincespar.recovery.RecoveryTimeouts;
 import quincespar.settings.ConfException;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
@@ -14,7 +14,7 @@
  * @param folder where what must be known after it is kept
  * @param notesLoads whether a load goes out only once it is on disk that it may run
  */
-public record RecoverySettings(Pace pace, Path folder, boolean notesLoads) {
+public record RecoverySettings(RecoveryTimeouts pace, Path folder, boolean notesLoads) {
     private static final String SUBFOLDER = "recovery";
 
     /** Whether the file asks for it. */
@@ -36,7 +36,7 @@
         if (!problems.isEmpty()) {
             throw new ConfException(problems);
         }
-        return new RecoverySettings(new Pace(s.number(Keyword.RECOVERY_READING), s.number(Keyword.RECOVERY_FINDING), agreeing,
+        return new RecoverySettings(new RecoveryTimeouts(s.number(Keyword.RECOVERY_READING), s.number(Keyword.RECOVERY_FINDING), agreeing,
                 s.number(Keyword.RECOVERY_PROBING), s.number(Keyword.RECOVERY_STEP), s.number(Keyword.RECOVERY_SPREAD),
                 s.number(Keyword.RECOVERY_STOOD)), Path.of(folder).resolve(SUBFOLDER), s.word(Keyword.RECOVERY_LOADS).equals("on"));
     }
--- a/frontend/src/main/java/quincespar/routing/Fellows.java
+++ b/frontend/src/main/java/quincespar/routing/Fellows.java
@@ -1,11 +1,11 @@
 package quincespar.routing;
 
 import quincespar.fleet.FleetView;
-import quincespar.fleet.Shares;
+import quincespar.fleet.ShareTracker;
 
 /** What is known of the other front ends, and among how many of them the engines are shared; nothing while there is no fleet. */
 final class Fellows {
-    private Shares shares;
+    private ShareTracker shares;
     private Site configured;
     private FleetView view = FleetView.NONE;
     private String self = "";
@@ -18,33 +18,33 @@
     void configured(Site next) {
         if (shares != null && (next.module().routers() != configured.module().routers()
                 || next.module().me() != configured.module().me())) {
-            shares = new Shares(next.module().routers(), next.module().me(), shares.holdMs());
+            shares = new ShareTracker(next.module().routers(), next.module().me(), shares.holdMs());
         }
         configured = next;
     }
 
     /** The configured settings, among as many as are known to be there. */
     Site site() {
-        return shares == null ? configured : configured.among(shares.share().among(), shares.share().place());
+        return shares == null ? configured : configured.among(shares.current().frontEnds(), shares.current().index());
     }
 
     /** News of the fleet. */
     void take(double now, Input.FleetNews news) {
         if (shares == null) {
-            shares = new Shares(configured.module().routers(), configured.module().me(), news.holdMs());
+            shares = new ShareTracker(configured.module().routers(), configured.module().me(), news.holdMs());
         }
         view = news.view();
         self = news.self();
-        shares.step(now, view, self);
+        shares.update(now, view, self);
     }
 
     /** Time has passed without news. */
     void due(double now) {
-        shares.step(now, view, self);
+        shares.update(now, view, self);
     }
 
     /** When {@link #due} is to be called, in milliseconds from {@code now}; infinite where not. */
     double dueMs(double now) {
-        return shares == null ? Double.POSITIVE_INFINITY : shares.dueMs(now);
+        return shares == null ? Double.POSITIVE_INFINITY : shares.nextUpdateMs(now);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -3,13 +3,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Action;
+import quincespar.decision.Gateway;
 import quincespar.metrics.Figures;
 import quincespar.metrics.Ledger;
 import quincespar.protocol.FleetEvent;
+import quincespar.recovery.ClassTraits;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Terms;
 
 /**
  * The one place where inputs are handed on to who holds the state that they change ({@link Requests}, {@link Attempts},
@@ -51,7 +51,7 @@
     }
 
     /** A site's classes as a return from a loss of power needs them. */
-    public static List<Terms> terms(Site site) {
+    public static List<ClassTraits> terms(Site site) {
         return Returning.terms(site);
     }
 
--- a/frontend/src/main/java/quincespar/routing/Returned.java
+++ b/frontend/src/main/java/quincespar/routing/Returned.java
@@ -1,8 +1,8 @@
 package quincespar.routing;
 
 import java.util.List;
-import quincespar.recovery.Kept;
 import quincespar.recovery.Recovery;
+import quincespar.recovery.RecoveryState;
 
 /**
  * Where a return from a loss of power stands.
@@ -10,4 +10,4 @@
  * @param doubtful loads that may have run before the loss
  * @param unkept loads that went out though the disk did not take that they may run
  */
-public record Returned(Recovery.View view, List<Kept.Load> doubtful, long unkept) { }
+public record Returned(Recovery.View view, List<RecoveryState.Load> doubtful, long unkept) { }
--- a/frontend/src/main/java/quincespar/routing/Returning.java
+++ b/frontend/src/main/java/quincespar/routing/Returning.java
@@ -7,11 +7,11 @@
 import quincespar.decision.Gateway;
 import quincespar.fleet.FleetView;
 import quincespar.protocol.FleetEvent;
+import quincespar.recovery.ClassTraits;
 import quincespar.recovery.Entry;
+import quincespar.recovery.Recovery.Action;
+import quincespar.recovery.Recovery.ListSource;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Recovery.Act;
-import quincespar.recovery.Recovery.Source;
-import quincespar.recovery.Terms;
 
 /** The reducer's holder of a return from a loss of power: carries out what {@link Recovery} wants. Where there is none, nothing is held back. */
 final class Returning {
@@ -21,7 +21,7 @@
     /** Null where nothing of this is on. */
     private final Recovery recovery;
     private final boolean notesLoads;
-    private Source source = Source.SNAPSHOT;
+    private ListSource source = ListSource.SNAPSHOT;
     private boolean relist;
     private boolean news = true;
     private long unkept;
@@ -34,8 +34,8 @@
     }
 
     /** Classes as a return needs them. */
-    static List<Terms> terms(Site site) {
-        return site.module().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(),
+    static List<ClassTraits> terms(Site site) {
+        return site.module().classes().stream().map(c -> new ClassTraits(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(),
                 c.aim())).toList();
     }
 
@@ -43,19 +43,19 @@
         return recovery != null;
     }
 
-    private void perform(List<Act> acts) {
-        for (Act act : acts) {
+    private void perform(List<Action> acts) {
+        for (Action act : acts) {
             // what one load goes through changes nothing that is told: a list of doubts must not be copied for each
-            news |= !(act instanceof Act.Keep k && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
-            if (act instanceof Act.Await a) {
-                turn.timer(new TimerKey.Recovery(a.number()), a.ms());
-            } else if (act instanceof Act.AskFleet) {
+            news |= !(act instanceof Action.Persist k && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
+            if (act instanceof Action.StartTimer a) {
+                turn.timer(new TimerKey.Recovery(a.timerId()), a.delayMs());
+            } else if (act instanceof Action.ReadFleetState) {
                 turn.effect(new Effect.AskFleet());
-            } else if (act instanceof Act.Keep a) {
+            } else if (act instanceof Action.Persist a) {
                 turn.effect(new Effect.Keep(a.entry(), 0));
-            } else if (act instanceof Act.Say a) {
-                turn.effect(new Effect.Log("recovery: " + a.line()));
-            } else if (act instanceof Act.Relist) {
+            } else if (act instanceof Action.Log a) {
+                turn.effect(new Effect.Log("recovery: " + a.message()));
+            } else if (act instanceof Action.RefreshEngineList) {
                 relist = true;
             }
         }
@@ -68,35 +68,35 @@
     }
 
     void read(Input.KeptRead x) {
-        perform(recovery.read(turn.now, x.found(), x.entries(), x.why()));
+        perform(recovery.folderRead(turn.now, x.found(), x.entries(), x.why()));
     }
 
     void agreed(Input.Agreed x) {
-        perform(recovery.agreed(turn.now, x.state()));
+        perform(recovery.fleetStateRead(turn.now, x.state()));
     }
 
     void due(long number) {
-        perform(recovery.due(turn.now, number));
+        perform(recovery.timerFired(turn.now, number));
     }
 
     void fleet(FleetView view) {
         if (on()) {
-            perform(recovery.fleet(turn.now, view));
+            perform(recovery.fleetChanged(turn.now, view));
         }
     }
 
     void classes(Site site) {
         if (on()) {
-            recovery.classes(terms(site));
+            recovery.setClasses(terms(site));
             news = true;
         }
     }
 
     /** The change log has answered whole; what it tells from now on is news. */
     void answered() {
-        if (on() && source == Source.SNAPSHOT) {
-            source = Source.NEWS;
-            perform(recovery.answered(turn.now));
+        if (on() && source == ListSource.SNAPSHOT) {
+            source = ListSource.UPDATE;
+            perform(recovery.changeLogAnswered(turn.now));
         }
     }
 
@@ -110,12 +110,12 @@
     /** The list has this of an engine. */
     void engine(FleetEvent.Member m) {
         if (on()) {
-            perform(recovery.engine(source, m.id(), m.phase() == FleetEvent.Phase.UP, m.startedAt()));
+            perform(recovery.engineListed(source, m.id(), m.phase() == FleetEvent.Phase.UP, m.startedAt()));
         }
     }
 
     boolean withholds(FleetEvent.Member m) {
-        return on() && recovery.withholds(m.id());
+        return on() && recovery.isWithheld(m.id());
     }
 
     double startedAt(String id, double startedAt) {
@@ -125,7 +125,7 @@
     /** A connection to it has come up. */
     void met(FleetEvent.Member m) {
         if (on()) {
-            perform(recovery.met(turn.now, m.id()));
+            perform(recovery.engineConnected(turn.now, m.id()));
         }
     }
 
@@ -141,7 +141,7 @@
             return Double.NaN;
         }
         Gateway.Limits l = turn.site.module().limits();
-        double back = recovery.comeBackMs(wait, q.txn());
+        double back = recovery.retryAfterMs(wait, q.txn());
         return !l.retryAfter() ? 0 : l.maxRetryAfter() > 0 ? Math.min(back, l.maxRetryAfter()) : back;
     }
 
@@ -153,9 +153,9 @@
     /** It may run once {@link Input.Noted} has come for it. */
     void begins(OpenRequest r) {
         Query q = r.query;
-        Entry.Begun e = recovery.begun(q.txn(), q.cls(), turn.site.module().tenants().get(q.tenant()).name(), digest(q.statement()), q.tables(),
+        Entry.Begun e = recovery.loadStarted(q.txn(), q.cls(), turn.site.module().tenants().get(q.tenant()).name(), digest(q.statement()), q.tables(),
                 q.limitMs(), Math.round(turn.now));
-        recovery.note(e); // the effect below carries it, with who waits for it
+        recovery.recordEntry(e); // the effect below carries it, with who waits for it
         turn.effect(new Effect.Keep(e, r.id));
     }
 
@@ -169,14 +169,14 @@
 
     void sent(OpenRequest r, Fleet.Engine e) {
         if (notes(r)) {
-            perform(recovery.note(new Entry.SentTo(r.query.txn(), e.listed.id())));
+            perform(recovery.recordEntry(new Entry.SentTo(r.query.txn(), e.listed.id())));
         }
     }
 
     /** Its client has its answer and nothing of it is out. */
     void ended(OpenRequest r) {
         if (notes(r)) {
-            perform(recovery.note(new Entry.Ended(r.query.txn())));
+            perform(recovery.recordEntry(new Entry.Ended(r.query.txn())));
         }
     }
 
@@ -189,14 +189,14 @@
     /** Staff have looked into a load that was in doubt. */
     void acknowledged(String txn) {
         if (on()) {
-            perform(recovery.note(new Entry.Acknowledged(txn)));
+            perform(recovery.recordEntry(new Entry.Acknowledged(txn)));
         }
     }
 
     /** Staff say that an engine takes work again. */
     void allowed(String engine) {
         if (on()) {
-            perform(recovery.note(new Entry.Back(engine)));
+            perform(recovery.recordEntry(new Entry.Back(engine)));
             relist = true;
         }
     }
@@ -205,7 +205,7 @@
     Returned report() {
         if (on() && news) {
             news = false;
-            report = new Returned(recovery.view(turn.now), List.copyOf(recovery.kept().doubtful()), unkept);
+            report = new Returned(recovery.view(turn.now), List.copyOf(recovery.state().doubtfulLoads()), unkept);
         }
         return report;
     }
--- a/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import quincespar.recovery.DurableFact;
 import quincespar.recovery.Entry;
-import quincespar.recovery.Trust;
 import quincespar.routing.Input;
 
 @Timeout(30)
@@ -44,7 +44,7 @@
     @Test
     void whatWasNotedIsThereAtTheNextStartAndASecondProcessWaits() throws InterruptedException {
         KeptFolder one = open("a");
-        assertThat(read().found()).isEqualTo(Trust.Finding.LOST);
+        assertThat(read().found()).isEqualTo(DurableFact.FolderCondition.LOST);
         one.add(new Entry.Life("a", 1), 0);
         one.add(load("x"), 7);
         assertThat(next()).isEqualTo(new Input.Noted(7, true));
@@ -52,7 +52,7 @@
         one.add(load("y"), 8);
         assertThat(next()).isEqualTo(new Input.Noted(8, true)); // the second reads nothing meanwhile
         one.close(20_000);
-        assertThat(read()).isEqualTo(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x"), load("y")), ""));
+        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life("a", 1), load("x"), load("y")), ""));
         assertThat(one.counts().entries()).isEqualTo(3);
         two.close(20_000);
     }
@@ -66,7 +66,7 @@
         one.close(20_000);
         byte[] before = Files.readAllBytes(folder.resolve("kept"));
         KeptFolder two = open("b");
-        assertThat(read().found()).isEqualTo(Trust.Finding.ANOTHERS);
+        assertThat(read().found()).isEqualTo(DurableFact.FolderCondition.ANOTHERS);
         two.add(load("z"), 9);
         assertThat(next()).isEqualTo(new Input.Noted(9, false));
         two.close(20_000);
@@ -88,14 +88,14 @@
         Files.write(folder.resolve("kept"), bad);
         KeptFolder two = open("a");
         Input.KeptRead r = read();
-        assertThat(r.found()).isEqualTo(Trust.Finding.CORRUPT);
+        assertThat(r.found()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
         assertThat(r.entries()).startsWith(new Entry.Life("a", 1)).hasSizeLessThan(3);
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.Noted(3, true));
         two.close(20_000);
         assertThat(Files.readAllBytes(folder.resolve("kept-spoilt"))).isEqualTo(bad);
         KeptFolder three = open("a"); // written anew, it is whole
-        assertThat(read().found()).isEqualTo(Trust.Finding.WHOLE);
+        assertThat(read().found()).isEqualTo(DurableFact.FolderCondition.WHOLE);
         three.close(20_000);
     }
 
@@ -114,7 +114,7 @@
         assertThat(next()).isEqualTo(new Input.Noted(2, false));
         Files.delete(folder.resolve("kept"));
         Files.move(folder.resolve("whole"), folder.resolve("kept"));
-        assertThat(read()).isEqualTo(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life("a", 1), load("x")), ""));
+        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life("a", 1), load("x")), ""));
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.Noted(3, true));
         two.close(20_000);
--- a/frontend/src/test/java/quincespar/routing/ReturningTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReturningTest.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import quincespar.protocol.FleetEvent.Phase;
+import quincespar.recovery.DurableFact;
 import quincespar.recovery.Entry;
-import quincespar.recovery.Pace;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Trust;
+import quincespar.recovery.RecoveryTimeouts;
 import quincespar.routing.RouterWorld.Spec;
 
 /** What a return from a loss of power holds back in the reducer, and that a load goes out only once it is on disk that it may run. */
 class ReturningTest {
     private static final Site SITE = RouterWorld.site(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
 
-    private final RouterWorld world = new RouterWorld(SITE, new Recovery(new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
+    private final RouterWorld world = new RouterWorld(SITE, new Recovery(new RecoveryTimeouts(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
             Reducer.terms(SITE)));
 
     private List<Effect.Keep> kept() {
@@ -23,7 +23,7 @@
     }
 
     private void read(Entry... entries) {
-        world.step(new Input.KeptRead(Trust.Finding.WHOLE, List.of(entries), ""));
+        world.step(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(entries), ""));
     }
 
     /** The next wait of the return is over. */
@@ -99,7 +99,7 @@
     @Test
     void anEngineThatHadDrainedTakesNothingUntilNewsOfIt() {
         read(new Entry.Left("s-1", 0));
-        assertThat(world.reducer.returned().view().withheld()).isEqualTo(1);
+        assertThat(world.reducer.returned().view().withheldEngines()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
         }
@@ -107,9 +107,9 @@
         world.settle();
         assertThat(world.reducer.engines().keySet()).noneMatch(k -> k.startsWith("s-1."));
         world.changes(RouterWorld.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
-        assertThat(world.reducer.returned().view().withheld()).isEqualTo(1);
+        assertThat(world.reducer.returned().view().withheldEngines()).isEqualTo(1);
         world.changes(RouterWorld.member("s-1", Phase.UP));
-        assertThat(world.reducer.returned().view().withheld()).isZero();
+        assertThat(world.reducer.returned().view().withheldEngines()).isZero();
         world.step(new Input.Allowed("s-2"));
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
--- a/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
+++ b/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
@@ -18,9 +18,9 @@
 import quincespar.fleet.Standing;
 import quincespar.membership.Pace;
 import quincespar.protocol.FleetEvent;
+import quincespar.recovery.DurableFact;
 import quincespar.recovery.Entry;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Trust;
 import quincespar.routing.Bounds;
 import quincespar.routing.Caller;
 import quincespar.routing.Effect;
@@ -90,7 +90,7 @@
     private final List<VirtualEngine> engines = new ArrayList<>();
     private final List<FleetEvent.Member> listed = new ArrayList<>();
     private final List<Front> fronts = new ArrayList<>();
-    private FleetState agreed = FleetState.of(Snapshot.EMPTY);
+    private FleetState agreed = FleetState.restore(Snapshot.EMPTY);
     private double leadsAt = Double.POSITIVE_INFINITY;
     private final double[] served;
     private final double[] possible;
@@ -214,13 +214,13 @@
 
         void start() {
             Site site = site(loss.fronts(), number);
-            Recovery r = loss.returns() ? new Recovery(new quincespar.recovery.Pace(2000, 5000, 4000, 3000, 1000, 2000, STOOD), name, true,
+            Recovery r = loss.returns() ? new Recovery(new quincespar.recovery.RecoveryTimeouts(2000, 5000, 4000, 3000, 1000, 2000, STOOD), name, true,
                     Reducer.terms(site)) : null;
             reducer = new Reducer(site, new Bounds(1000, 5000, 2000, 2500, 8, 8, 500, new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
                     new Brain(site.module(), loss.seed() * 1000 + number), r, loss.returns());
             perform(reducer.start(EPOCH + time.now(), "10.0.0.2:1", List.of(new FleetEvent(1, 1, true, listed))));
             if (loss.returns()) {
-                time.after(READ, () -> take(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life(name, 1)), "")));
+                time.after(READ, () -> take(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life(name, 1)), "")));
             }
             voterBack();
             time.after(chance.nextDouble() * RENEW, this::meet);
