--- a/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
+++ b/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
@@ -84,7 +84,7 @@
         group = RaftGroup.valueOf(RaftGroupId.valueOf(UUID.nameUUIDFromBytes(plan.group().getBytes(
                 StandardCharsets.UTF_8))), voters);
         RaftProperties p = properties();
-        RaftClientConfigKeys.Rpc.setRequestTimeout(p, ms(3 * plan.electionMs()));
+        RaftClientConfigKeys.Rpc.setRequestTimeout(p, ms(3 * plan.electionTimeoutMs()));
         client = RaftClient.newBuilder().setProperties(p).setRaftGroup(group)
                 .setParameters(FleetRpcType.parameters(plan, closing))
                 .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(TRIES, TimeDuration.valueOf(TRY_MS,
@@ -176,14 +176,14 @@
         NettyConfigKeys.Server.setHost(p, address.substring(0, colon));
         NettyConfigKeys.Server.setPort(p, Integer.parseInt(address.substring(colon + 1)));
         RaftServerConfigKeys.setStorageDir(p, List.of(folder.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(p, ms(plan.electionMs()));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(p, ms(2 * plan.electionMs()));
-        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(p, ms(plan.electionMs()));
-        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(p, ms(2 * plan.electionMs()));
-        RaftServerConfigKeys.Rpc.setRequestTimeout(p, ms(2 * plan.electionMs()));
-        RaftServerConfigKeys.Rpc.setSleepTime(p, ms(plan.electionMs() / 10));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(p, ms(plan.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(p, ms(2 * plan.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(p, ms(plan.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(p, ms(2 * plan.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setRequestTimeout(p, ms(2 * plan.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setSleepTime(p, ms(plan.electionTimeoutMs() / 10));
         RaftServerConfigKeys.Log.Appender.setBufferByteLimit(p, SizeInBytes.valueOf(BUFFER));
-        RaftServerConfigKeys.Log.Appender.setRetryPolicy(p, "1ms," + RETRIES_AT_ONCE + ", " + Math.round(plan.electionMs()
+        RaftServerConfigKeys.Log.Appender.setRetryPolicy(p, "1ms," + RETRIES_AT_ONCE + ", " + Math.round(plan.electionTimeoutMs()
                 / RETRIES_AN_ELECTION) + "ms," + Integer.MAX_VALUE);
         RaftServerConfigKeys.Log.setWriteBufferSize(p, SizeInBytes.valueOf(LOG_BUFFER));
         RaftServerConfigKeys.Log.setSegmentSizeMax(p, SizeInBytes.valueOf(SEGMENT));
@@ -193,7 +193,7 @@
         RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, SNAPSHOT_EVERY);
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, SNAPSHOTS_KEPT);
         RaftServerConfigKeys.Read.setOption(p, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        RaftServerConfigKeys.Read.setTimeout(p, ms(3 * plan.electionMs()));
+        RaftServerConfigKeys.Read.setTimeout(p, ms(3 * plan.electionTimeoutMs()));
         RaftServerConfigKeys.ThreadPool.setServerSize(p, SERVERS);
         RaftServerConfigKeys.ThreadPool.setClientSize(p, SERVERS);
         RaftServerConfigKeys.ThreadPool.setProxySize(p, SERVERS);
@@ -238,7 +238,7 @@
         Status s = status();
         if (s.voting() && s.leader().equals(self)) {
             call(commands, () -> client.admin().transferLeadership(null, RaftPeerId.valueOf(self), Math.round(2
-                    * plan.electionMs()))).whenComplete((done, e) -> {
+                    * plan.electionTimeoutMs()))).whenComplete((done, e) -> {
                         if (e != null) { // then the others find out by the silence, as with a kill
                             log.info("the lead was not handed over: {}", e.toString());
                         }
@@ -291,8 +291,8 @@
                 return;
             }
             long time = clock.advance(System.nanoTime() / 1e6, machine.agreedTime());
-            RaftClientReply r = client.io().send(Message.valueOf(CorrelationToken.tagRequest(codec.write(new Command.Tick(time, Math.round(plan.suspectMs()),
-                    Math.round(plan.goneMs()))))));
+            RaftClientReply r = client.io().send(Message.valueOf(CorrelationToken.tagRequest(codec.write(new Command.Tick(time, Math.round(plan.suspectAfterMs()),
+                    Math.round(plan.goneAfterMs()))))));
             if (!r.isSuccess()) {
                 clock.reset();
             }
--- a/fleet/src/main/java/quincespar/fleet/FleetConfig.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetConfig.java
@@ -18,8 +18,8 @@
  * @param electionMs a voter that has not heard of a leader for so long asks to be one, up to twice as long
  * @param holdMs how long fewer instances must be known before shares grow
  */
-public record FleetConfig(String group, Map<String, String> voters, Map<String, String> addressOverrides, double renewMs, double suspectMs,
-        double goneMs, double electionMs, double holdMs) {
+public record FleetConfig(String group, Map<String, String> voters, Map<String, String> addressOverrides, double renewIntervalMs, double suspectAfterMs,
+        double goneAfterMs, double electionTimeoutMs, double shareGrowthDelayMs) {
 
     private static final int LEAST_PORT = 1, MOST_PORT = 65_535;
     private static final List<Integer> VOTERS = List.of(1, 3, 5);
@@ -66,13 +66,13 @@
         });
         addressOverrides.keySet().stream().filter(n -> !voters.containsKey(n)).forEach(n -> out.add("fleet via names " + n
                 + ", which is no voter"));
-        if (suspectMs < 3 * renewMs) {
+        if (suspectAfterMs < 3 * renewIntervalMs) {
             out.add("fleet suspect must be three times renew at least, so that one lost renewal moves nobody");
         }
-        if (goneMs < suspectMs + renewMs) {
+        if (goneAfterMs < suspectAfterMs + renewIntervalMs) {
             out.add("fleet gone must be suspect and renew together at least");
         }
-        if (suspectMs < 3 * electionMs) {
+        if (suspectAfterMs < 3 * electionTimeoutMs) {
             out.add("fleet suspect must be three times election at least, or a change of leader makes all suspected");
         }
         return out;
--- a/fleet/src/main/java/quincespar/fleet/Participation.java
+++ b/fleet/src/main/java/quincespar/fleet/Participation.java
@@ -368,7 +368,7 @@
         submitted = 0;
         heardAt = now; // a majority answered, whatever it said
         watched = ++number;
-        acts.add(new Action.StartTimer(watched, plan.suspectMs() + 1));
+        acts.add(new Action.StartTimer(watched, plan.suspectAfterMs() + 1));
         if (r instanceof Result.Joined j) {
             joined(j.incarnation());
         } else if (r instanceof Result.Renewed) {
@@ -380,7 +380,7 @@
             if (voting && marking == 0 && now >= markedAt + MARK_MS) {
                 mark(now);
             }
-            await(plan.renewMs());
+            await(plan.renewIntervalMs());
         } else if (r instanceof Result.Refused x) {
             refused(x);
         } else if (leaving) {
@@ -444,7 +444,7 @@
             if (leaving) {
                 phase = Phase.LEFT;
             } else {
-                if (phase == Phase.IN_TOUCH && now - heardAt > plan.suspectMs()) {
+                if (phase == Phase.IN_TOUCH && now - heardAt > plan.suspectAfterMs()) {
                     phase = Phase.OUT_OF_TOUCH;
                     say("hears of no majority: " + why);
                 }
@@ -459,7 +459,7 @@
 
     /** A wait is over. */
     public List<Action> timerFired(double now, long of) {
-        if (of == watched && phase == Phase.IN_TOUCH && now - heardAt > plan.suspectMs()) {
+        if (of == watched && phase == Phase.IN_TOUCH && now - heardAt > plan.suspectAfterMs()) {
             phase = Phase.OUT_OF_TOUCH; // a renewal that goes on trying tells nothing by itself
             say("hears of no majority");
         }
@@ -488,7 +488,7 @@
     }
 
     private List<Action> done(double now) {
-        boolean inTouch = phase == Phase.IN_TOUCH && now - heardAt <= plan.suspectMs();
+        boolean inTouch = phase == Phase.IN_TOUCH && now - heardAt <= plan.suspectAfterMs();
         FleetView view = new FleetView(phase, line, incarnation, state, heardAt, inTouch);
         if (view.phase() != published.phase() || !view.statusLine().equals(published.statusLine()) || view.quorumReachable() != published.quorumReachable()
                 || view.state() != published.state() || view.incarnation() != published.incarnation()
--- a/fleet/src/main/java/quincespar/fleet/ShareTracker.java
+++ b/fleet/src/main/java/quincespar/fleet/ShareTracker.java
@@ -34,7 +34,7 @@
     }
 
     /** How long fewer must be known before shares grow, in milliseconds. */
-    public double holdMs() {
+    public double growthDelayMs() {
         return holdMs;
     }
 
--- a/fleet/src/main/java/quincespar/recovery/Recovery.java
+++ b/fleet/src/main/java/quincespar/recovery/Recovery.java
@@ -123,7 +123,7 @@
         if (beside) {
             full("it was started beside a process that serves");
         } else {
-            enter(now, Phase.READING, pace.readingMs(), "reads what it has kept");
+            enter(now, Phase.READING, pace.readTimeoutMs(), "reads what it has kept");
         }
         return taken();
     }
@@ -162,7 +162,7 @@
 
     private void find(double now) {
         if (fleet) {
-            enter(now, Phase.FINDING, pace.findingMs(), "looks for a majority of the fleet");
+            enter(now, Phase.FINDING, pace.majorityTimeoutMs(), "looks for a majority of the fleet");
         } else {
             alone = true;
             probe(now);
@@ -173,7 +173,7 @@
         if (answered) {
             step(now);
         } else {
-            enter(now, Phase.PROBING, pace.probingMs(), "waits for the change log");
+            enter(now, Phase.PROBING, pace.changeLogTimeoutMs(), "waits for the change log");
         }
     }
 
@@ -184,7 +184,7 @@
             acts.add(new Action.Log("hears a majority"));
         }
         if (phase == Phase.FINDING && view.quorumReachable()) {
-            enter(now, Phase.AGREEING, pace.agreeingMs(), "asks whether others stood through it");
+            enter(now, Phase.AGREEING, pace.agreementTimeoutMs(), "asks whether others stood through it");
             acts.add(new Action.ReadFleetState());
         }
         return taken();
@@ -206,10 +206,10 @@
         joinedAt = joinedAt < 0 ? s.time() : joinedAt;
         List<Instance> others = s.instances().stream().filter(i -> !i.name().equals(self) && i.standing().isActive()).toList();
         String stood = others.stream().filter(i -> i.standing() == Standing.SERVING && i.renewedAt() > joinedAt
-                && s.time() - i.since() >= pace.survivorUptimeMs()).map(Instance::name).findFirst().orElse("");
+                && s.time() - i.since() >= pace.survivedAfterMs()).map(Instance::name).findFirst().orElse("");
         if (!stood.isEmpty()) {
             full(stood + " has served all the time");
-        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.since() < pace.survivorUptimeMs())) {
+        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.since() < pace.survivedAfterMs())) {
             acts.add(new Action.Log("all others that are known came back as this one did"));
             probe(now);
         } else {
@@ -262,7 +262,7 @@
         if (open >= order.size()) {
             full("all classes go");
         } else {
-            enter(now, Phase.RETURNING, pace.stepMs(), "sends " + name(open - 1) + (open == 1 ? "" : " and what went before") + ", next "
+            enter(now, Phase.RETURNING, pace.classIntervalMs(), "sends " + name(open - 1) + (open == 1 ? "" : " and what went before") + ", next "
                     + name(open));
         }
     }
@@ -312,16 +312,16 @@
             return held;
         }
         double stages = switch (phase) {
-            case READING -> 1 + pace.findingMs() / 2 + pace.agreeingMs() / 2;
-            case FINDING -> pace.agreeingMs() / 2;
+            case READING -> 1 + pace.majorityTimeoutMs() / 2 + pace.agreementTimeoutMs() / 2;
+            case FINDING -> pace.agreementTimeoutMs() / 2;
             default -> 0;
         };
-        return Math.max(held, Math.max(1, phaseUntil - now) + stages + Math.max(0, place - Math.max(open, 1)) * pace.stepMs());
+        return Math.max(held, Math.max(1, phaseUntil - now) + stages + Math.max(0, place - Math.max(open, 1)) * pace.classIntervalMs());
     }
 
     /** A wait as one client is told it: spread by the request's own name, so that those turned away don't return in one wave. */
     public double retryAfterMs(double waitMs, String txn) {
-        return waitMs + Math.floorMod(txn.hashCode() * 0x9E3779B9, 1000) / 1000.0 * pace.spreadMs();
+        return waitMs + Math.floorMod(txn.hashCode() * 0x9E3779B9, 1000) / 1000.0 * pace.retrySpreadMs();
     }
 
     /** Whether anything may be sent: before that this front end is not ready. */
--- a/fleet/src/main/java/quincespar/recovery/RecoveryTimeouts.java
+++ b/fleet/src/main/java/quincespar/recovery/RecoveryTimeouts.java
@@ -11,5 +11,5 @@
  * @param spreadMs over which clients that are turned away come back
  * @param stoodMs whoever has served for so long, in agreed time, has stood through what this instance has not
  */
-public record RecoveryTimeouts(double readingMs, double findingMs, double agreeingMs, double probingMs, double stepMs, double spreadMs,
-        double survivorUptimeMs) { }
+public record RecoveryTimeouts(double readTimeoutMs, double majorityTimeoutMs, double agreementTimeoutMs, double changeLogTimeoutMs, double classIntervalMs, double retrySpreadMs,
+        double survivedAfterMs) { }
--- a/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
+++ b/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
@@ -95,8 +95,8 @@
     void aRenewalThatGoesOnTryingTellsOfALostMajorityInTime() {
         inTouch();
         long watch = acts.stream().filter(Action.StartTimer.class::isInstance).map(Action.StartTimer.class::cast)
-                .filter(a -> a.delayMs() > PLAN.suspectMs()).reduce((x, y) -> y).orElseThrow().timerId();
-        now = PLAN.suspectMs() + 1;
+                .filter(a -> a.delayMs() > PLAN.suspectAfterMs()).reduce((x, y) -> y).orElseThrow().timerId();
+        now = PLAN.suspectAfterMs() + 1;
         acts.addAll(p.timerFired(now, watch));
         assertThat(view().phase()).isEqualTo(Phase.OUT_OF_TOUCH);
         assertThat(view().quorumReachable()).isFalse();
@@ -157,8 +157,8 @@
     void aLostMajorityIsToldAndAnswersThatAreLateCountForNothing() {
         inTouch();
         long renewal = acts.stream().filter(Action.StartTimer.class::isInstance).map(Action.StartTimer.class::cast)
-                .filter(a -> a.delayMs() == PLAN.renewMs()).reduce((x, y) -> y).orElseThrow().timerId();
-        now = PLAN.suspectMs() + 1;
+                .filter(a -> a.delayMs() == PLAN.renewIntervalMs()).reduce((x, y) -> y).orElseThrow().timerId();
+        now = PLAN.suspectAfterMs() + 1;
         acts.addAll(p.timerFired(now, renewal));
         long old = last(Action.Submit.class).requestId();
         acts.addAll(p.commandFailed(now, old, "no leader"));
@@ -210,7 +210,7 @@
 
     private void renewal() {
         acts.addAll(p.timerFired(now, acts.stream().filter(Action.StartTimer.class::isInstance).map(Action.StartTimer.class::cast)
-                .filter(a -> a.delayMs() == PLAN.renewMs()).reduce((x, y) -> y).orElseThrow().timerId()));
+                .filter(a -> a.delayMs() == PLAN.renewIntervalMs()).reduce((x, y) -> y).orElseThrow().timerId()));
     }
 
     /** On a slow disk renewals go on, with the last mark that is there for certain, and no second one is asked for. */
--- a/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
@@ -78,8 +78,8 @@
         assertThat(r.coldFrom("e", 0)).isGreaterThan(now); // every engine may be cold, one that nobody has reached above all
         acts.addAll(r.changeLogAnswered(now));
         assertThat(phase()).isEqualTo(Phase.RETURNING);
-        assertThat(r.waitMs(now, REPORT, 0)).isEqualTo(PACE.stepMs());
-        assertThat(r.waitMs(now, LOAD, 0)).isEqualTo(2 * PACE.stepMs());
+        assertThat(r.waitMs(now, REPORT, 0)).isEqualTo(PACE.classIntervalMs());
+        assertThat(r.waitMs(now, LOAD, 0)).isEqualTo(2 * PACE.classIntervalMs());
         due();
         assertThat(sends()).containsExactly("lookup", "report");
         due();
@@ -198,8 +198,8 @@
         for (int i = 0; i < 1000; i++) {
             all.add(r.retryAfterMs(100, "txn-" + i));
         }
-        assertThat(all).allSatisfy(ms -> assertThat(ms).isBetween(100.0, 100 + PACE.spreadMs()));
-        Map<Long, Long> tenths = all.stream().collect(java.util.stream.Collectors.groupingBy(ms -> (long) ((ms - 100) / PACE.spreadMs() * 10),
+        assertThat(all).allSatisfy(ms -> assertThat(ms).isBetween(100.0, 100 + PACE.retrySpreadMs()));
+        Map<Long, Long> tenths = all.stream().collect(java.util.stream.Collectors.groupingBy(ms -> (long) ((ms - 100) / PACE.retrySpreadMs() * 10),
                 java.util.stream.Collectors.counting()));
         assertThat(tenths).hasSize(10);
         assertThat(tenths.values()).allSatisfy(n -> assertThat(n).isBetween(50L, 200L));
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -30,10 +30,10 @@
 import quincespar.program.runtime.Timers;
 import quincespar.program.runtime.Version;
 import quincespar.program.status.StatusAddress;
+import quincespar.recovery.Recovery;
 import quincespar.routing.Bounds;
 import quincespar.routing.Effect;
 import quincespar.routing.Input;
-import quincespar.recovery.Recovery;
 import quincespar.routing.Reducer;
 import quincespar.routing.Returned;
 import quincespar.settings.Keyword;
@@ -147,7 +147,7 @@
         fellows = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
-                view -> inputs.add(new Input.FleetNews(view, c.name(), fleet.plan().holdMs())));
+                view -> inputs.add(new Input.FleetNews(view, c.name(), fleet.plan().shareGrowthDelayMs())));
         if (status != null && (fellows != null || kept != null)) {
             FleetPages pages = fellows == null ? null : new FleetPages(fellows);
             RecoveryPages more = kept == null ? null : recoveryPages();
--- a/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
@@ -463,7 +463,7 @@
             sizedAt = now();
             on(files, this::size);
         }
-        after(settings.plan().renewMs(), this::look);
+        after(settings.plan().renewIntervalMs(), this::look);
     }
 
     /** Over its bound the log of votes is cut to what was agreed last, and that is told once. */
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -26,20 +26,12 @@
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
     public static FleetSettings of(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
-<<<<<<< HEAD
-        FleetConfig plan = new FleetConfig(s.word(Keyword.FLEET_GROUP),
-                FleetConfig.parseAddresses(s.word(Keyword.FLEET_VOTERS), "fleet voters", problems),
-                FleetConfig.parseAddresses(s.word(Keyword.FLEET_VIA), "fleet via", problems), s.number(Keyword.FLEET_RENEW),
-                s.number(Keyword.FLEET_SUSPECT), s.number(Keyword.FLEET_GONE), s.number(Keyword.FLEET_ELECTION),
-                s.number(Keyword.FLEET_HOLD));
-=======
-        Plan plan = new Plan(s.text(Keyword.FLEET_GROUP),
-                Plan.addresses(s.text(Keyword.FLEET_VOTERS), "fleet voters", problems),
-                Plan.addresses(s.text(Keyword.FLEET_VOTER_ADDRESS_OVERRIDES), "fleet via", problems),
+        FleetConfig plan = new FleetConfig(s.text(Keyword.FLEET_GROUP),
+                FleetConfig.parseAddresses(s.text(Keyword.FLEET_VOTERS), "fleet voters", problems),
+                FleetConfig.parseAddresses(s.text(Keyword.FLEET_VOTER_ADDRESS_OVERRIDES), "fleet via", problems),
                 s.number(Keyword.FLEET_RENEW_INTERVAL), s.number(Keyword.FLEET_SUSPECT_AFTER),
                 s.number(Keyword.FLEET_GONE_AFTER), s.number(Keyword.FLEET_ELECTION_TIMEOUT),
                 s.number(Keyword.FLEET_SHARE_GROWTH_DELAY));
->>>>>>> origin/joined
         problems.addAll(plan.problems());
         if (!problems.isEmpty()) {
             throw new ConfException(problems.stream().map(p -> file + ": " + p).toList());
--- a/frontend/src/main/java/quincespar/routing/Fellows.java
+++ b/frontend/src/main/java/quincespar/routing/Fellows.java
@@ -18,7 +18,7 @@
     void configured(Site next) {
         if (shares != null && (next.module().routers() != configured.module().routers()
                 || next.module().me() != configured.module().me())) {
-            shares = new ShareTracker(next.module().routers(), next.module().me(), shares.holdMs());
+            shares = new ShareTracker(next.module().routers(), next.module().me(), shares.growthDelayMs());
         }
         configured = next;
     }
