--- a/agreement/src/main/java/quincespar/agreement/FleetStateMachine.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetStateMachine.java
@@ -150,7 +150,7 @@
         try {
             return codec.write((Record) state.apply(codec.readCommand(command)));
         } catch (MalformedRecord e) { // the same bytes are refused everywhere, so that states stay the same
-            return codec.write(new Result.Refused(Result.Why.FULL, "no command: " + e.getMessage()));
+            return codec.write(new Result.Refused(Result.Reason.LIMIT_REACHED, "no command: " + e.getMessage()));
         }
     }
 
--- a/fleet/src/main/java/quincespar/fleet/Command.java
+++ b/fleet/src/main/java/quincespar/fleet/Command.java
@@ -11,7 +11,7 @@
      * @param suspectMs a session that has not been renewed for longer is suspected
      * @param goneMs and for longer than this, over
      */
-    record Tick(long time, long suspectMs, long goneMs) implements Command { }
+    record Tick(long time, long suspectAfterMs, long goneAfterMs) implements Command { }
 
     /**
      * An instance begins a life.
@@ -21,7 +21,7 @@
      * @param mark the last mark that its folder holds, 0 for none
      * @param nonce drawn for this life: the same join sent twice is one
      */
-    record Join(String name, String folder, long last, long mark, String address, boolean voter, String build, long nonce)
+    record Join(String name, String folder, long lastIncarnation, long mark, String address, boolean voter, String build, long nonce)
             implements Command { }
 
     /**
@@ -30,7 +30,7 @@
      * @param known the version of the state that it has
      * @param mark the last mark that its folder holds for certain: who comes back with a lower one has an older folder
      */
-    record Renew(String name, long incarnation, Standing standing, long known, long mark) implements Command { }
+    record Renew(String name, long incarnation, Standing standing, long knownVersion, long mark) implements Command { }
 
     /** An instance ends its life in order. */
     record Leave(String name, long incarnation) implements Command { }
@@ -41,6 +41,6 @@
      * @param serial the number of this write within the life, rising by one: a write that is sent again is the same write
      * @param ifVersion the version that it must have, 0 where it must not exist, negative for any
      */
-    record Write(String name, long incarnation, long serial, String register, long ifVersion, String value)
+    record Write(String name, long incarnation, long sequence, String register, long expectedVersion, String value)
             implements Command { }
 }
--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -13,7 +13,31 @@
  */
 public final class FleetCodec {
     /** The stored names of commands, results and snapshots, and of all that they hold, where the code has other names. */
-    private static final StoredNames STORED_NAMES = StoredNames.none();
+    private static final StoredNames STORED_NAMES = StoredNames.none()
+            .component(Command.Tick.class, "suspectAfterMs", "suspectMs")
+            .component(Command.Tick.class, "goneAfterMs", "goneMs")
+            .component(Command.Join.class, "lastIncarnation", "last")
+            .component(Command.Renew.class, "knownVersion", "known")
+            .component(Command.Write.class, "sequence", "serial")
+            .component(Command.Write.class, "expectedVersion", "ifVersion")
+            .component(Instance.class, "reportedStanding", "claimed")
+            .component(Instance.class, "standingSince", "since")
+            .component(Instance.class, "lastWriteSequence", "serial")
+            .component(Instance.class, "lastWriteResult", "last")
+            .component(Register.class, "writer", "by")
+            .component(Register.class, "writerIncarnation", "incarnation")
+            .component(Result.Refused.class, "reason", "why")
+            .component(Result.Refused.class, "message", "line")
+            .type(Result.Reason.class, "Why")
+            .constant(Result.Reason.FOLDER_OUTDATED, "FOLDER_OLD")
+            .constant(Result.Reason.INCARNATION_ENDED, "LIFE_OVER")
+            .constant(Result.Reason.SUPERSEDED, "FOLLOWED")
+            .constant(Result.Reason.LIMIT_REACHED, "FULL")
+            .component(Snapshot.class, "lastIncarnation", "incarnations")
+            .type(Snapshot.NameRecord.class, "Known")
+            .component(Snapshot.NameRecord.class, "lastJoinNonce", "nonce")
+            .component(Snapshot.NameRecord.class, "votingFolder", "votes")
+            .component(Snapshot.NameRecord.class, "votingIncarnation", "incarnation");
 
     private final RecordCodec records = new RecordCodec(STORED_NAMES, Command.class, Result.class, Snapshot.class);
 
--- a/fleet/src/main/java/quincespar/fleet/FleetState.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetState.java
@@ -19,7 +19,7 @@
 
     private final FleetCodec codec = new FleetCodec();
     private final Map<String, Instance> instances = new TreeMap<>();
-    private final Map<String, Snapshot.Known> names = new TreeMap<>();
+    private final Map<String, Snapshot.NameRecord> names = new TreeMap<>();
     private final Map<String, Register> registers = new TreeMap<>();
     private long version;
     private long time;
@@ -30,7 +30,7 @@
         FleetState out = new FleetState();
         out.version = s.version();
         out.time = s.time();
-        out.incarnations = s.incarnations();
+        out.incarnations = s.lastIncarnation();
         s.instances().forEach(i -> out.instances.put(i.name(), i));
         s.registers().forEach(r -> out.registers.put(r.name(), r));
         s.names().forEach(n -> out.names.put(n.name(), n));
@@ -86,9 +86,9 @@
         time = Math.max(time, x.time());
         for (Instance i : List.copyOf(instances.values())) {
             long silent = time - i.renewedAt();
-            if (i.standing() != Standing.GONE && silent > x.goneMs()) {
+            if (i.standing() != Standing.GONE && silent > x.goneAfterMs()) {
                 put(i.standing(Standing.GONE, time));
-            } else if (i.standing().isActive() && i.standing() != Standing.SUSPECTED && silent > x.suspectMs()) {
+            } else if (i.standing().isActive() && i.standing() != Standing.SUSPECTED && silent > x.suspectAfterMs()) {
                 put(i.standing(Standing.SUSPECTED, time));
             }
         }
@@ -110,32 +110,32 @@
      */
     private Result join(Command.Join x) {
         if (x.name().isEmpty() || Math.max(x.name().length(), x.address().length()) > MAX_NAME_CHARS) {
-            return new Result.Refused(Result.Why.FULL, "a name of 1 to " + MAX_NAME_CHARS + " characters is needed");
+            return new Result.Refused(Result.Reason.LIMIT_REACHED, "a name of 1 to " + MAX_NAME_CHARS + " characters is needed");
         }
         Instance before = instances.get(x.name());
-        Snapshot.Known known = names.getOrDefault(x.name(), Snapshot.Known.nothing(x.name()));
+        Snapshot.NameRecord known = names.getOrDefault(x.name(), Snapshot.NameRecord.unknown(x.name()));
         boolean holder = before != null && !before.folder().isEmpty() && before.folder().equals(x.folder());
-        boolean same = before != null && known.nonce() == x.nonce();
-        String against = x.voter() ? known.votingRejection(x.folder(), x.last(), x.mark(), x.nonce())
-                : holder && !same && x.last() < before.incarnation() ? "the folder of " + x.name() + " ends with incarnation "
-                + x.last() + ", and the fleet knows " + before.incarnation() + " of it" : "";
+        boolean same = before != null && known.lastJoinNonce() == x.nonce();
+        String against = x.voter() ? known.votingRejection(x.folder(), x.lastIncarnation(), x.mark(), x.nonce())
+                : holder && !same && x.lastIncarnation() < before.incarnation() ? "the folder of " + x.name() + " ends with incarnation "
+                + x.lastIncarnation() + ", and the fleet knows " + before.incarnation() + " of it" : "";
         if (!against.isEmpty()) {
-            return new Result.Refused(Result.Why.FOLDER_OLD, against);
+            return new Result.Refused(Result.Reason.FOLDER_OUTDATED, against);
         }
         if (same && before.standing().isActive()) { // sent again, or by who was killed before it could keep the answer
             return new Result.Joined(before.incarnation());
         }
         if (before != null && before.standing().isActive() && !(holder && before.address().equals(x.address()))) {
-            return new Result.Refused(Result.Why.NAME_TAKEN, "the name " + x.name() + " is taken by incarnation "
+            return new Result.Refused(Result.Reason.NAME_TAKEN, "the name " + x.name() + " is taken by incarnation "
                     + before.incarnation() + (before.address().isEmpty() ? "" : " at " + before.address())
                     + ", whose session is not over");
         }
         if (before == null && instances.size() >= MAX_INSTANCES && !forgetOne()) {
-            return new Result.Refused(Result.Why.FULL, MAX_INSTANCES + " instances are known and none has gone");
+            return new Result.Refused(Result.Reason.LIMIT_REACHED, MAX_INSTANCES + " instances are known and none has gone");
         }
         incarnations++;
-        names.put(x.name(), x.voter() ? new Snapshot.Known(x.name(), x.nonce(), x.folder(), incarnations, x.mark())
-                : new Snapshot.Known(x.name(), x.nonce(), known.votes(), known.incarnation(), known.mark()));
+        names.put(x.name(), x.voter() ? new Snapshot.NameRecord(x.name(), x.nonce(), x.folder(), incarnations, x.mark())
+                : new Snapshot.NameRecord(x.name(), x.nonce(), known.votingFolder(), known.votingIncarnation(), known.mark()));
         put(new Instance(x.name(), incarnations, x.folder(), x.address(), x.voter(), x.build(), Standing.JOINING,
                 Standing.JOINING, time, time, 0, new Result.Done()));
         return new Result.Joined(incarnations);
@@ -144,8 +144,8 @@
     /** Whoever has ever voted is not forgotten, as their folders must be told apart for good. */
     private boolean forgetOne() {
         Instance oldest = instances.values().stream().filter(i -> i.standing() == Standing.GONE
-                && names.get(i.name()).votes().isEmpty())
-                .min(Comparator.comparingLong(Instance::since)).orElse(null);
+                && names.get(i.name()).votingFolder().isEmpty())
+                .min(Comparator.comparingLong(Instance::standingSince)).orElse(null);
         if (oldest == null) {
             return false;
         }
@@ -163,9 +163,9 @@
     private Result over(String name, long incarnation) {
         Instance i = instances.get(name);
         if (i == null || i.incarnation() == incarnation) {
-            return new Result.Refused(Result.Why.LIFE_OVER, "incarnation " + incarnation + " of " + name + " is over");
+            return new Result.Refused(Result.Reason.INCARNATION_ENDED, "incarnation " + incarnation + " of " + name + " is over");
         }
-        return new Result.Refused(Result.Why.FOLLOWED, "incarnation " + incarnation + " of " + name
+        return new Result.Refused(Result.Reason.SUPERSEDED, "incarnation " + incarnation + " of " + name
                 + " was followed by incarnation " + i.incarnation());
     }
 
@@ -175,9 +175,9 @@
             return over(x.name(), x.incarnation());
         }
         put(i.renewed(x.standing(), time));
-        names.computeIfPresent(x.name(), (n, k) -> x.mark() > k.mark() && k.votes().equals(i.folder())
-                ? new Snapshot.Known(n, k.nonce(), k.votes(), k.incarnation(), x.mark()) : k);
-        return new Result.Renewed(version, time, x.known() == version ? new byte[0] : codec.write(snapshot()));
+        names.computeIfPresent(x.name(), (n, k) -> x.mark() > k.mark() && k.votingFolder().equals(i.folder())
+                ? new Snapshot.NameRecord(n, k.lastJoinNonce(), k.votingFolder(), k.votingIncarnation(), x.mark()) : k);
+        return new Result.Renewed(version, time, x.knownVersion() == version ? new byte[0] : codec.write(snapshot()));
     }
 
     private Result leave(Command.Leave x) {
@@ -193,26 +193,26 @@
         if (i == null) {
             return over(x.name(), x.incarnation());
         }
-        if (x.serial() == i.serial()) {
-            return i.last(); // the same write, sent again
+        if (x.sequence() == i.lastWriteSequence()) {
+            return i.lastWriteResult(); // the same write, sent again
         }
-        if (x.serial() != i.serial() + 1) {
-            return new Result.Refused(Result.Why.OUT_OF_ORDER, "write " + x.serial() + " of incarnation "
-                    + x.incarnation() + " of " + x.name() + " after write " + i.serial());
+        if (x.sequence() != i.lastWriteSequence() + 1) {
+            return new Result.Refused(Result.Reason.OUT_OF_ORDER, "write " + x.sequence() + " of incarnation "
+                    + x.incarnation() + " of " + x.name() + " after write " + i.lastWriteSequence());
         }
         Result r = write(x, registers.get(x.register()));
-        instances.put(i.name(), i.answered(x.serial(), r));
+        instances.put(i.name(), i.answered(x.sequence(), r));
         return r;
     }
 
     private Result write(Command.Write x, Register before) {
         long is = before == null ? 0 : before.version();
-        if (x.ifVersion() >= 0 && x.ifVersion() != is) {
+        if (x.expectedVersion() >= 0 && x.expectedVersion() != is) {
             return new Result.Conflict(is, before == null ? "" : before.value());
         }
         if (before == null && registers.size() >= MAX_REGISTERS || x.register().length() > MAX_NAME_CHARS
                 || x.value().length() > MAX_VALUE_CHARS) {
-            return new Result.Refused(Result.Why.FULL, "registers are " + MAX_REGISTERS + " at the most, with values of "
+            return new Result.Refused(Result.Reason.LIMIT_REACHED, "registers are " + MAX_REGISTERS + " at the most, with values of "
                     + MAX_VALUE_CHARS + " characters");
         }
         registers.put(x.register(), new Register(x.register(), is + 1, x.value(), x.name(), x.incarnation()));
--- a/fleet/src/main/java/quincespar/fleet/Instance.java
+++ b/fleet/src/main/java/quincespar/fleet/Instance.java
@@ -17,20 +17,20 @@
  * @param last what that write was answered, for the same write sent again
  */
 public record Instance(String name, long incarnation, String folder, String address, boolean voter, String build,
-        Standing standing, Standing claimed, long renewedAt, long since, long serial, Result last) {
+        Standing standing, Standing reportedStanding, long renewedAt, long standingSince, long lastWriteSequence, Result lastWriteResult) {
 
     Instance standing(Standing next, long now) {
-        return next == standing ? this : new Instance(name, incarnation, folder, address, voter, build, next, claimed,
-                renewedAt, now, serial, last);
+        return next == standing ? this : new Instance(name, incarnation, folder, address, voter, build, next, reportedStanding,
+                renewedAt, now, lastWriteSequence, lastWriteResult);
     }
 
     Instance renewed(Standing says, long now) {
-        return new Instance(name, incarnation, folder, address, voter, build, says, says, now, says == standing ? since : now,
-                serial, last);
+        return new Instance(name, incarnation, folder, address, voter, build, says, says, now, says == standing ? standingSince : now,
+                lastWriteSequence, lastWriteResult);
     }
 
     Instance answered(long number, Result result) {
-        return new Instance(name, incarnation, folder, address, voter, build, standing, claimed, renewedAt, since, number,
+        return new Instance(name, incarnation, folder, address, voter, build, standing, reportedStanding, renewedAt, standingSince, number,
                 result);
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/Participation.java
+++ b/fleet/src/main/java/quincespar/fleet/Participation.java
@@ -410,18 +410,18 @@
     private void refused(Result.Refused x) {
         if (leaving) {
             phase = Phase.LEFT;
-        } else if (x.why() == Result.Why.FOLDER_OLD) {
-            oldFolder(x.line());
+        } else if (x.reason() == Result.Reason.FOLDER_OUTDATED) {
+            oldFolder(x.message());
             join();
         } else if (phase == Phase.JOINING) {
-            say("is not taken in: " + x.line());
+            say("is not taken in: " + x.message());
             await(RETRY_MS);
-        } else if (x.why() == Result.Why.LIFE_OVER) {
-            say("was given up by the fleet and joins again: " + x.line());
+        } else if (x.reason() == Result.Reason.INCARNATION_ENDED) {
+            say("was given up by the fleet and joins again: " + x.message());
             rejoin();
         } else {
             phase = Phase.DISPLACED;
-            say("is no part of the fleet any more: " + x.line());
+            say("is no part of the fleet any more: " + x.message());
             if (voting) {
                 voting = false;
                 acts.add(new Action.StopVoting());
--- a/fleet/src/main/java/quincespar/fleet/Register.java
+++ b/fleet/src/main/java/quincespar/fleet/Register.java
@@ -8,4 +8,4 @@
  * @param by the name of the instance that wrote it
  * @param incarnation that instance's life
  */
-public record Register(String name, long version, String value, String by, long incarnation) { }
+public record Register(String name, long version, String value, String writer, long writerIncarnation) { }
--- a/fleet/src/main/java/quincespar/fleet/Result.java
+++ b/fleet/src/main/java/quincespar/fleet/Result.java
@@ -19,20 +19,20 @@
     record Done() implements Result { }
 
     /** Not done. */
-    record Refused(Why why, String line) implements Result { }
+    record Refused(Reason reason, String message) implements Result { }
 
     /** Why a command was refused. */
-    enum Why {
+    enum Reason {
         /** Another life of this name is under way: it may be over in a while. */
         NAME_TAKEN,
         /** The folder is older than what the fleet knows of it: a copy, or one restored from before. */
-        FOLDER_OLD,
+        FOLDER_OUTDATED,
         /** This life is over: it was not heard of for too long, or has left. */
-        LIFE_OVER,
+        INCARNATION_ENDED,
         /** Another life of this name has followed this one. */
-        FOLLOWED,
+        SUPERSEDED,
         /** A bound of the state is reached. */
-        FULL,
+        LIMIT_REACHED,
         /** The write's number is not the next one. */
         OUT_OF_ORDER
     }
--- a/fleet/src/main/java/quincespar/fleet/Snapshot.java
+++ b/fleet/src/main/java/quincespar/fleet/Snapshot.java
@@ -11,8 +11,8 @@
  * @param incarnations the highest incarnation given so far
  * @param names what is kept of each name beside its last life
  */
-public record Snapshot(int format, long version, long time, long incarnations, List<Instance> instances,
-        List<Register> registers, List<Known> names) {
+public record Snapshot(int format, long version, long time, long lastIncarnation, List<Instance> instances,
+        List<Register> registers, List<NameRecord> names) {
 
     /**
      * What is kept of a name for good.
@@ -22,10 +22,10 @@
      * @param incarnation the last that was given to that folder
      * @param mark the highest that it was said to hold for certain
      */
-    public record Known(String name, long nonce, String votes, long incarnation, long mark) {
+    public record NameRecord(String name, long lastJoinNonce, String votingFolder, long votingIncarnation, long mark) {
         /** Of a name of which nothing is known. */
-        static Known nothing(String name) {
-            return new Known(name, 0, "", 0, 0);
+        static NameRecord unknown(String name) {
+            return new NameRecord(name, 0, "", 0, 0);
         }
 
         /**
@@ -33,12 +33,12 @@
          * speaks against it. A join under way, by its nonce, may have been granted though the folder does not know it.
          */
         String votingRejection(String folder, long last, long marked, long asked) {
-            if (votes.isEmpty()) {
+            if (votingFolder.isEmpty()) {
                 return "";
-            } else if (!votes.equals(folder)) {
+            } else if (!votingFolder.equals(folder)) {
                 return "another folder has voted as " + name + ": what that one has promised this one does not know";
-            } else if (last < incarnation && asked != nonce) {
-                return "the folder of " + name + " ends with incarnation " + last + ", and the fleet knows " + incarnation
+            } else if (last < votingIncarnation && asked != lastJoinNonce) {
+                return "the folder of " + name + " ends with incarnation " + last + ", and the fleet knows " + votingIncarnation
                         + " of it: it is a copy, or was restored from before";
             }
             return marked >= mark ? "" : "the folder of " + name + " was last marked " + marked + ", and the fleet has heard of "
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Why that folder must not vote under that name, as far as this state knows: {@link Known#votingRejection}. */
+    /** Why that folder must not vote under that name, as far as this state knows: {@link NameRecord#votingRejection}. */
     public String votingRejection(String name, String folder, long last, long mark, long nonce) {
         return names.stream().filter(k -> k.name().equals(name)).findFirst().map(k -> k.votingRejection(folder, last, mark, nonce))
                 .orElse("");
--- a/fleet/src/main/java/quincespar/recovery/Recovery.java
+++ b/fleet/src/main/java/quincespar/recovery/Recovery.java
@@ -46,7 +46,7 @@
         record ReadFleetState() implements Action { }
 
         /** Keep this. */
-        record Persist(Entry entry) implements Action { }
+        record Persist(JournalEntry entry) implements Action { }
 
         /** Tell operators. */
         record Log(String message) implements Action { }
@@ -133,19 +133,19 @@
      *
      * @param why it was found so, for operators; empty where it is whole
      */
-    public List<Action> folderRead(double now, DurableFact.FolderCondition found, List<Entry> entries, String why) {
+    public List<Action> folderRead(double now, DurableFact.FolderCondition found, List<JournalEntry> entries, String why) {
         DurableFact.Handling doubts = DurableFact.LOAD_STARTED.handling(found);
         RecoveryState meanwhile = kept;
         kept = RecoveryState.replay(doubts == DurableFact.Handling.MISSING ? List.of() : entries);
-        keep(new Entry.Life(self, kept.lastProcess().number() + 1));
-        meanwhile.compactedEntries().stream().filter(e -> !(e instanceof Entry.Life)).forEach(this::keep);
+        keep(new JournalEntry.ProcessStarted(self, kept.lastProcess().processNumber() + 1));
+        meanwhile.compactedEntries().stream().filter(e -> !(e instanceof JournalEntry.ProcessStarted)).forEach(this::keep);
         if (found != DurableFact.FolderCondition.WHOLE) {
             acts.add(new Action.Log("its folder is " + found.name().toLowerCase(java.util.Locale.ROOT) + (why.isEmpty() ? "" : ": " + why)
                     + (doubts == DurableFact.Handling.MISSING ? "; no list of loads in doubt or of drained engines from before" : "; loads in doubt and"
                     + " drained engines may be missing from its lists")));
         }
         for (RecoveryState.Load l : kept.doubtfulLoads()) {
-            heldUntil.merge(l.start().tables(), startedAt + l.start().limitMs(), Math::max);
+            heldUntil.merge(l.start().tableGroup(), startedAt + l.start().limitMs(), Math::max);
         }
         if (!kept.doubtfulLoads().isEmpty()) {
             acts.add(new Action.Log(kept.doubtfulLoads().size() + " loads may have run before the loss, see 'quincespar fleet doubtful'"));
@@ -206,10 +206,10 @@
         joinedAt = joinedAt < 0 ? s.time() : joinedAt;
         List<Instance> others = s.instances().stream().filter(i -> !i.name().equals(self) && i.standing().isActive()).toList();
         String stood = others.stream().filter(i -> i.standing() == Standing.SERVING && i.renewedAt() > joinedAt
-                && s.time() - i.since() >= pace.survivedAfterMs()).map(Instance::name).findFirst().orElse("");
+                && s.time() - i.standingSince() >= pace.survivedAfterMs()).map(Instance::name).findFirst().orElse("");
         if (!stood.isEmpty()) {
             full(stood + " has served all the time");
-        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.since() < pace.survivedAfterMs())) {
+        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.standingSince() < pace.survivedAfterMs())) {
             acts.add(new Action.Log("all others that are known came back as this one did"));
             probe(now);
         } else {
@@ -333,11 +333,11 @@
     public List<Action> engineListed(ListSource from, String id, boolean takes, double started) {
         if (!takes) {
             up.remove(id);
-            keep(new Entry.Left(id, started));
+            keep(new JournalEntry.EngineDeparted(id, started));
         } else {
             up.put(id, started);
             if (kept.departure(id) != null && (from == ListSource.UPDATE || started > kept.departure(id).startedAt())) {
-                keep(new Entry.Back(id));
+                keep(new JournalEntry.EngineReturned(id));
             }
             tell(id);
         }
@@ -373,17 +373,17 @@
     }
 
     /** A load may run once this is kept. */
-    public Entry.Begun loadStarted(String txn, int cls, String team, String digest, int tables, double limitMs, long at) {
-        return new Entry.Begun(txn, classes.get(cls).name(), team, digest, tables, limitMs, at);
+    public JournalEntry.LoadStarted loadStarted(String txn, int cls, String team, String digest, int tables, double limitMs, long at) {
+        return new JournalEntry.LoadStarted(txn, classes.get(cls).name(), team, digest, tables, limitMs, at);
     }
 
     /** Takes an entry; the acts say whether it is to be kept. */
-    public List<Action> recordEntry(Entry e) {
+    public List<Action> recordEntry(JournalEntry e) {
         keep(e);
         return taken();
     }
 
-    private void keep(Entry e) {
+    private void keep(JournalEntry e) {
         if (kept.apply(e)) {
             acts.add(new Action.Persist(e));
         }
--- a/fleet/src/main/java/quincespar/recovery/RecoveryState.java
+++ b/fleet/src/main/java/quincespar/recovery/RecoveryState.java
@@ -18,54 +18,54 @@
      *
      * @param engine where it was sent, empty where that is not known
      */
-    public record Load(Entry.Begun start, String engine) {
+    public record Load(JournalEntry.LoadStarted start, String engine) {
         /** Its entries. */
-        private void into(List<Entry> out) {
+        private void into(List<JournalEntry> out) {
             out.add(start);
             if (!engine.isEmpty()) {
-                out.add(new Entry.SentTo(start.txn(), engine));
+                out.add(new JournalEntry.LoadSent(start.txn(), engine));
             }
         }
     }
 
     private final Map<String, Load> open = new LinkedHashMap<>();
     private final Map<String, Load> doubtful = new LinkedHashMap<>();
-    private final Map<String, Entry.Left> left = new LinkedHashMap<>();
-    private Entry.Life life = new Entry.Life("", 0);
+    private final Map<String, JournalEntry.EngineDeparted> left = new LinkedHashMap<>();
+    private JournalEntry.ProcessStarted life = new JournalEntry.ProcessStarted("", 0);
     private long forgotten;
 
     /** What these entries come to. */
-    public static RecoveryState replay(List<Entry> entries) {
+    public static RecoveryState replay(List<JournalEntry> entries) {
         RecoveryState out = new RecoveryState();
         entries.forEach(out::apply);
         return out;
     }
 
     /** Takes the next entry; false where it changes nothing, so that it need not be kept. */
-    public boolean apply(Entry e) {
-        if (e instanceof Entry.Life x) {
+    public boolean apply(JournalEntry e) {
+        if (e instanceof JournalEntry.ProcessStarted x) {
             life = x;
             doubtful.putAll(open);
             open.clear();
             bound();
             return true;
-        } else if (e instanceof Entry.Begun x) {
+        } else if (e instanceof JournalEntry.LoadStarted x) {
             open.put(x.txn(), new Load(x, ""));
             return true;
-        } else if (e instanceof Entry.SentTo x) {
+        } else if (e instanceof JournalEntry.LoadSent x) {
             return open.computeIfPresent(x.txn(), (txn, l) -> new Load(l.start(), x.engine())) != null;
-        } else if (e instanceof Entry.Ended x) {
+        } else if (e instanceof JournalEntry.LoadEnded x) {
             return open.remove(x.txn()) != null;
-        } else if (e instanceof Entry.Acknowledged x) {
+        } else if (e instanceof JournalEntry.LoadAcknowledged x) {
             return doubtful.remove(x.txn()) != null;
-        } else if (e instanceof Entry.Left x) {
+        } else if (e instanceof JournalEntry.EngineDeparted x) {
             return departure(x);
         }
-        return left.remove(((Entry.Back) e).engine()) != null;
+        return left.remove(((JournalEntry.EngineReturned) e).engine()) != null;
     }
 
-    private boolean departure(Entry.Left x) {
-        Entry.Left before = left.get(x.engine());
+    private boolean departure(JournalEntry.EngineDeparted x) {
+        JournalEntry.EngineDeparted before = left.get(x.engine());
         if (before != null && before.startedAt() >= x.startedAt()) {
             return false;
         }
@@ -84,7 +84,7 @@
     }
 
     /** The process that the file was last written by. */
-    public Entry.Life lastProcess() {
+    public JournalEntry.ProcessStarted lastProcess() {
         return life;
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** An engine that drained or was gone, null where it did not leave. */
-    public Entry.Left departure(String engine) {
+    public JournalEntry.EngineDeparted departure(String engine) {
         return left.get(engine);
     }
 
@@ -114,8 +114,8 @@
     }
 
     /** The fewest entries that come to this. */
-    public List<Entry> compactedEntries() {
-        List<Entry> out = new ArrayList<>();
+    public List<JournalEntry> compactedEntries() {
+        List<JournalEntry> out = new ArrayList<>();
         doubtful.values().forEach(l -> l.into(out));
         out.add(life);
         open.values().forEach(l -> l.into(out));
--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -30,10 +30,12 @@
      * @param nonce of the join under way since, which may have been granted; 0 where there is none
      * @param votes whether it was begun as a voter's, before the fleet's first start; one that is found empty later is not
      */
-    public record Facts(int format, String identity, String name, long incarnation, long nonce, boolean votes) { }
+    public record Facts(int format, String identity, String name, long incarnation, long pendingNonce, boolean initializedForVoting) { }
 
     /** The stored names of {@link Facts} and its components, where the code has other names. */
-    private static final StoredNames STORED_NAMES = StoredNames.none();
+    private static final StoredNames STORED_NAMES = StoredNames.none()
+            .component(Facts.class, "pendingNonce", "nonce")
+            .component(Facts.class, "initializedForVoting", "votes");
 
     private final RecordCodec codec = new RecordCodec(STORED_NAMES, Facts.class);
     private final Disk disk;
@@ -131,7 +133,7 @@
     /** Keeps these; after it throws, what was kept before may still be found at the next start, or these. */
     public void persist(long incarnation, long nonce) throws IOException {
         Facts before = facts;
-        facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.votes());
+        facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.initializedForVoting());
         try {
             disk.replace(FACTS, frame());
         } catch (IOException e) {
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -25,8 +25,8 @@
         return ((Result.Joined) state.apply(new Command.Join(name, folder, last, 0, at, true, "t", nonce))).incarnation();
     }
 
-    private Result.Why refused(Command c) {
-        return ((Result.Refused) state.apply(c)).why();
+    private Result.Reason refused(Command c) {
+        return ((Result.Refused) state.apply(c)).reason();
     }
 
     private void tick(long time) {
@@ -59,27 +59,27 @@
         assertThat(state.time()).isEqualTo(SUSPECT + 1);
         tick(SUSPECT + GONE + 2);
         assertThat(standing("a")).isEqualTo(Standing.GONE);
-        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Why.LIFE_OVER);
+        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Reason.INCARNATION_ENDED);
         assertThat(joined("a", "f", first, "x", 2)).isGreaterThan(first);
-        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Why.FOLLOWED);
-        assertThat(refused(new Command.Write("a", first, 1, "r", 0, "late"))).isEqualTo(Result.Why.FOLLOWED);
+        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Reason.SUPERSEDED);
+        assertThat(refused(new Command.Write("a", first, 1, "r", 0, "late"))).isEqualTo(Result.Reason.SUPERSEDED);
         assertThat(state.register("r")).isNull();
     }
 
     @Test
     void aNameHasOneLifeAndTheHolderOfItsFolderTakesItOver() {
         long first = joined("a", "f", 0, "x", 1);
-        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", false, "t", 2))).isEqualTo(Result.Why.NAME_TAKEN);
-        assertThat(refused(new Command.Join("a", "", 0, 0, "x", false, "t", 2))).isEqualTo(Result.Why.NAME_TAKEN);
-        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Why.NAME_TAKEN); // a clone
+        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
+        assertThat(refused(new Command.Join("a", "", 0, 0, "x", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
+        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Reason.NAME_TAKEN); // a clone
         long second = joined("a", "f", first, "x", 4); // started again: the lock of its folder proves the first one's end
         assertThat(second).isGreaterThan(first);
         assertThat(joined("a", "f", first, "x", 4)).isEqualTo(second); // killed before it kept the answer, or sent twice
         state.apply(new Command.Leave("a", second));
-        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", true, "t", 5))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", true, "t", 5))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(state.apply(new Command.Join("a", "g", 0, 0, "y", false, "t", 5))).isInstanceOf(Result.Joined.class);
         state.apply(new Command.Leave("a", second + 1)); // it followed; that does not make its folder one that votes
-        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
     }
 
     @Test
@@ -87,7 +87,7 @@
         long first = joined("a", "f", 0, "x", 1);
         long second = joined("a", "f", first, "x", 2);
         tick(GONE + 1);
-        assertThat(refused(new Command.Join("a", "f", first, 0, "x", true, "t", 3))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 0, "x", true, "t", 3))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(joined("a", "f", second, "x", 4)).isGreaterThan(second);
     }
 
@@ -97,12 +97,12 @@
         long first = joined("a", "f", 0, "x", 1);
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 7));
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 6)); // one that was late takes nothing back
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 2))).isEqualTo(Result.Why.FOLDER_OLD);
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 1))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 2))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 1))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         state.apply(new Command.Leave("a", first));
         assertThat(state.apply(new Command.Join("a", "", 0, 0, "x", false, "t", 3))).isInstanceOf(Result.Joined.class);
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
-        assertThat(refused(new Command.Join("a", "f", 0, 7, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 4))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
+        assertThat(refused(new Command.Join("a", "f", 0, 7, "x", true, "t", 4))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         state.apply(new Command.Leave("a", first + 1));
         assertThat(state.snapshot().votingRejection("a", "f", first, 7, 9)).isEmpty();
         assertThat(state.apply(new Command.Join("a", "f", first, 7, "x", true, "t", 4))).isInstanceOf(Result.Joined.class);
@@ -126,7 +126,7 @@
         assertThat(state.apply(w)).isEqualTo(new Result.Written(1));
         assertThat(state.apply(w)).isEqualTo(new Result.Written(1));
         assertThat(state.apply(new Command.Write("a", a, 2, "r", 0, "two"))).isEqualTo(new Result.Conflict(1, "one"));
-        assertThat(refused(new Command.Write("a", a, 4, "r", -1, "four"))).isEqualTo(Result.Why.OUT_OF_ORDER);
+        assertThat(refused(new Command.Write("a", a, 4, "r", -1, "four"))).isEqualTo(Result.Reason.OUT_OF_ORDER);
         assertThat(state.apply(new Command.Write("a", a, 3, "r", -1, "three"))).isEqualTo(new Result.Written(2));
         assertThat(state.register("r")).isEqualTo(new Register("r", 2, "three", "a", a));
     }
@@ -138,7 +138,7 @@
             state.apply(new Command.Join("i" + i, "", 0, 0, "", false, "t", i));
         }
         Command.Join more = new Command.Join("more", "", 0, 0, "", false, "t", 1);
-        assertThat(refused(more)).isEqualTo(Result.Why.FULL);
+        assertThat(refused(more)).isEqualTo(Result.Reason.LIMIT_REACHED);
         tick(GONE + 1);
         assertThat(state.apply(more)).isInstanceOf(Result.Joined.class);
         assertThat(state.instance("voter")).isNotNull();
@@ -167,7 +167,7 @@
             };
             long before = one.version();
             boolean known = one.instance(name) != null && c instanceof Command.Join j && one.snapshot().names().stream().anyMatch(
-                    k -> k.name().equals(j.name()) && k.nonce() == j.nonce());
+                    k -> k.name().equals(j.name()) && k.lastJoinNonce() == j.nonce());
             Result r = one.apply(codec.readCommand(codec.write((Record) c)));
             assertThat(codec.write((Record) other.apply(c))).isEqualTo(codec.write((Record) r));
             assertThat(one.version()).isGreaterThanOrEqualTo(before);
--- a/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
+++ b/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
@@ -109,7 +109,7 @@
         acts.addAll(p.votersAnswered(now, "", false));
         assertThat(did(Action.StartVoting.class)).isTrue();
         acts.addAll(p.persisted(now, null));
-        result(new Result.Refused(Result.Why.FOLDER_OLD, "old")); // found out late: it votes no more
+        result(new Result.Refused(Result.Reason.FOLDER_OUTDATED, "old")); // found out late: it votes no more
         assertThat(did(Action.StopVoting.class)).isTrue();
         assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "", 5, 0, "x", false, "t", 77));
     }
@@ -177,12 +177,12 @@
     void whoWasGivenUpJoinsAsAnotherLifeAndWhoWasFollowedDoesNot() {
         inTouch();
         acts.addAll(p.timerFired(now, last(Action.StartTimer.class).timerId()));
-        result(new Result.Refused(Result.Why.LIFE_OVER, "over"));
+        result(new Result.Refused(Result.Reason.INCARNATION_ENDED, "over"));
         acts.addAll(p.persisted(now, null));
         assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "f", 5, 0, "x", true, "t", 78));
         result(new Result.Joined(6));
         acts.addAll(p.persisted(now, null));
-        result(new Result.Refused(Result.Why.FOLLOWED, "followed by 7"));
+        result(new Result.Refused(Result.Reason.SUPERSEDED, "followed by 7"));
         assertThat(view().phase()).isEqualTo(Phase.DISPLACED);
         assertThat(did(Action.StopVoting.class)).isTrue();
         int before = acts.size();
--- a/fleet/src/test/java/quincespar/recovery/RecoveryStateTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryStateTest.java
@@ -15,49 +15,49 @@
 import quincespar.records.RecordCodec;
 
 class RecoveryStateTest {
-    static Entry.Begun load(String txn, int tables) {
-        return new Entry.Begun(txn, "load", "acme", "d", tables, 2000, 5);
+    static JournalEntry.LoadStarted load(String txn, int tables) {
+        return new JournalEntry.LoadStarted(txn, "load", "acme", "d", tables, 2000, 5);
     }
 
     @Test
     void whatWasOpenWhenAProcessEndedIsInDoubtUntilStaffHaveLooked() {
-        RecoveryState k = RecoveryState.replay(List.of(new Entry.Life("n1", 1), load("a", 1), new Entry.SentTo("a", "s-1"), load("b", 2), load("c", 3),
-                new Entry.Ended("b"), new Entry.Life("n1", 2), load("d", 1)));
+        RecoveryState k = RecoveryState.replay(List.of(new JournalEntry.ProcessStarted("n1", 1), load("a", 1), new JournalEntry.LoadSent("a", "s-1"), load("b", 2), load("c", 3),
+                new JournalEntry.LoadEnded("b"), new JournalEntry.ProcessStarted("n1", 2), load("d", 1)));
         assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("a", 1), "s-1"), new RecoveryState.Load(load("c", 3), ""));
         assertThat(k.openLoads()).isEqualTo(1);
-        assertThat(k.apply(new Entry.Ended("a"))).isFalse(); // of another life: its client can't have been told by this one
-        assertThat(k.apply(new Entry.Acknowledged("a"))).isTrue();
+        assertThat(k.apply(new JournalEntry.LoadEnded("a"))).isFalse(); // of another life: its client can't have been told by this one
+        assertThat(k.apply(new JournalEntry.LoadAcknowledged("a"))).isTrue();
         assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("c", 3), ""));
-        k.apply(new Entry.Life("n1", 3));
+        k.apply(new JournalEntry.ProcessStarted("n1", 3));
         assertThat(k.doubtfulLoads()).hasSize(2);
     }
 
     @Test
     void anEngineThatLeftIsRememberedByItsStart() {
-        RecoveryState k = RecoveryState.replay(List.of(new Entry.Left("s-1", 100)));
-        assertThat(k.apply(new Entry.Left("s-1", 50))).isFalse(); // older news
+        RecoveryState k = RecoveryState.replay(List.of(new JournalEntry.EngineDeparted("s-1", 100)));
+        assertThat(k.apply(new JournalEntry.EngineDeparted("s-1", 50))).isFalse(); // older news
         assertThat(k.departure("s-1").startedAt()).isEqualTo(100);
-        assertThat(k.apply(new Entry.Back("s-1"))).isTrue();
+        assertThat(k.apply(new JournalEntry.EngineReturned("s-1"))).isTrue();
         assertThat(k.departure("s-1")).isNull();
     }
 
     @Test
     void theListOfDoubtsIsBoundedAndWhatWentIsCounted() {
-        List<Entry> all = new ArrayList<>();
+        List<JournalEntry> all = new ArrayList<>();
         for (int i = 0; i < RecoveryState.MAX_DOUBTFUL_LOADS + 3; i++) {
             all.add(load("t" + i, 0));
         }
-        all.add(new Entry.Life("n1", 1));
+        all.add(new JournalEntry.ProcessStarted("n1", 1));
         RecoveryState k = RecoveryState.replay(all);
         assertThat(k.doubtfulLoads()).hasSize(RecoveryState.MAX_DOUBTFUL_LOADS);
         assertThat(k.droppedLoads()).isEqualTo(3);
     }
 
-    /** Files of earlier versions stay readable: a renamed entry needs its stored name in {@link Entry#STORED_NAMES}. */
+    /** Files of earlier versions stay readable: a renamed entry needs its stored name in {@link JournalEntry#STORED_NAMES}. */
     @Test
     void entriesAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
         try (InputStream pinned = RecoveryStateTest.class.getResourceAsStream("/schemas/kept.txt")) {
-            assertThat(new RecordCodec(Entry.STORED_NAMES, Entry.class).schema())
+            assertThat(new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class).schema())
                     .isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
@@ -66,22 +66,22 @@
     @Property(tries = 200)
     void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecord {
         Random chance = new Random(seed);
-        RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
+        RecordCodec codec = new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class);
         RecoveryState one = RecoveryState.replay(List.of());
         RecoveryState other = RecoveryState.replay(List.of());
         for (int i = 0; i < 60; i++) {
             String txn = "t" + chance.nextInt(8);
             String engine = "s" + chance.nextInt(3);
-            Entry e = switch (chance.nextInt(8)) {
-                case 0 -> new Entry.Life("n1", i);
+            JournalEntry e = switch (chance.nextInt(8)) {
+                case 0 -> new JournalEntry.ProcessStarted("n1", i);
                 case 1, 2 -> load(txn, chance.nextInt(3));
-                case 3 -> new Entry.SentTo(txn, engine);
-                case 4 -> new Entry.Acknowledged(txn);
-                case 5 -> new Entry.Left(engine, chance.nextInt(5));
-                case 6 -> new Entry.Back(engine);
-                default -> new Entry.Ended(txn);
+                case 3 -> new JournalEntry.LoadSent(txn, engine);
+                case 4 -> new JournalEntry.LoadAcknowledged(txn);
+                case 5 -> new JournalEntry.EngineDeparted(engine, chance.nextInt(5));
+                case 6 -> new JournalEntry.EngineReturned(engine);
+                default -> new JournalEntry.LoadEnded(txn);
             };
-            one.apply(codec.read(codec.write((Record) e), Entry.class));
+            one.apply(codec.read(codec.write((Record) e), JournalEntry.class));
             other.apply(e);
             if (chance.nextInt(6) == 0) {
                 other = RecoveryState.replay(other.compactedEntries());
--- a/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
@@ -52,7 +52,7 @@
         return new Snapshot(Snapshot.FORMAT, 1, time, 9, List.of(all), List.of(), List.of());
     }
 
-    private void read(DurableFact.FolderCondition found, Entry... entries) {
+    private void read(DurableFact.FolderCondition found, JournalEntry... entries) {
         acts.addAll(r.start(now, false));
         acts.addAll(r.folderRead(now, found, List.of(entries), ""));
     }
@@ -62,8 +62,8 @@
         acts.addAll(r.start(now, false));
         assertThat(r.maySend()).isFalse();
         assertThat(r.waitMs(now, LOOKUP, 0)).isPositive();
-        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life("a", 4)), ""));
-        assertThat(acts).contains(new Action.Persist(new Entry.Life("a", 5)));
+        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 4)), ""));
+        assertThat(acts).contains(new Action.Persist(new JournalEntry.ProcessStarted("a", 5)));
         assertThat(phase()).isEqualTo(Phase.FINDING);
         assertThat(sends()).containsExactly("lookup");
         acts.addAll(r.fleetChanged(now, inTouch(true)));
@@ -141,7 +141,7 @@
         due();
         assertThat(phase()).isEqualTo(Phase.FINDING);
         acts.addAll(r.recordEntry(RecoveryStateTest.load("new", 1)));
-        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.CORRUPT, List.of(RecoveryStateTest.load("old", 7), new Entry.Left("s-1", 0)), "a bit turned"));
+        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.CORRUPT, List.of(RecoveryStateTest.load("old", 7), new JournalEntry.EngineDeparted("s-1", 0)), "a bit turned"));
         assertThat(r.state().doubtfulLoads()).extracting(l -> l.start().txn()).containsExactly("old");
         assertThat(r.state().openLoads()).isEqualTo(1);
         assertThat(r.isWithheld("s-1")).isTrue();
@@ -151,7 +151,7 @@
 
     @Test
     void anothersFolderTellsNothing() {
-        read(DurableFact.FolderCondition.ANOTHERS, RecoveryStateTest.load("theirs", 7), new Entry.Left("s-1", 0));
+        read(DurableFact.FolderCondition.ANOTHERS, RecoveryStateTest.load("theirs", 7), new JournalEntry.EngineDeparted("s-1", 0));
         assertThat(r.state().doubtfulLoads()).isEmpty();
         assertThat(r.state().departedEngines()).isZero();
     }
@@ -159,7 +159,7 @@
     /** Drained stays drained: a list that may be older does not bring an engine back, news and a later start do. */
     @Test
     void anEngineThatDrainedBeforeTheLossTakesNothingUntilTheChangeLogSaysOtherwise() {
-        read(DurableFact.FolderCondition.WHOLE, new Entry.Left("s-1", 50), new Entry.Left("s-2", 50), new Entry.Left("s-3", 0));
+        read(DurableFact.FolderCondition.WHOLE, new JournalEntry.EngineDeparted("s-1", 50), new JournalEntry.EngineDeparted("s-2", 50), new JournalEntry.EngineDeparted("s-3", 0));
         acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-1", true, 50));
         acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-2", true, 60));
         acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-3", true, 0));
@@ -177,7 +177,7 @@
 
     @Test
     void aLoadInDoubtHoldsItsTablesForItsOwnTimeFromThisStartOn() {
-        read(DurableFact.FolderCondition.WHOLE, RecoveryStateTest.load("x", 7), new Entry.Life("a", 1));
+        read(DurableFact.FolderCondition.WHOLE, RecoveryStateTest.load("x", 7), new JournalEntry.ProcessStarted("a", 1));
         while (phase() != Phase.FULL) {
             due();
         }
@@ -188,7 +188,7 @@
         assertThat(r.waitMs(full, LOAD, 7)).isZero();
         assertThat(r.waitMs(full, REPORT, 7)).isZero();
         assertThat(r.isDoubtful("x")).isTrue();
-        acts.addAll(r.recordEntry(new Entry.Acknowledged("x")));
+        acts.addAll(r.recordEntry(new JournalEntry.LoadAcknowledged("x")));
         assertThat(r.isDoubtful("x")).isFalse();
     }
 
--- a/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
@@ -333,7 +333,7 @@
             folder = StateFolder.open(d, name, identity(), false);
             disk = d;
             StateFolder.Facts f = folder.facts();
-            return new FolderResult.Open(f.identity(), f.incarnation(), f.nonce(), folder.mark(), f.votes());
+            return new FolderResult.Open(f.identity(), f.incarnation(), f.pendingNonce(), folder.mark(), f.initializedForVoting());
         } catch (IOException e) {
             failures.incrementAndGet();
             closeQuietly(d);
--- a/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
@@ -79,8 +79,8 @@
         return new Page(OK, JSON, json(to -> {
             to.writeNumberField("version", r.version());
             to.writeStringField("value", r.value());
-            to.writeStringField("by", r.by());
-            to.writeNumberField("incarnation", r.incarnation());
+            to.writeStringField("by", r.writer());
+            to.writeNumberField("incarnation", r.writerIncarnation());
         }));
     }
 
@@ -93,7 +93,7 @@
                 to.writeStringField("value", c.value());
             }));
         }
-        return new Page(UNAVAILABLE, TEXT, r instanceof Result.Refused x ? x.line() + "\n" : "not written\n");
+        return new Page(UNAVAILABLE, TEXT, r instanceof Result.Refused x ? x.message() + "\n" : "not written\n");
     }
 
     private String view() {
@@ -126,7 +126,7 @@
                 to.writeStringField("folder", i.folder());
                 to.writeStringField("address", i.address());
                 to.writeStringField("build", i.build());
-                to.writeNumberField("since", i.since());
+                to.writeNumberField("since", i.standingSince());
                 to.writeEndObject();
             }
             to.writeEndArray();
--- a/frontend/src/main/java/quincespar/program/fleet/Writes.java
+++ b/frontend/src/main/java/quincespar/program/fleet/Writes.java
@@ -43,7 +43,7 @@
     CompletionStage<Result> add(String register, long ifVersion, String value) {
         CompletableFuture<Result> out = new CompletableFuture<>();
         if (waiting.size() >= MOST) {
-            out.complete(new Result.Refused(Result.Why.FULL, MOST + " writes wait already"));
+            out.complete(new Result.Refused(Result.Reason.LIMIT_REACHED, MOST + " writes wait already"));
         } else {
             waiting.add(new Pending(register, ifVersion, value, out));
         }
@@ -63,13 +63,13 @@
 
     /** The outcome of what was handed out last. */
     void done(Command.Write of, Result r) {
-        if (!sent || of.incarnation() != incarnation || of.serial() != serial) {
+        if (!sent || of.incarnation() != incarnation || of.sequence() != serial) {
             return;
         }
         sent = false;
         Pending p = waiting.poll();
-        if (r instanceof Result.Refused x && (x.why() == Result.Why.LIFE_OVER || x.why() == Result.Why.FOLLOWED)) {
-            p.result().completeExceptionally(new IllegalStateException(x.line())); // an earlier try may have been applied
+        if (r instanceof Result.Refused x && (x.reason() == Result.Reason.INCARNATION_ENDED || x.reason() == Result.Reason.SUPERSEDED)) {
+            p.result().completeExceptionally(new IllegalStateException(x.message())); // an earlier try may have been applied
         } else {
             p.result().complete(r);
         }
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -11,7 +11,7 @@
 import quincespar.records.MalformedRecord;
 import quincespar.records.RecordCodec;
 import quincespar.recovery.DurableFact;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.RecoveryState;
 import quincespar.routing.Input;
 import quincespar.store.FolderDisk;
@@ -31,13 +31,13 @@
     private static final int MOST = 100_000;
 
     private sealed interface Job {
-        record Add(Entry entry, long request) implements Job { }
+        record Add(JournalEntry entry, long request) implements Job { }
 
         record End() implements Job { }
     }
 
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
-    private final RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
+    private final RecordCodec codec = new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class);
     private final AtomicLong forces = new AtomicLong(), failures = new AtomicLong(), added = new AtomicLong();
     private final FolderDisk disk;
     private final Journal journal;
@@ -49,7 +49,7 @@
     /** What the file should hold; with it the file is written anew when it has grown, or the disk has refused. */
     private RecoveryState kept = RecoveryState.replay(List.of());
     /** What was to be kept while the file could not be read. */
-    private final List<Entry> unread = new ArrayList<>();
+    private final List<JournalEntry> unread = new ArrayList<>();
     /** Entries in the file. */
     private long written;
     /** What is in the file is not what it should hold, so that it is written whole and not added to. */
@@ -83,7 +83,7 @@
     }
 
     /** Keeps an entry; the request, where that is not 0, is told of by {@link Input.Noted}. */
-    public void add(Entry e, long request) {
+    public void add(JournalEntry e, long request) {
         if (jobs.size() < MOST) {
             jobs.add(new Job.Add(e, request));
         } else {
@@ -138,9 +138,9 @@
                 Thread.sleep(locked ? 0 : LOCK_AGAIN_MS);
             }
             Journal.Contents f = journal.read();
-            List<Entry> entries = new ArrayList<>();
+            List<JournalEntry> entries = new ArrayList<>();
             for (byte[] r : f.records()) {
-                entries.add(codec.read(r, Entry.class));
+                entries.add(codec.read(r, JournalEntry.class));
             }
             found(f.condition(), entries);
             return true;
@@ -170,8 +170,8 @@
         return true;
     }
 
-    private void found(Journal.Condition state, List<Entry> entries) throws IOException {
-        String other = entries.stream().filter(Entry.Life.class::isInstance).map(e -> ((Entry.Life) e).owner()).filter(o -> !o.equals(owner))
+    private void found(Journal.Condition state, List<JournalEntry> entries) throws IOException {
+        String other = entries.stream().filter(JournalEntry.ProcessStarted.class::isInstance).map(e -> ((JournalEntry.ProcessStarted) e).owner()).filter(o -> !o.equals(owner))
                 .findFirst().orElse("");
         foreign = !other.isEmpty();
         behind = state != Journal.Condition.INTACT || !unread.isEmpty();
@@ -199,7 +199,7 @@
             all.add(first);
         }
         jobs.drainTo(all);
-        List<Entry> entries = new ArrayList<>();
+        List<JournalEntry> entries = new ArrayList<>();
         List<Long> waiting = new ArrayList<>();
         boolean more = true;
         for (Job j : all) {
@@ -218,13 +218,13 @@
         return more;
     }
 
-    private boolean write(List<Entry> entries) {
+    private boolean write(List<JournalEntry> entries) {
         if (refusal != null && now() < refusedAt + DISK_AGAIN_MS) {
             failures.incrementAndGet();
             return false;
         }
         try {
-            List<Entry> whole = behind || written > REWRITE_AFTER ? kept.compactedEntries() : null;
+            List<JournalEntry> whole = behind || written > REWRITE_AFTER ? kept.compactedEntries() : null;
             if (whole != null && (behind || written > REWRITE_AFTER + whole.size())) {
                 journal.rewrite(bytes(whole));
                 written = whole.size();
@@ -246,7 +246,7 @@
         }
     }
 
-    private List<byte[]> bytes(List<Entry> entries) {
+    private List<byte[]> bytes(List<JournalEntry> entries) {
         return entries.stream().map(e -> codec.write((Record) e)).toList();
     }
 
--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
@@ -74,12 +74,12 @@
             for (RecoveryState.Load l : r.doubtful()) {
                 to.writeStartObject();
                 to.writeStringField("txn", l.start().txn());
-                to.writeStringField("class", l.start().cls());
+                to.writeStringField("class", l.start().requestClass());
                 to.writeStringField("team", l.start().team());
-                to.writeStringField("digest", l.start().digest());
-                to.writeNumberField("tables", l.start().tables());
+                to.writeStringField("digest", l.start().statementDigest());
+                to.writeNumberField("tables", l.start().tableGroup());
                 to.writeStringField("engine", l.engine());
-                to.writeStringField("at", Instant.ofEpochMilli(l.start().at()).toString());
+                to.writeStringField("at", Instant.ofEpochMilli(l.start().startedAtUnixMs()).toString());
                 to.writeEndObject();
             }
             to.writeEndArray();
--- a/frontend/src/main/java/quincespar/routing/Effect.java
+++ b/frontend/src/main/java/quincespar/routing/Effect.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.Supplier;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.transport.WithdrawableWrite;
 
 /** Something that the reducer asks to be done. None of it waits. */
@@ -60,7 +60,7 @@
     record DropPoll() implements Effect { }
 
     /** Keep this on disk, in order; the request, where that is not 0, waits for {@link Input.Noted}. */
-    record Keep(Entry entry, long request) implements Effect { }
+    record Keep(JournalEntry entry, long request) implements Effect { }
 
     /** Ask the fleet for what is agreed now; {@link Input.Agreed} is the answer. */
     record AskFleet() implements Effect { }
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -7,7 +7,7 @@
 import quincespar.membership.Failure;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.DurableFact;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 
 /** Something that happened outside the reducer. */
 public sealed interface Input {
@@ -81,7 +81,7 @@
     record FleetNews(FleetView view, String self, double holdMs) implements Input { }
 
     /** What the folder holds from before; {@code why} it was found so, empty where it is whole. */
-    record KeptRead(DurableFact.FolderCondition found, List<Entry> entries, String why) implements Input { }
+    record KeptRead(DurableFact.FolderCondition found, List<JournalEntry> entries, String why) implements Input { }
 
     /** What a request waits for has been written; {@code kept} where it is on disk for certain. */
     record Noted(long request, boolean kept) implements Input { }
--- a/frontend/src/main/java/quincespar/routing/Returning.java
+++ b/frontend/src/main/java/quincespar/routing/Returning.java
@@ -8,7 +8,7 @@
 import quincespar.fleet.FleetView;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.ClassTraits;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.Recovery.Action;
 import quincespar.recovery.Recovery.ListSource;
 import quincespar.recovery.Recovery;
@@ -46,7 +46,7 @@
     private void perform(List<Action> acts) {
         for (Action act : acts) {
             // what one load goes through changes nothing that is told: a list of doubts must not be copied for each
-            news |= !(act instanceof Action.Persist k && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
+            news |= !(act instanceof Action.Persist k && (k.entry() instanceof JournalEntry.LoadSent || k.entry() instanceof JournalEntry.LoadEnded));
             if (act instanceof Action.StartTimer a) {
                 turn.timer(new TimerKey.Recovery(a.timerId()), a.delayMs());
             } else if (act instanceof Action.ReadFleetState) {
@@ -153,7 +153,7 @@
     /** It may run once {@link Input.Noted} has come for it. */
     void begins(OpenRequest r) {
         Query q = r.query;
-        Entry.Begun e = recovery.loadStarted(q.txn(), q.cls(), turn.site.module().tenants().get(q.tenant()).name(), digest(q.statement()), q.tables(),
+        JournalEntry.LoadStarted e = recovery.loadStarted(q.txn(), q.cls(), turn.site.module().tenants().get(q.tenant()).name(), digest(q.statement()), q.tables(),
                 q.limitMs(), Math.round(turn.now));
         recovery.recordEntry(e); // the effect below carries it, with who waits for it
         turn.effect(new Effect.Keep(e, r.id));
@@ -169,14 +169,14 @@
 
     void sent(OpenRequest r, Fleet.Engine e) {
         if (notes(r)) {
-            perform(recovery.recordEntry(new Entry.SentTo(r.query.txn(), e.listed.id())));
+            perform(recovery.recordEntry(new JournalEntry.LoadSent(r.query.txn(), e.listed.id())));
         }
     }
 
     /** Its client has its answer and nothing of it is out. */
     void ended(OpenRequest r) {
         if (notes(r)) {
-            perform(recovery.recordEntry(new Entry.Ended(r.query.txn())));
+            perform(recovery.recordEntry(new JournalEntry.LoadEnded(r.query.txn())));
         }
     }
 
@@ -189,14 +189,14 @@
     /** Staff have looked into a load that was in doubt. */
     void acknowledged(String txn) {
         if (on()) {
-            perform(recovery.recordEntry(new Entry.Acknowledged(txn)));
+            perform(recovery.recordEntry(new JournalEntry.LoadAcknowledged(txn)));
         }
     }
 
     /** Staff say that an engine takes work again. */
     void allowed(String engine) {
         if (on()) {
-            perform(recovery.recordEntry(new Entry.Back(engine)));
+            perform(recovery.recordEntry(new JournalEntry.EngineReturned(engine)));
             relist = true;
         }
     }
--- a/frontend/src/test/java/quincespar/program/fleet/WritesTest.java
+++ b/frontend/src/test/java/quincespar/program/fleet/WritesTest.java
@@ -27,7 +27,7 @@
         assertThat(writes.next()).isEqualTo(first); // its answer was lost
         writes.done(first, new Result.Written(1));
         assertThat(one).isCompletedWithValue(new Result.Written(1));
-        assertThat(writes.next().serial()).isEqualTo(2);
+        assertThat(writes.next().sequence()).isEqualTo(2);
         writes.done(first, new Result.Written(1)); // comes late
         assertThat(two).isNotDone();
     }
@@ -43,7 +43,7 @@
         assertThat(waiting).isNotDone();
         Command.Write next = writes.next();
         assertThat(next).isEqualTo(new Command.Write("a", 6, 1, "r", -1, "two"));
-        writes.done(next, new Result.Refused(Result.Why.FOLLOWED, "by 7"));
+        writes.done(next, new Result.Refused(Result.Reason.SUPERSEDED, "by 7"));
         assertThatThrownBy(waiting::join).hasMessageContaining("by 7");
     }
 }
--- a/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.recovery.DurableFact;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.routing.Input;
 
 @Timeout(30)
@@ -23,8 +23,8 @@
     @TempDir
     private Path folder;
 
-    private static Entry.Begun load(String txn) {
-        return new Entry.Begun(txn, "load", "acme", "d", 1, 2000, 5);
+    private static JournalEntry.LoadStarted load(String txn) {
+        return new JournalEntry.LoadStarted(txn, "load", "acme", "d", 1, 2000, 5);
     }
 
     private KeptFolder open(String owner) {
@@ -45,14 +45,14 @@
     void whatWasNotedIsThereAtTheNextStartAndASecondProcessWaits() throws InterruptedException {
         KeptFolder one = open("a");
         assertThat(read().found()).isEqualTo(DurableFact.FolderCondition.LOST);
-        one.add(new Entry.Life("a", 1), 0);
+        one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 7);
         assertThat(next()).isEqualTo(new Input.Noted(7, true));
         KeptFolder two = open("a");
         one.add(load("y"), 8);
         assertThat(next()).isEqualTo(new Input.Noted(8, true)); // the second reads nothing meanwhile
         one.close(20_000);
-        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life("a", 1), load("x"), load("y")), ""));
+        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y")), ""));
         assertThat(one.counts().entries()).isEqualTo(3);
         two.close(20_000);
     }
@@ -61,7 +61,7 @@
     void anothersFolderIsReadByNobodyAndNotWritten() throws InterruptedException, IOException {
         KeptFolder one = open("a");
         read();
-        one.add(new Entry.Life("a", 1), 7);
+        one.add(new JournalEntry.ProcessStarted("a", 1), 7);
         next();
         one.close(20_000);
         byte[] before = Files.readAllBytes(folder.resolve("kept"));
@@ -77,7 +77,7 @@
     void aSpoiltFileGivesWhatStandsBeforeAndIsSetAside() throws InterruptedException, IOException {
         KeptFolder one = open("a");
         read();
-        one.add(new Entry.Life("a", 1), 0);
+        one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 1);
         next();
         one.add(load("y"), 2);
@@ -89,7 +89,7 @@
         KeptFolder two = open("a");
         Input.KeptRead r = read();
         assertThat(r.found()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
-        assertThat(r.entries()).startsWith(new Entry.Life("a", 1)).hasSizeLessThan(3);
+        assertThat(r.entries()).startsWith(new JournalEntry.ProcessStarted("a", 1)).hasSizeLessThan(3);
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.Noted(3, true));
         two.close(20_000);
@@ -103,7 +103,7 @@
     void aFileThatCanNotBeReadForAMomentIsNotTakenForLost() throws InterruptedException, IOException {
         KeptFolder one = open("a");
         read();
-        one.add(new Entry.Life("a", 1), 0);
+        one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 1);
         next();
         one.close(20_000);
@@ -114,12 +114,12 @@
         assertThat(next()).isEqualTo(new Input.Noted(2, false));
         Files.delete(folder.resolve("kept"));
         Files.move(folder.resolve("whole"), folder.resolve("kept"));
-        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life("a", 1), load("x")), ""));
+        assertThat(read()).isEqualTo(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x")), ""));
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.Noted(3, true));
         two.close(20_000);
         open("a").close(20_000);
-        assertThat(read().entries()).containsExactly(new Entry.Life("a", 1), load("x"), load("y"), load("z"));
+        assertThat(read().entries()).containsExactly(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y"), load("z"));
     }
 
     @Test
@@ -140,6 +140,6 @@
         }
         one.close(20_000);
         open("a").close(20_000);
-        assertThat(read().entries()).containsExactly(new Entry.Life("", 0), load("x"), load("y"));
+        assertThat(read().entries()).containsExactly(new JournalEntry.ProcessStarted("", 0), load("x"), load("y"));
     }
 }
--- a/frontend/src/test/java/quincespar/routing/ReturningTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReturningTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import quincespar.protocol.FleetEvent.Phase;
 import quincespar.recovery.DurableFact;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.Recovery;
 import quincespar.recovery.RecoveryTimeouts;
 import quincespar.routing.RouterWorld.Spec;
@@ -22,7 +22,7 @@
         return world.all.stream().filter(Effect.Keep.class::isInstance).map(Effect.Keep.class::cast).toList();
     }
 
-    private void read(Entry... entries) {
+    private void read(JournalEntry... entries) {
         world.step(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(entries), ""));
     }
 
@@ -61,14 +61,14 @@
         full();
         Caller load = world.ask("load");
         Effect.Keep begun = kept().get(kept().size() - 1);
-        assertThat(begun.entry()).isInstanceOf(Entry.Begun.class);
+        assertThat(begun.entry()).isInstanceOf(JournalEntry.LoadStarted.class);
         assertThat(world.sends).isEmpty();
         world.step(new Input.Noted(begun.request(), true));
         assertThat(world.sends).hasSize(1);
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.SentTo.class);
+        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(JournalEntry.LoadSent.class);
         world.settle();
         assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new Entry.Ended(((Entry.Begun) begun.entry()).txn()));
+        assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new JournalEntry.LoadEnded(((JournalEntry.LoadStarted) begun.entry()).txn()));
         assertThat(world.reducer.held().get("held.requests")).isZero();
     }
 
@@ -78,7 +78,7 @@
         Caller load = world.ask("load");
         long waiting = kept().get(kept().size() - 1).request();
         world.step(new Input.Withdrawn(load));
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.Ended.class);
+        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(JournalEntry.LoadEnded.class);
         world.step(new Input.Noted(waiting, true));
         world.settle();
         assertThat(world.sends).isEmpty();
@@ -98,7 +98,7 @@
     /** The configuration's list has both as up; one had drained before the loss. */
     @Test
     void anEngineThatHadDrainedTakesNothingUntilNewsOfIt() {
-        read(new Entry.Left("s-1", 0));
+        read(new JournalEntry.EngineDeparted("s-1", 0));
         assertThat(world.reducer.returned().view().withheldEngines()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
--- a/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
+++ b/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
@@ -19,7 +19,7 @@
 import quincespar.membership.Pace;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.DurableFact;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.Recovery;
 import quincespar.routing.Bounds;
 import quincespar.routing.Caller;
@@ -220,7 +220,7 @@
                     new Brain(site.module(), loss.seed() * 1000 + number), r, loss.returns());
             perform(reducer.start(EPOCH + time.now(), "10.0.0.2:1", List.of(new FleetEvent(1, 1, true, listed))));
             if (loss.returns()) {
-                time.after(READ, () -> take(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new Entry.Life(name, 1)), "")));
+                time.after(READ, () -> take(new Input.KeptRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted(name, 1)), "")));
             }
             voterBack();
             time.after(chance.nextDouble() * RENEW, this::meet);
