--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -13,7 +13,31 @@
  */
 public final class FleetCodec {
     /** The stored names of commands, results and snapshots, and of all that they hold, where the code has other names. */
-    private static final StoredNames STORED_NAMES = StoredNames.none();
+    private static final StoredNames STORED_NAMES = StoredNames.none()
+            .component(Command.Tick.class, "suspectAfterMs", "suspectMs")
+            .component(Command.Tick.class, "goneAfterMs", "goneMs")
+            .component(Command.Join.class, "lastIncarnation", "last")
+            .component(Command.Renew.class, "knownVersion", "known")
+            .component(Command.Write.class, "sequence", "serial")
+            .component(Command.Write.class, "expectedVersion", "ifVersion")
+            .component(Instance.class, "reportedStanding", "claimed")
+            .component(Instance.class, "standingSince", "since")
+            .component(Instance.class, "lastWriteSequence", "serial")
+            .component(Instance.class, "lastWriteResult", "last")
+            .component(Register.class, "writer", "by")
+            .component(Register.class, "writerIncarnation", "incarnation")
+            .component(Result.Refused.class, "reason", "why")
+            .component(Result.Refused.class, "message", "line")
+            .type(Result.Reason.class, "Why")
+            .constant(Result.Reason.FOLDER_OUTDATED, "FOLDER_OLD")
+            .constant(Result.Reason.INCARNATION_ENDED, "LIFE_OVER")
+            .constant(Result.Reason.SUPERSEDED, "FOLLOWED")
+            .constant(Result.Reason.LIMIT_REACHED, "FULL")
+            .component(Snapshot.class, "lastIncarnation", "incarnations")
+            .type(Snapshot.NameRecord.class, "Known")
+            .component(Snapshot.NameRecord.class, "lastJoinNonce", "nonce")
+            .component(Snapshot.NameRecord.class, "votingFolder", "votes")
+            .component(Snapshot.NameRecord.class, "votingIncarnation", "incarnation");
 
     private final RecordCodec records = new RecordCodec(STORED_NAMES, Command.class, Result.class, Snapshot.class);
 
@@ -29,7 +53,7 @@
     }
 
     /** Whether these are bytes as {@link #write} makes them, whole and unchanged. */
-    public static boolean whole(byte[] bytes) {
+    public static boolean isIntact(byte[] bytes) {
         return bytes.length > Integer.BYTES && ByteBuffer.wrap(bytes).getInt() == sum(Arrays.copyOfRange(bytes, Integer.BYTES,
                 bytes.length));
     }
@@ -41,24 +65,24 @@
     }
 
     private <T> T read(byte[] bytes, Class<T> type) throws MalformedRecordException {
-        if (!whole(bytes)) {
+        if (!isIntact(bytes)) {
             throw new MalformedRecordException("bytes that are not what was written", null);
         }
         return records.read(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length), type);
     }
 
     /** Reads a command; throws {@link MalformedRecordException} at what is none. */
-    public Command command(byte[] bytes) throws MalformedRecordException {
+    public Command readCommand(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Command.class);
     }
 
     /** Reads a result; throws {@link MalformedRecordException} at what is none. */
-    public Result result(byte[] bytes) throws MalformedRecordException {
+    public Result readResult(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Result.class);
     }
 
     /** Reads a state; throws {@link MalformedRecordException} at what is none, or at one of a form that is not known here. */
-    public Snapshot snapshot(byte[] bytes) throws MalformedRecordException {
+    public Snapshot readSnapshot(byte[] bytes) throws MalformedRecordException {
         Snapshot s = read(bytes, Snapshot.class);
         if (s.format() != Snapshot.FORMAT) {
             throw new MalformedRecordException("a fleet's state of format " + s.format() + ", and this program reads "
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import quincespar.records.MalformedRecordException;
 import quincespar.records.RecordCodec;
-import quincespar.recovery.Entry;
-import quincespar.recovery.Kept;
-import quincespar.recovery.Trust;
+import quincespar.recovery.DurableFact;
+import quincespar.recovery.JournalEntry;
+import quincespar.recovery.RecoveryState;
 import quincespar.routing.Input;
 import quincespar.store.FolderDisk;
 import quincespar.store.Journal;
@@ -31,13 +31,13 @@
     private static final int MOST = 100_000;
 
     private sealed interface Job {
-        record Add(Entry entry, long request) implements Job { }
+        record Add(JournalEntry entry, long request) implements Job { }
 
         record End() implements Job { }
     }
 
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
-    private final RecordCodec codec = new RecordCodec(Entry.STORED_NAMES, Entry.class);
+    private final RecordCodec codec = new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class);
     private final AtomicLong forces = new AtomicLong(), failures = new AtomicLong(), added = new AtomicLong();
     private final FolderDisk disk;
     private final Journal journal;
@@ -47,9 +47,9 @@
     private final Consumer<String> say;
     private final Thread thread = Threads.daemon("kept", this::run);
     /** What the file should hold; with it the file is written anew when it has grown, or the disk has refused. */
-    private Kept kept = Kept.of(List.of());
+    private RecoveryState kept = RecoveryState.replay(List.of());
     /** What was to be kept while the file could not be read. */
-    private final List<Entry> unread = new ArrayList<>();
+    private final List<JournalEntry> unread = new ArrayList<>();
     /** Entries in the file. */
     private long written;
     /** What is in the file is not what it should hold, so that it is written whole and not added to. */
@@ -83,7 +83,7 @@
     }
 
     /** Keeps an entry; the request, where that is not 0, is told of by {@link Input.PersistFinished}. */
-    public void add(Entry e, long request) {
+    public void add(JournalEntry e, long request) {
         if (jobs.size() < MOST) {
             jobs.add(new Job.Add(e, request));
         } else {
@@ -137,15 +137,15 @@
                 locked = disk.lock();
                 Thread.sleep(locked ? 0 : LOCK_AGAIN_MS);
             }
-            Journal.Found f = journal.read();
-            List<Entry> entries = new ArrayList<>();
+            Journal.Contents f = journal.read();
+            List<JournalEntry> entries = new ArrayList<>();
             for (byte[] r : f.records()) {
-                entries.add(codec.read(r, Entry.class));
+                entries.add(codec.read(r, JournalEntry.class));
             }
-            found(f.state(), entries);
+            found(f.condition(), entries);
             return true;
         } catch (MalformedRecordException e) { // whole, and yet not what this program writes
-            to.accept(new Input.RecoveryLogRead(Trust.Finding.CORRUPT, List.of(), e.getMessage()));
+            to.accept(new Input.RecoveryLogRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
             refused(e);
@@ -170,19 +170,19 @@
         return true;
     }
 
-    private void found(Journal.State state, List<Entry> entries) throws IOException {
-        String other = entries.stream().filter(Entry.Life.class::isInstance).map(e -> ((Entry.Life) e).owner()).filter(o -> !o.equals(owner))
+    private void found(Journal.Condition state, List<JournalEntry> entries) throws IOException {
+        String other = entries.stream().filter(JournalEntry.ProcessStarted.class::isInstance).map(e -> ((JournalEntry.ProcessStarted) e).owner()).filter(o -> !o.equals(owner))
                 .findFirst().orElse("");
         foreign = !other.isEmpty();
-        behind = state != Journal.State.WHOLE || !unread.isEmpty();
+        behind = state != Journal.Condition.INTACT || !unread.isEmpty();
         written = entries.size();
-        kept = Kept.of(entries);
+        kept = RecoveryState.replay(entries);
         unread.forEach(kept::apply);
-        if (state == Journal.State.SPOILT) {
-            journal.setAside();
+        if (state == Journal.Condition.CORRUPT) {
+            journal.backUp();
         }
-        Trust.Finding found = foreign ? Trust.Finding.ANOTHERS : state == Journal.State.SPOILT ? Trust.Finding.CORRUPT
-                : state == Journal.State.NONE ? Trust.Finding.LOST : Trust.Finding.WHOLE;
+        DurableFact.FolderCondition found = foreign ? DurableFact.FolderCondition.ANOTHERS : state == Journal.Condition.CORRUPT ? DurableFact.FolderCondition.CORRUPT
+                : state == Journal.Condition.MISSING ? DurableFact.FolderCondition.LOST : DurableFact.FolderCondition.WHOLE;
         to.accept(new Input.RecoveryLogRead(found, entries, switch (found) {
             case ANOTHERS -> "it is that of " + other + ", and nothing is kept";
             case CORRUPT -> "what stands behind " + entries.size() + " entries is not what was written, and was set aside";
@@ -199,7 +199,7 @@
             all.add(first);
         }
         jobs.drainTo(all);
-        List<Entry> entries = new ArrayList<>();
+        List<JournalEntry> entries = new ArrayList<>();
         List<Long> waiting = new ArrayList<>();
         boolean more = true;
         for (Job j : all) {
@@ -218,13 +218,13 @@
         return more;
     }
 
-    private boolean write(List<Entry> entries) {
+    private boolean write(List<JournalEntry> entries) {
         if (refusal != null && now() < refusedAt + DISK_AGAIN_MS) {
             failures.incrementAndGet();
             return false;
         }
         try {
-            List<Entry> whole = behind || written > REWRITE_AFTER ? kept.entries() : null;
+            List<JournalEntry> whole = behind || written > REWRITE_AFTER ? kept.compactedEntries() : null;
             if (whole != null && (behind || written > REWRITE_AFTER + whole.size())) {
                 journal.rewrite(bytes(whole));
                 written = whole.size();
@@ -246,7 +246,7 @@
         }
     }
 
-    private List<byte[]> bytes(List<Entry> entries) {
+    private List<byte[]> bytes(List<JournalEntry> entries) {
         return entries.stream().map(e -> codec.write((Record) e)).toList();
     }
 
--- a/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
@@ -7,11 +7,11 @@
 import quincespar.decision.Gateway;
 import quincespar.fleet.FleetView;
 import quincespar.protocol.FleetEvent;
-import quincespar.recovery.Entry;
+import quincespar.recovery.ClassTraits;
+import quincespar.recovery.JournalEntry;
+import quincespar.recovery.Recovery.Action;
+import quincespar.recovery.Recovery.ListSource;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Recovery.Act;
-import quincespar.recovery.Recovery.Source;
-import quincespar.recovery.Terms;
 
 /**
  * Connects the reducer to the {@link Recovery} from a power loss: passes on what happens, and carries out what it asks for.
@@ -24,7 +24,7 @@
     /** Null where recovery is off. */
     private final Recovery recovery;
     private final boolean persistsLoads;
-    private Source source = Source.SNAPSHOT;
+    private ListSource source = ListSource.SNAPSHOT;
     private boolean relist;
     private boolean reportOutdated = true;
     private long unpersistedLoads;
@@ -37,8 +37,8 @@
     }
 
     /** What recovery needs to know of the classes in these settings. */
-    static List<Terms> terms(RoutingSettings settings) {
-        return settings.decision().classes().stream().map(c -> new Terms(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(),
+    static List<ClassTraits> terms(RoutingSettings settings) {
+        return settings.decision().classes().stream().map(c -> new ClassTraits(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(),
                 c.worth(), c.aim())).toList();
     }
 
@@ -46,20 +46,20 @@
         return recovery != null;
     }
 
-    private void perform(List<Act> acts) {
-        for (Act act : acts) {
+    private void perform(List<Action> acts) {
+        for (Action act : acts) {
             // the course of a single load is not reported, so that the list of doubtful loads is not copied for each
-            reportOutdated |= !(act instanceof Act.Keep k
-                    && (k.entry() instanceof Entry.SentTo || k.entry() instanceof Entry.Ended));
-            if (act instanceof Act.Await a) {
-                context.startTimer(new TimerKey.Recovery(a.number()), a.ms());
-            } else if (act instanceof Act.AskFleet) {
+            reportOutdated |= !(act instanceof Action.Persist k
+                    && (k.entry() instanceof JournalEntry.LoadSent || k.entry() instanceof JournalEntry.LoadEnded));
+            if (act instanceof Action.StartTimer a) {
+                context.startTimer(new TimerKey.Recovery(a.timerId()), a.delayMs());
+            } else if (act instanceof Action.ReadFleetState) {
                 context.addEffect(new Effect.FetchFleetState());
-            } else if (act instanceof Act.Keep a) {
+            } else if (act instanceof Action.Persist a) {
                 context.addEffect(new Effect.PersistEntry(a.entry(), 0));
-            } else if (act instanceof Act.Say a) {
-                context.addEffect(new Effect.Log("recovery: " + a.line()));
-            } else if (act instanceof Act.Relist) {
+            } else if (act instanceof Action.Log a) {
+                context.addEffect(new Effect.Log("recovery: " + a.message()));
+            } else if (act instanceof Action.RefreshEngineList) {
                 relist = true;
             }
         }
@@ -72,35 +72,35 @@
     }
 
     void logRead(Input.RecoveryLogRead input) {
-        perform(recovery.read(context.now, input.finding(), input.entries(), input.reason()));
+        perform(recovery.folderRead(context.now, input.finding(), input.entries(), input.reason()));
     }
 
     void fleetStateReceived(Input.FleetStateReceived input) {
-        perform(recovery.agreed(context.now, input.state()));
+        perform(recovery.fleetStateRead(context.now, input.state()));
     }
 
     void timerFired(long number) {
-        perform(recovery.due(context.now, number));
+        perform(recovery.timerFired(context.now, number));
     }
 
     void fleetChanged(FleetView view) {
         if (enabled()) {
-            perform(recovery.fleet(context.now, view));
+            perform(recovery.fleetChanged(context.now, view));
         }
     }
 
     void setClasses(RoutingSettings settings) {
         if (enabled()) {
-            recovery.classes(terms(settings));
+            recovery.setClasses(terms(settings));
             reportOutdated = true;
         }
     }
 
     /** The change log has answered: what it reports from now on is newer than the start of this process. */
     void changeLogAnswered() {
-        if (enabled() && source == Source.SNAPSHOT) {
-            source = Source.NEWS;
-            perform(recovery.answered(context.now));
+        if (enabled() && source == ListSource.SNAPSHOT) {
+            source = ListSource.UPDATE;
+            perform(recovery.changeLogAnswered(context.now));
         }
     }
 
@@ -114,13 +114,13 @@
     /** The change log, or the list of the start, has reported an engine. */
     void engineListed(FleetEvent.Member member) {
         if (enabled()) {
-            perform(recovery.engine(source, member.id(), member.phase() == FleetEvent.Phase.UP, member.startedAt()));
+            perform(recovery.engineListed(source, member.id(), member.phase() == FleetEvent.Phase.UP, member.startedAt()));
         }
     }
 
     /** Whether an engine gets no work although it is listed as up. */
     boolean withholds(FleetEvent.Member member) {
-        return enabled() && recovery.withholds(member.id());
+        return enabled() && recovery.isWithheld(member.id());
     }
 
     /** Since when an engine counts as started: after a power loss perhaps later than the change log says. */
@@ -131,7 +131,7 @@
     /** A link to an engine has been established. */
     void engineReached(FleetEvent.Member member) {
         if (enabled()) {
-            perform(recovery.met(context.now, member.id()));
+            perform(recovery.engineConnected(context.now, member.id()));
         }
     }
 
@@ -150,7 +150,7 @@
             return Double.NaN;
         }
         Gateway.Limits limits = context.settings.decision().limits();
-        double retryAfterMs = recovery.comeBackMs(waitMs, query.txn());
+        double retryAfterMs = recovery.retryAfterMs(waitMs, query.txn());
         return !limits.retryAfter() ? 0
                 : limits.maxRetryAfter() > 0 ? Math.min(retryAfterMs, limits.maxRetryAfter()) : retryAfterMs;
     }
@@ -163,10 +163,10 @@
     /** Writes that a request may run from now on; it may be sent after {@link Input.PersistFinished}. */
     void persistStart(OpenRequest request) {
         Query query = request.query;
-        Entry.Begun entry = recovery.begun(query.txn(), query.classNumber(),
+        JournalEntry.LoadStarted entry = recovery.loadStarted(query.txn(), query.classNumber(),
                 context.settings.decision().tenants().get(query.tenantNumber()).name(), digest(query.statement()), query.tables(),
                 query.timeoutMs(), Math.round(context.now));
-        recovery.note(entry); // its acts are not needed: the effect below writes the entry and names the request that waits
+        recovery.recordEntry(entry); // its acts are not needed: the effect below writes the entry and names the request that waits
         context.addEffect(new Effect.PersistEntry(entry, request.id));
     }
 
@@ -180,14 +180,14 @@
 
     void requestSent(OpenRequest request, EngineRegistry.Engine engine) {
         if (persists(request)) {
-            perform(recovery.note(new Entry.SentTo(request.query.txn(), engine.listed.id())));
+            perform(recovery.recordEntry(new JournalEntry.LoadSent(request.query.txn(), engine.listed.id())));
         }
     }
 
     /** A request is closed and has no open attempt. */
     void requestEnded(OpenRequest request) {
         if (persists(request)) {
-            perform(recovery.note(new Entry.Ended(request.query.txn())));
+            perform(recovery.recordEntry(new JournalEntry.LoadEnded(request.query.txn())));
         }
     }
 
@@ -200,14 +200,14 @@
     /** The operators have dealt with a doubtful load. */
     void loadAcknowledged(String txn) {
         if (enabled()) {
-            perform(recovery.note(new Entry.Acknowledged(txn)));
+            perform(recovery.recordEntry(new JournalEntry.LoadAcknowledged(txn)));
         }
     }
 
     /** The operators allow new work on an engine. */
     void engineAllowed(String engine) {
         if (enabled()) {
-            perform(recovery.note(new Entry.Back(engine)));
+            perform(recovery.recordEntry(new JournalEntry.EngineReturned(engine)));
             relist = true;
         }
     }
@@ -216,7 +216,7 @@
     RecoveryReport report() {
         if (enabled() && reportOutdated) {
             reportOutdated = false;
-            report = new RecoveryReport(recovery.view(context.now), List.copyOf(recovery.kept().doubtful()), unpersistedLoads);
+            report = new RecoveryReport(recovery.view(context.now), List.copyOf(recovery.state().doubtfulLoads()), unpersistedLoads);
         }
         return report;
     }
--- a/frontend/src/main/java/quincespar/routing/RecoveryReport.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryReport.java
@@ -1,8 +1,8 @@
 package quincespar.routing;
 
 import java.util.List;
-import quincespar.recovery.Kept;
 import quincespar.recovery.Recovery;
+import quincespar.recovery.RecoveryState;
 
 /**
  * The state of the recovery from a power loss.
@@ -10,4 +10,4 @@
  * @param doubtfulLoads    loads that may have run before the loss
  * @param unpersistedLoads how many loads were sent although their entry could not be written to disk
  */
-public record RecoveryReport(Recovery.View view, List<Kept.Load> doubtfulLoads, long unpersistedLoads) { }
+public record RecoveryReport(Recovery.View view, List<RecoveryState.Load> doubtfulLoads, long unpersistedLoads) { }
--- a/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
+++ b/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import quincespar.protocol.FleetEvent.Phase;
-import quincespar.recovery.Entry;
-import quincespar.recovery.Pace;
+import quincespar.recovery.DurableFact;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Trust;
+import quincespar.recovery.RecoveryTimeouts;
 import quincespar.routing.SimulatedRouter.Spec;
 
 /** What a return from a loss of power holds back in the reducer, and that a load goes out only once it is on disk that it may run. */
 class RecoveryCoordinatorTest {
     private static final RoutingSettings SITE = SimulatedRouter.site(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
 
-    private final SimulatedRouter world = new SimulatedRouter(SITE, new Recovery(new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
+    private final SimulatedRouter world = new SimulatedRouter(SITE, new Recovery(new RecoveryTimeouts(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
             Reducer.recoveryTerms(SITE)));
 
     private List<Effect.PersistEntry> kept() {
         return world.all.stream().filter(Effect.PersistEntry.class::isInstance).map(Effect.PersistEntry.class::cast).toList();
     }
 
-    private void read(Entry... entries) {
-        world.step(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(entries), ""));
+    private void read(JournalEntry... entries) {
+        world.step(new Input.RecoveryLogRead(DurableFact.FolderCondition.WHOLE, List.of(entries), ""));
     }
 
     /** The next wait of the return is over. */
@@ -61,14 +61,14 @@
         full();
         Caller load = world.ask("load");
         Effect.PersistEntry begun = kept().get(kept().size() - 1);
-        assertThat(begun.entry()).isInstanceOf(Entry.Begun.class);
+        assertThat(begun.entry()).isInstanceOf(JournalEntry.LoadStarted.class);
         assertThat(world.sends).isEmpty();
         world.step(new Input.PersistFinished(begun.request(), true));
         assertThat(world.sends).hasSize(1);
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.SentTo.class);
+        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(JournalEntry.LoadSent.class);
         world.settle();
         assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new Entry.Ended(((Entry.Begun) begun.entry()).txn()));
+        assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new JournalEntry.LoadEnded(((JournalEntry.LoadStarted) begun.entry()).txn()));
         assertThat(world.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
@@ -78,7 +78,7 @@
         Caller load = world.ask("load");
         long waiting = kept().get(kept().size() - 1).request();
         world.step(new Input.RequestCancelled(load));
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.Ended.class);
+        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(JournalEntry.LoadEnded.class);
         world.step(new Input.PersistFinished(waiting, true));
         world.settle();
         assertThat(world.sends).isEmpty();
@@ -98,8 +98,8 @@
     /** The configuration's list has both as up; one had drained before the loss. */
     @Test
     void anEngineThatHadDrainedTakesNothingUntilNewsOfIt() {
-        read(new Entry.Left("s-1", 0));
-        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        read(new JournalEntry.EngineDeparted("s-1", 0));
+        assertThat(world.reducer.recoveryReport().view().withheldEngines()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
         }
@@ -107,9 +107,9 @@
         world.settle();
         assertThat(world.reducer.engineCounters().keySet()).noneMatch(k -> k.startsWith("s-1."));
         world.changes(SimulatedRouter.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
-        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        assertThat(world.reducer.recoveryReport().view().withheldEngines()).isEqualTo(1);
         world.changes(SimulatedRouter.member("s-1", Phase.UP));
-        assertThat(world.reducer.recoveryReport().view().withheld()).isZero();
+        assertThat(world.reducer.recoveryReport().view().withheldEngines()).isZero();
         world.step(new Input.EngineAllowed("s-2"));
         for (int i = 0; i < 20; i++) {
             world.ask("lookup");
