--- a/capture/src/main/java/quincespar/capture/CapturedGateway.java
+++ b/capture/src/main/java/quincespar/capture/CapturedGateway.java
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public int avoided() {
-        return module.avoided();
+    public int ejectedEngineCount() {
+        return module.ejectedEngineCount();
     }
 
     @Override
--- a/capture/src/main/java/quincespar/capture/Explain.java
+++ b/capture/src/main/java/quincespar/capture/Explain.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Action;
 import quincespar.decision.Gateway.Event;
-import quincespar.decision.Insight;
+import quincespar.decision.DecisionExplainer;
 
 /** Tells from a capture, in lines for people, what became of a request and why, or what was known of an engine. */
 public final class Explain {
@@ -32,8 +32,8 @@
     public boolean request(List<SegmentName> names, long id) throws IOException {
         Replay replay = new Replay(modules);
         captures.entries(names, (name, e) -> {
-            Insight before = e instanceof Entry.Call c && sends(c, id) && replay.module() instanceof Brain b
-                    ? new Insight(copy(b)) : null;
+            DecisionExplainer before = e instanceof Entry.Call c && sends(c, id) && replay.module() instanceof GcMuScheduler b
+                    ? new DecisionExplainer(copy(b)) : null;
             boolean more = replay.play(e);
             if (e instanceof Entry.Call c) {
                 c.events().stream().filter(x -> concerns(x, id)).forEach(x -> {
@@ -60,15 +60,15 @@
     public boolean engine(List<SegmentName> names, long engine, double at) throws IOException {
         Replay replay = new Replay(modules);
         captures.entries(names, (name, e) -> !(e instanceof Entry.Call c && c.time() > at) && replay.play(e));
-        if (replay.module() instanceof Brain b) {
-            new Insight(copy(b)).engines().forEach((cls, views) -> views.stream().filter(v -> v.engine() == engine)
+        if (replay.module() instanceof GcMuScheduler b) {
+            new DecisionExplainer(copy(b)).engines().forEach((cls, views) -> views.stream().filter(v -> v.engine() == engine)
                     .forEach(v -> say(at, "engine " + engine + " for " + cls + ": " + view(v))));
         }
         return told > 0;
     }
 
-    private Brain copy(Brain b) throws IOException {
-        return (Brain) modules.restored(new Entry.State(0, modules.state(b)));
+    private GcMuScheduler copy(GcMuScheduler b) throws IOException {
+        return (GcMuScheduler) modules.restored(new Entry.State(0, modules.state(b)));
     }
 
     private static boolean sends(Entry.Call c, long id) {
@@ -89,24 +89,24 @@
         to.accept(String.format(Locale.ROOT, "%.3f  %s", ms / SECOND, what));
     }
 
-    private void choice(double time, Insight.Choice c) {
+    private void choice(double time, DecisionExplainer.Choice c) {
         say(time, String.format(Locale.ROOT, "attempt %d goes to engine %d: %s, %.0f ms old, expected to take %.0f ms",
-                c.attempt(), c.chosen(), c.cls(), c.age(), c.expected()));
+                c.attempt(), c.chosen(), c.requestClass(), c.age(), c.expected()));
         c.engines().forEach(v -> to.accept("           " + (v.engine() == c.chosen() ? "* " : "  ") + "engine " + v.engine()
                 + ": " + view(v)));
     }
 
-    private static String view(Insight.View v) {
+    private static String view(DecisionExplainer.EngineView v) {
         StringBuilder out = new StringBuilder(v.verdict());
-        if (!Double.isNaN(v.figure())) {
-            out.append(String.format(Locale.ROOT, " %.4g", v.figure()));
+        if (!Double.isNaN(v.score())) {
+            out.append(String.format(Locale.ROOT, " %.4g", v.score()));
         }
         out.append(String.format(Locale.ROOT, "; takes %.0f ms; %d threads out", v.meanTime(), v.threads()));
-        out.append(v.pooled() ? ", bound shared by all " : ", bound ").append(String.format(Locale.ROOT, "%.1f", v.width()));
+        out.append(v.sharedLimit() ? ", bound shared by all " : ", bound ").append(String.format(Locale.ROOT, "%.1f", v.threadLimit()));
         out.append(Double.isNaN(v.reportAge()) ? "; no report" : String.format(Locale.ROOT,
-                "; report of %.2f a core, %.0f ms old", v.report(), v.reportAge()));
-        if (!Double.isNaN(v.coldLeft())) {
-            out.append(String.format(Locale.ROOT, "; cold, %.0f ms of work left", v.coldLeft()));
+                "; report of %.2f a core, %.0f ms old", v.reportedLoad(), v.reportAge()));
+        if (!Double.isNaN(v.coldWorkLeft())) {
+            out.append(String.format(Locale.ROOT, "; cold, %.0f ms of work left", v.coldWorkLeft()));
         }
         return out.toString();
     }
--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.EngineState;
 
@@ -61,7 +61,7 @@
         }
 
         private void begin() {
-            Brain b = new Brain(World.settings(), 61);
+            GcMuScheduler b = new GcMuScheduler(World.settings(), 61);
             module = recorder == null ? b : new CapturedGateway(b, recorder, m -> new byte[0]);
             at = 0;
         }
@@ -122,7 +122,7 @@
         /** Engines and open requests. */
         @Param({"6x100", "60x500", "60x2000"})
         public String size;
-        private final StateCodec codec = new StateCodec(Brain.class);
+        private final StateCodec codec = new StateCodec(GcMuScheduler.class);
         private Gateway module;
 
         /** Fills one. */
@@ -133,7 +133,7 @@
             for (long e = 1; e <= Integer.parseInt(parts[0]); e++) {
                 engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
             }
-            module = new Brain(World.settings(), 5);
+            module = new GcMuScheduler(World.settings(), 5);
             module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
             for (int i = 1; i <= Integer.parseInt(parts[1]); i++) {
                 module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 
 @Timeout(120)
@@ -186,7 +186,7 @@
 
     @Test
     void theModulesTextHasADigestThatNamesIt() {
-        assertThat(ModuleText.digest(Brain.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleText.digest(Brain.class))
+        assertThat(ModuleText.digest(GcMuScheduler.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleText.digest(GcMuScheduler.class))
                 .isNotEqualTo(ModuleText.digest(Gateway.class));
     }
 }
--- a/capture/src/test/java/quincespar/capture/ExplainTest.java
+++ b/capture/src/test/java/quincespar/capture/ExplainTest.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
-import quincespar.decision.Insight;
-import quincespar.decision.Insight.View;
+import quincespar.decision.DecisionExplainer;
+import quincespar.decision.DecisionExplainer.EngineView;
 
 @Timeout(120)
 class ExplainTest {
-    private final StateCodec codec = new StateCodec(Brain.class);
+    private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
     /**
      * Held against a whole day: every choice is explained, the chosen engine was open to the request, and no other had a
@@ -27,7 +27,7 @@
     @Test
     void whatIsToldOfEachChoiceAgreesWithTheChoice() throws IOException {
         List<Entry> entries = new World(51).play(1200);
-        Brain module = new Brain(World.settings(), 51);
+        GcMuScheduler module = new GcMuScheduler(World.settings(), 51);
         Map<String, Integer> verdicts = new HashMap<>();
         int sends = 0;
         int told = 0;
@@ -36,7 +36,7 @@
                 long now = c.actions().stream().filter(Gateway.Send.class::isInstance).count();
                 if (now > 0) {
                     sends += now;
-                    List<Insight.Choice> all = new Insight(codec.read(codec.write(module), Brain.class)).choices(c.time(),
+                    List<DecisionExplainer.Choice> all = new DecisionExplainer(codec.read(codec.write(module), GcMuScheduler.class)).choices(c.time(),
                             c.events(), c.actions());
                     told += all.size();
                     all.forEach(x -> check(x, verdicts));
@@ -50,13 +50,13 @@
                 "its bound is full, or its report says so", "cold for");
     }
 
-    private static void check(Insight.Choice c, Map<String, Integer> verdicts) {
-        View chosen = c.engines().stream().filter(v -> v.engine() == c.chosen()).findFirst().orElseThrow();
+    private static void check(DecisionExplainer.Choice c, Map<String, Integer> verdicts) {
+        EngineView chosen = c.engines().stream().filter(v -> v.engine() == c.chosen()).findFirst().orElseThrow();
         assertThat(chosen.verdict()).as("%s", c).isEqualTo("chosen");
-        for (View v : c.engines()) {
+        for (EngineView v : c.engines()) {
             verdicts.merge(v.verdict().replaceAll("(shunned for|cold for|: ).*", "$1").replace(": ", ""), 1, Integer::sum);
-            if (!Double.isNaN(v.figure())) {
-                assertThat(v.figure()).as("%s", c).isLessThanOrEqualTo(1.0101 * chosen.figure());
+            if (!Double.isNaN(v.score())) {
+                assertThat(v.score()).as("%s", c).isLessThanOrEqualTo(1.0101 * chosen.score());
             }
         }
     }
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -10,13 +10,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.EngineState;
 
 @Timeout(120)
 class StateCodecTest {
-    private final StateCodec codec = new StateCodec(Brain.class);
+    private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
     private static void play(Gateway module, List<Entry> entries, int from, int to) {
         for (Entry e : entries.subList(from, to)) {
@@ -31,10 +31,10 @@
     void aModuleInAStateThatWasReadDecidesAsTheOneThatItWasWrittenFrom() throws IOException {
         List<Entry> entries = new World(31).play(1500);
         for (int at = 1; at < entries.size(); at += entries.size() / 12) {
-            Gateway module = new Brain(World.settings(), 31);
+            Gateway module = new GcMuScheduler(World.settings(), 31);
             play(module, entries, 1, at);
             byte[] state = codec.write(module);
-            Gateway other = codec.read(state, Brain.class);
+            Gateway other = codec.read(state, GcMuScheduler.class);
             assertThat(codec.write(other)).isEqualTo(state);
             play(other, entries, at, entries.size());
             play(module, entries, at, entries.size());
@@ -45,7 +45,7 @@
     /** All open requests hang together through the engines: a walk that calls itself for each would not end well. */
     @Test
     void thousandsOfOpenRequestsAreWrittenOnASmallStack() throws Exception {
-        Gateway module = new Brain(World.settings(), 5);
+        Gateway module = new GcMuScheduler(World.settings(), 5);
         List<Gateway.Engine> engines = new ArrayList<>();
         for (long e = 1; e <= 60; e++) {
             engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
@@ -59,14 +59,14 @@
         small.start();
         small.join();
         assertThat(out).hasSize(1);
-        assertThat(codec.write(codec.read(out.get(0), Brain.class))).isEqualTo(out.get(0));
+        assertThat(codec.write(codec.read(out.get(0), GcMuScheduler.class))).isEqualTo(out.get(0));
     }
 
     @Test
     void bytesThatAreNoStateAreRefusedAndNothingElseIsThrown() throws IOException {
         World w = new World(33);
         List<Entry> entries = w.play(40);
-        Gateway module = new Brain(World.settings(), 33);
+        Gateway module = new GcMuScheduler(World.settings(), 33);
         play(module, entries, 1, 60);
         byte[] state = codec.write(module);
         SplittableRandom random = new SplittableRandom(3);
@@ -77,14 +77,14 @@
                 bad[random.nextInt(bad.length)] ^= (byte) (1 + random.nextInt(255));
             }
             try {
-                assertThat(codec.read(bad, Brain.class)).isNotNull(); // another figure is a state too
+                assertThat(codec.read(bad, GcMuScheduler.class)).isNotNull(); // another figure is a state too
             } catch (MalformedCapture e) {
                 refused++;
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
         assertThat(refused).isGreaterThan(2000);
-        assertThatThrownBy(() -> codec.read(new byte[40], Brain.class)).isInstanceOf(MalformedCapture.class)
+        assertThatThrownBy(() -> codec.read(new byte[40], GcMuScheduler.class)).isInstanceOf(MalformedCapture.class)
                 .hasMessageContaining("and this module's is " + codec.schema());
     }
 
--- a/capture/src/test/java/quincespar/capture/World.java
+++ b/capture/src/test/java/quincespar/capture/World.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.EngineState;
 import quincespar.decision.Gateway.Outcome;
@@ -82,13 +82,13 @@
     World(long seed) {
         random = new SplittableRandom(seed);
         entries.add(opening(seed));
-        module = new CapturedGateway(new Brain(settings(), seed), entries::add);
+        module = new CapturedGateway(new GcMuScheduler(settings(), seed), entries::add);
     }
 
     /** As above, told to someone else. */
     World(long seed, CapturedGateway.Tap to) {
         random = new SplittableRandom(seed);
-        module = new CapturedGateway(new Brain(settings(), seed), to, new StateCodec(Brain.class)::write);
+        module = new CapturedGateway(new GcMuScheduler(settings(), seed), to, new StateCodec(GcMuScheduler.class)::write);
     }
 
     /** A scene that is the same each time. */
@@ -100,7 +100,7 @@
     }
 
     static Entry.Opening opening(long seed) {
-        return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleText.digest(Brain.class), settings());
+        return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleText.digest(GcMuScheduler.class), settings());
     }
 
     static Gateway.Settings settings() {
@@ -247,7 +247,7 @@
         Replay replay = new Replay(new Replay.Modules() {
             @Override
             public Gateway fresh(Entry.Opening o) {
-                return new Brain(o.settings(), o.seed() + seedAside);
+                return new GcMuScheduler(o.settings(), o.seed() + seedAside);
             }
 
             @Override
--- a/decision/src/main/java/quincespar/decision/Gateway.java
+++ b/decision/src/main/java/quincespar/decision/Gateway.java
@@ -13,7 +13,7 @@
     List<Action> decide(double now, List<Event> events);
 
     /** How many of the listed engines that would take work get none, or a trial only, after the last decision. */
-    default int avoided() {
+    default int ejectedEngineCount() {
         return 0;
     }
 
@@ -85,28 +85,28 @@
         }
 
         /** The same with other classes and tenants. */
-        public Settings with(List<ClassSpec> otherClasses, List<Tenant> otherTenants) {
+        public Settings withClassesAndTenants(List<ClassSpec> otherClasses, List<Tenant> otherTenants) {
             return new Settings(routers, me, zone, otherClasses, otherTenants, overShareWorth, askDiscovery, marksRetry,
                     crossZonePrice, wastePrice, peerPrice, tick, limits, rules, fleet);
         }
 
         /** The same among so many routers, as the one with this number. */
-        public Settings among(int howMany, int number) {
-            return howMany == routers && number == me ? this : new Settings(howMany, number, zone, classes, tenants,
+        public Settings withRouter(int routerCount, int number) {
+            return routerCount == routers && number == me ? this : new Settings(routerCount, number, zone, classes, tenants,
                     overShareWorth, askDiscovery, marksRetry, crossZonePrice, wastePrice, peerPrice, tick, limits, rules, fleet);
         }
 
         /** The same where no word reaches another router, whatever the site allows. */
-        public Settings unheard() {
-            Limits l = new Limits(limits.cancel, limits.probe, false, limits.secondCopies, limits.retryAfter, limits.maxAttempts,
+        public Settings withoutPeerMessages() {
+            Limits withoutTell = new Limits(limits.cancel, limits.probe, false, limits.secondCopies, limits.retryAfter, limits.maxAttempts,
                     limits.maxRetryAfter, limits.openCap, limits.connectTimeout);
             return limits.tell ? new Settings(routers, me, zone, classes, tenants, overShareWorth, askDiscovery, marksRetry,
-                    crossZonePrice, wastePrice, peerPrice, tick, l, rules, fleet) : this;
+                    crossZonePrice, wastePrice, peerPrice, tick, withoutTell, rules, fleet) : this;
         }
 
-        private static void require(boolean right, String wrong) {
-            if (!right) {
-                throw new IllegalArgumentException(wrong);
+        private static void require(boolean condition, String message) {
+            if (!condition) {
+                throw new IllegalArgumentException(message);
             }
         }
     }
@@ -114,7 +114,7 @@
     /** An engine as listed. {@code startedAt} is 0 where it started long ago. */
     record Engine(long id, int zone, int kind, int cell, EngineState state, double weight, double startedAt) {
         /** The same engine, removed. */
-        Engine gone() {
+        Engine withStateGone() {
             return new Engine(id, zone, kind, cell, EngineState.GONE, weight, startedAt);
         }
     }
--- a/decision/src/main/java/quincespar/decision/SettingsParser.java
+++ b/decision/src/main/java/quincespar/decision/SettingsParser.java
@@ -34,10 +34,10 @@
     /** A number, or {@code absent} where the key is; an {@link IllegalArgumentException} where it is none. */
     public double number(String key, double absent) {
         String v = pairs.get(key);
-        return v == null || v.isEmpty() ? absent : toNumber(key, v);
+        return v == null || v.isEmpty() ? absent : parseNumber(key, v);
     }
 
-    private static double toNumber(String key, String v) {
+    private static double parseNumber(String key, String v) {
         try {
             return Double.parseDouble(v);
         } catch (NumberFormatException e) {
@@ -49,7 +49,7 @@
         if (!pairs.containsKey(key) || pairs.get(key).isEmpty()) {
             throw new IllegalArgumentException("setting " + key + " is missing");
         }
-        return toNumber(key, pairs.get(key));
+        return parseNumber(key, pairs.get(key));
     }
 
     private boolean flag(String key, boolean absent) {
@@ -57,15 +57,15 @@
     }
 
     /** A list of names; empty where the key is absent. */
-    public List<String> words(String key) {
+    public List<String> names(String key) {
         String v = pairs.get(key);
         return v == null || v.isEmpty() ? List.of() : List.of(v.split(","));
     }
 
     private List<Double> numbers(String key) {
         List<Double> out = new ArrayList<>();
-        for (String w : words(key)) {
-            out.add(toNumber(key, w));
+        for (String w : names(key)) {
+            out.add(parseNumber(key, w));
         }
         return out;
     }
@@ -76,14 +76,14 @@
             return null;
         }
         List<Integer> out = new ArrayList<>();
-        for (String w : words(key)) {
+        for (String w : names(key)) {
             int at = names.indexOf(w);
-            out.add(at >= 0 ? at : (int) toNumber(key, w));
+            out.add(at >= 0 ? at : (int) parseNumber(key, w));
         }
         return out;
     }
 
-    private static <T> T at(List<T> list, int i, T absent) {
+    private static <T> T elementOr(List<T> list, int i, T absent) {
         return i < list.size() ? list.get(i) : absent;
     }
 
@@ -103,10 +103,10 @@
                 number(p + "aimStretch", 0), required(p + "hardLimit"), number(p + "points", 1),
                 number(p + "lateWorth", 0), effect, scope, number(p + "repeatWindow", 0),
                 flag(p + "keepOrder", false), flag(p + "streaming", false),
-                (int) Math.max(1, at(numbers("extra.classThreads"), i, 1.0)),
-                "true".equals(at(words("extra.writesTables"), i, "false")),
-                "true".equals(at(words("extra.waitsForLoads"), i, "false")),
-                indices(p + "allowedIn", words("localities")), indices(p + "servedOn", words("kinds")));
+                (int) Math.max(1, elementOr(numbers("extra.classThreads"), i, 1.0)),
+                "true".equals(elementOr(names("extra.writesTables"), i, "false")),
+                "true".equals(elementOr(names("extra.waitsForLoads"), i, "false")),
+                indices(p + "allowedIn", names("localities")), indices(p + "servedOn", names("kinds")));
     }
 
     private List<Gateway.Tenant> tenants() {
@@ -148,7 +148,7 @@
         Gateway.Fleet fleet = new Gateway.Fleet(numbers("extra.sizeCores"), numbers("extra.memoryByKindMb"),
                 number("extra.largestShare", 1), flag("extra.takesGrants", false),
                 flag("extra.lanesCount", false), shortage, number("extra.notePeriod", 0),
-                flag("extra.tellsCost", false), reports ? words("reporting.fields") : List.of());
+                flag("extra.tellsCost", false), reports ? names("reporting.fields") : List.of());
         return new Gateway.Settings((int) number("balancers", 1), (int) number("me", 0),
                 (int) number("myZone", 0), classes, tenants(), number("overShareWorth", 1),
                 "on_request".equals(pairs.get("discovery")), flag("clients.marksRetry", false),
--- a/decision/src/test/java/quincespar/decision/ChanceTest.java
+++ b/decision/src/test/java/quincespar/decision/ChanceTest.java
@@ -11,7 +11,7 @@
     void theModulesChanceIsThatOfTheJdkBySeed() {
         for (long seed : new long[] {0, 1, -1, 42, Long.MIN_VALUE, 0x8c1f30d27a5be964L}) {
             Random known = new Random(seed);
-            State.Chance ours = new State.Chance(seed);
+            SchedulerState.SeededRandom ours = new SchedulerState.SeededRandom(seed);
             for (int i = 0; i < 1000; i++) {
                 assertEquals(known.nextDouble(), ours.nextDouble());
             }
--- a/decision/src/test/java/quincespar/decision/FullFleetTest.java
+++ b/decision/src/test/java/quincespar/decision/FullFleetTest.java
@@ -84,7 +84,7 @@
     /** How many things the module's own collections hold. */
     private static int kept(FleetWorld one) throws IllegalAccessException {
         int sum = 0;
-        for (java.lang.reflect.Field f : Brain.class.getDeclaredFields()) {
+        for (java.lang.reflect.Field f : GcMuScheduler.class.getDeclaredFields()) {
             f.setAccessible(true);
             Object value = f.get(one.fronts.get(0).rig.brain);
             sum += value instanceof java.util.Map<?, ?> m ? m.size() : value instanceof java.util.Collection<?> c ? c.size() : 0;
--- a/decision/src/test/java/quincespar/decision/MechanismTest.java
+++ b/decision/src/test/java/quincespar/decision/MechanismTest.java
@@ -210,7 +210,7 @@
     void discoveryThatMustBeAskedIsFollowedAndAskedAgainAfterAFailure() {
         Rig r = two();
         r.ask = true;
-        r.brain = new Brain(r.settings(), 7);
+        r.brain = new GcMuScheduler(r.settings(), 7);
         assertEquals(1, Rig.all(r.tell(new Listed(ListKind.CACHED, 1, List.of(Rig.ready(10)))), Watch.class).size());
         assertEquals(0, Rig.all(r.after(100, new Listed(ListKind.FAILED, 0, List.of())), Watch.class).size());
         int again = 0;
--- a/decision/src/test/java/quincespar/decision/Rig.java
+++ b/decision/src/test/java/quincespar/decision/Rig.java
@@ -30,7 +30,7 @@
     boolean ask;
     Limits limits = new Limits(true, false, false, false, true, 4, 500, 20000, 250);
     Rules rules = new Rules(20, 10000, 10000, 0.3, 250, 1000, 2, 0, Double.NaN, Double.NaN, Double.NaN);
-    Brain brain;
+    GcMuScheduler brain;
     double now = 1000;
 
     static ClassSpec spec(String name, double aim, double worth, Effect effect, Scope scope, boolean ordered,
@@ -66,7 +66,7 @@
     }
 
     Rig start(Engine... engines) {
-        brain = new Brain(settings(), 7 + me);
+        brain = new GcMuScheduler(settings(), 7 + me);
         tell(new Listed(ListKind.CACHED, 1, List.of(engines)));
         return this;
     }
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.fleet.Standing;
 import quincespar.metrics.Exposition;
 import quincespar.metrics.Figures;
@@ -130,7 +130,7 @@
         String folder = settings.word(Keyword.CAPTURE_FOLDER);
         capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().module(), clock, line -> log.info("{}: {}", c.name(), line));
-        reducer = new Reducer(c.site(), bounds, capturing == null ? new Brain(c.site().module(), c.seed())
+        reducer = new Reducer(c.site(), bounds, capturing == null ? new GcMuScheduler(c.site().module(), c.seed())
                 : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
                 Reducer.terms(c.site())), recovery != null && recovery.notesLoads());
         kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -7,7 +7,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway.ClassSpec;
 import quincespar.program.clients.ThriftFront;
 import quincespar.protocol.resp.EngineCodec;
@@ -53,7 +53,7 @@
 
     void run() {
         Reducer scratch = new Reducer(configuration.site(), bounds,
-                new Brain(configuration.site().module(), configuration.seed()));
+                new GcMuScheduler(configuration.site().module(), configuration.seed()));
         long until = System.nanoTime() + (long) (BUDGET_MS * 1e6);
         now = System.currentTimeMillis();
         follow(scratch.start(now, configuration.changeLog(), configuration.known().events()));
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -29,7 +29,7 @@
 import quincespar.capture.RuleCheck;
 import quincespar.capture.SegmentName;
 import quincespar.capture.Store;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.routing.EngineNumber;
 
@@ -59,7 +59,7 @@
             lives.computeIfAbsent(name.of() + " started " + Instant.ofEpochMilli(name.start()), n -> new ArrayList<>())
                     .add(captures.read(name));
         }
-        String own = ModuleText.digest(Brain.class);
+        String own = ModuleText.digest(GcMuScheduler.class);
         lives.forEach((life, all) -> {
             System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(Segment::bytes).sum()
                     + " calls=" + all.stream().mapToLong(Segment::calls).sum());
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -15,7 +15,7 @@
 import quincespar.capture.Segments;
 import quincespar.capture.StateCodec;
 import quincespar.capture.Store;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Version;
@@ -54,11 +54,11 @@
                 .anyMatch(n -> n.of().equals(before.of()))).toList(); // others may write to the same folder
         Segments segments = new Segments(limits, before, own, clock.now());
         Entry.Opening opening = new Entry.Opening(name, now, seed, Version.text(),
-                ModuleText.digest(Brain.class), settings);
+                ModuleText.digest(GcMuScheduler.class), settings);
         Recorder recorder = new Recorder(new Recording(opening, segments, store, tell), s.count(Keyword.CAPTURE_RING),
                 s.number(Keyword.CAPTURE_FLUSH), clock::now);
-        return new Capturing(recorder, new CapturedGateway(new Brain(settings, seed), recorder,
-                new StateCodec(Brain.class)::write));
+        return new Capturing(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
+                new StateCodec(GcMuScheduler.class)::write));
     }
 
     /** The module, captured. */
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -94,7 +94,7 @@
 
     /** What is reported of the front end, as it stands after the last step. */
     public Figures figures() {
-        return ledger.figures(requests.open(), fleet.listed(), gateway.avoided(), roster.watch());
+        return ledger.figures(requests.open(), fleet.listed(), gateway.ejectedEngineCount(), roster.watch());
     }
 
     /** Whether the change log has answered whole since the start: until then the list may be an old one. */
--- a/frontend/src/main/java/quincespar/routing/Site.java
+++ b/frontend/src/main/java/quincespar/routing/Site.java
@@ -26,8 +26,8 @@
      */
     public static Site of(Map<String, String> pairs) {
         SettingsParser settings = new SettingsParser(pairs);
-        Gateway.Settings module = settings.settings().unheard();
-        return new Site(module, settings.words("localities"), settings.words("kinds"),
+        Gateway.Settings module = settings.settings().withoutPeerMessages();
+        return new Site(module, settings.names("localities"), settings.names("kinds"),
                 aboveZero(settings.number("limits.connIdle", IDLE), IDLE),
                 (int) aboveZero(settings.number("limits.maxStreams", STREAMS), STREAMS),
                 numbers(module.classes(), Gateway.ClassSpec::name), numbers(module.tenants(), Gateway.Tenant::name));
@@ -53,12 +53,12 @@
         named.keySet().retainAll(classes.keySet());
         Map<String, Integer> known = new HashMap<>(numbers(shops, Gateway.Tenant::name));
         known.keySet().retainAll(tenants.keySet());
-        return new Site(module.with(specs, shops), zones, kinds, idleMs, streams, Map.copyOf(named), Map.copyOf(known));
+        return new Site(module.withClassesAndTenants(specs, shops), zones, kinds, idleMs, streams, Map.copyOf(named), Map.copyOf(known));
     }
 
     /** The same among so many front ends, as the one with this number. */
     Site among(int howMany, int number) {
-        Gateway.Settings m = module.among(howMany, number);
+        Gateway.Settings m = module.withRouter(howMany, number);
         return m == module ? this : new Site(m, zones, kinds, idleMs, streams, classes, tenants);
     }
 
--- a/frontend/src/main/java/quincespar/simulator/WireHost.java
+++ b/frontend/src/main/java/quincespar/simulator/WireHost.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.SettingsParser;
 
@@ -44,7 +44,7 @@
 
     /** A host of the project's own module. */
     public WireHost() {
-        this(Brain::new);
+        this(GcMuScheduler::new);
     }
 
     /** A host of modules that are made by someone else. */
--- a/frontend/src/test/java/quincespar/routing/RouterWorld.java
+++ b/frontend/src/test/java/quincespar/routing/RouterWorld.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.membership.Pace;
 import quincespar.protocol.FleetEvent;
@@ -52,7 +52,7 @@
     RouterWorld(Site start, Recovery recovery) {
         site = start;
         reducer = new Reducer(site, new Bounds(100, 1000, 2000, 2500, 8, 8, 500,
-                new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), heard(new Brain(site.module(), 7)), recovery, true);
+                new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), heard(new GcMuScheduler(site.module(), 7)), recovery, true);
         follow(reducer.start(now, "127.0.0.1:1", List.of(new FleetEvent(1, 1, true,
                 List.of(member("s-1", Phase.UP), member("s-2", Phase.UP))))));
     }
@@ -68,8 +68,8 @@
             }
 
             @Override
-            public int avoided() {
-                return module.avoided();
+            public int ejectedEngineCount() {
+                return module.ejectedEngineCount();
             }
         };
     }
--- a/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
+++ b/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.fleet.Command;
 import quincespar.fleet.FleetState;
 import quincespar.fleet.FleetView;
@@ -217,7 +217,7 @@
             Recovery r = loss.returns() ? new Recovery(new quincespar.recovery.Pace(2000, 5000, 4000, 3000, 1000, 2000, STOOD), name, true,
                     Reducer.terms(site)) : null;
             reducer = new Reducer(site, new Bounds(1000, 5000, 2000, 2500, 8, 8, 500, new Pace(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
-                    new Brain(site.module(), loss.seed() * 1000 + number), r, loss.returns());
+                    new GcMuScheduler(site.module(), loss.seed() * 1000 + number), r, loss.returns());
             perform(reducer.start(EPOCH + time.now(), "10.0.0.2:1", List.of(new FleetEvent(1, 1, true, listed))));
             if (loss.returns()) {
                 time.after(READ, () -> take(new Input.KeptRead(Trust.Finding.WHOLE, List.of(new Entry.Life(name, 1)), "")));
