--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -68,7 +68,7 @@
             }
 
             @Override
-            public int avoided() {
+            public int ejectedEngineCount() {
                 return module.ejectedEngineCount();
             }
         };
