--- a/capture/src/main/java/quincespar/capture/CapturedGateway.java
+++ b/capture/src/main/java/quincespar/capture/CapturedGateway.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /** A decision module whose calls are reported to a listener; its answers and exceptions are passed on unchanged. */
-public final class CapturedGateway implements Gateway {
+public final class CapturedGateway implements Scheduler {
     /** Receives calls on the caller's thread; no method may block. */
     public interface Listener {
         /** A call has returned. */
@@ -22,19 +22,19 @@
         void onState(double time, byte[] bytes);
     }
 
-    private final Gateway module;
+    private final Scheduler module;
     private final Listener listener;
-    private final Function<Gateway, byte[]> stateEncoder;
+    private final Function<Scheduler, byte[]> stateEncoder;
 
     /** Reports the calls of {@code module}; {@code stateEncoder} encodes its state when the listener wants it. */
-    public CapturedGateway(Gateway module, Listener listener, Function<Gateway, byte[]> stateEncoder) {
+    public CapturedGateway(Scheduler module, Listener listener, Function<Scheduler, byte[]> stateEncoder) {
         this.module = module;
         this.listener = listener;
         this.stateEncoder = stateEncoder;
     }
 
     /** Reports calls and failures, and never a state. */
-    public CapturedGateway(Gateway module, Consumer<Entry> consumer) {
+    public CapturedGateway(Scheduler module, Consumer<Entry> consumer) {
         this(module, new Listener() {
             @Override
             public void onCall(Entry.Call call) {
--- a/capture/src/main/java/quincespar/capture/Explainer.java
+++ b/capture/src/main/java/quincespar/capture/Explainer.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.Event;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.Event;
 import quincespar.decision.DecisionExplainer;
 
 /** Tells from a capture, in lines for people, what became of a request and why, or what was known of an engine. */
@@ -17,8 +17,8 @@
     private final CaptureReader captures;
     private final CurrentModuleFactory modules = new CurrentModuleFactory();
     private final Consumer<String> to;
-    private Gateway.Settings settings;
-    private Gateway.Request taken;
+    private Scheduler.Settings settings;
+    private Scheduler.Request taken;
     private double takenAt;
     private int told;
 
@@ -37,15 +37,15 @@
             boolean more = replay.play(e);
             if (e instanceof Entry.Call c) {
                 c.events().stream().filter(x -> concerns(x, id)).forEach(x -> {
-                    taken = x instanceof Gateway.Request r ? r : taken;
-                    takenAt = x instanceof Gateway.Request ? c.time() : takenAt;
+                    taken = x instanceof Scheduler.Request r ? r : taken;
+                    takenAt = x instanceof Scheduler.Request ? c.time() : takenAt;
                     say(c.time(), event(x));
                 });
                 if (before != null) {
                     before.choices(c.time(), c.events(), c.actions()).stream().filter(x -> x.request() == id)
                             .forEach(x -> choice(c.time(), x));
                 }
-                c.actions().stream().filter(a -> concerns(a, id) && (before == null || !(a instanceof Gateway.Send)))
+                c.actions().stream().filter(a -> concerns(a, id) && (before == null || !(a instanceof Scheduler.SendAttempt)))
                         .forEach(a -> say(c.time(), action(a) + standing(a, c.time())));
             } else if (e instanceof Entry.Opening o && settings == null) {
                 settings = o.settings();
@@ -72,7 +72,7 @@
     }
 
     private static boolean sends(Entry.Call c, long id) {
-        return c.actions().stream().anyMatch(a -> a instanceof Gateway.Send s && s.id() == id);
+        return c.actions().stream().anyMatch(a -> a instanceof Scheduler.SendAttempt s && s.id() == id);
     }
 
     private void parted(Replay.Result r) {
@@ -112,44 +112,44 @@
     }
 
     private static boolean concerns(Event e, long id) {
-        return e instanceof Gateway.Request r && r.id() == id || e instanceof Gateway.Ended x && x.id() == id
-                || e instanceof Gateway.Note n && n.id() == id || e instanceof Gateway.Left l && l.id() == id
-                || e instanceof Gateway.Started s && s.id() == id;
+        return e instanceof Scheduler.Request r && r.id() == id || e instanceof Scheduler.AttemptEnded x && x.id() == id
+                || e instanceof Scheduler.AttemptNote n && n.id() == id || e instanceof Scheduler.ClientLeft l && l.id() == id
+                || e instanceof Scheduler.AnswerStarted s && s.id() == id;
     }
 
     private static boolean concerns(Action a, long id) {
-        return a instanceof Gateway.Send s && s.id() == id || a instanceof Gateway.Refuse r && r.id() == id
-                || a instanceof Gateway.Fail f && f.id() == id || a instanceof Gateway.Cancel c && c.id() == id;
+        return a instanceof Scheduler.SendAttempt s && s.id() == id || a instanceof Scheduler.RefuseRequest r && r.id() == id
+                || a instanceof Scheduler.FailRequest f && f.id() == id || a instanceof Scheduler.CancelAttempt c && c.id() == id;
     }
 
     private static String event(Event e) {
-        if (e instanceof Gateway.Request r) {
+        if (e instanceof Scheduler.Request r) {
             return String.format(Locale.ROOT, "request %d is taken: class %d, %.0f ms of patience, estimate %.0f ms%s", r.id(),
-                    r.cls(), r.patience(), r.work(), r.retry() ? ", asked again" : "");
-        } else if (e instanceof Gateway.Ended x) {
+                    r.requestClass(), r.clientTimeout(), r.estimatedWork(), r.retry() ? ", asked again" : "");
+        } else if (e instanceof Scheduler.AttemptEnded x) {
             return String.format(Locale.ROOT, "attempt %d at engine %d ended after %.0f ms: %s", x.attempt(), x.engine(),
                     x.latency(), x.outcome().name().toLowerCase(Locale.ROOT));
-        } else if (e instanceof Gateway.Note n) {
+        } else if (e instanceof Scheduler.AttemptNote n) {
             return String.format(Locale.ROOT, "engine %d says of attempt %d: %s %.2f", n.engine(), n.attempt(),
                     n.kind().name().toLowerCase(Locale.ROOT), n.value());
         }
-        return e instanceof Gateway.Left ? "the client has left" : "its answer has started";
+        return e instanceof Scheduler.ClientLeft ? "the client has left" : "its answer has started";
     }
 
     /** With a final answer that serves nothing: how the request stood with its time. */
     private String standing(Action a, double now) {
-        boolean ends = a instanceof Gateway.Refuse || a instanceof Gateway.Fail;
-        return !ends || taken == null || settings == null || taken.cls() >= settings.classes().size() ? ""
+        boolean ends = a instanceof Scheduler.RefuseRequest || a instanceof Scheduler.FailRequest;
+        return !ends || taken == null || settings == null || taken.requestClass() >= settings.classes().size() ? ""
                 : String.format(Locale.ROOT, "; %.0f ms old, its aim was %.0f ms, and %.0f ms were left", now - takenAt,
-                settings.classes().get(taken.cls()).aim(), taken.patience() - (now - takenAt));
+                settings.classes().get(taken.requestClass()).latencyTarget(), taken.clientTimeout() - (now - takenAt));
     }
 
     private static String action(Action a) {
-        if (a instanceof Gateway.Cancel c) {
-            return "attempt " + c.attempt() + " is given up: " + c.why().name().toLowerCase(Locale.ROOT);
-        } else if (a instanceof Gateway.Refuse r) {
-            return String.format(Locale.ROOT, "it is turned away, to come back after %.0f ms", r.comeBack());
+        if (a instanceof Scheduler.CancelAttempt c) {
+            return "attempt " + c.attempt() + " is given up: " + c.reason().label;
+        } else if (a instanceof Scheduler.RefuseRequest r) {
+            return String.format(Locale.ROOT, "it is turned away, to come back after %.0f ms", r.retryAfter());
         }
-        return a instanceof Gateway.Send s ? "an attempt goes to engine " + s.engine() : "it is answered as failed";
+        return a instanceof Scheduler.SendAttempt s ? "an attempt goes to engine " + s.engine() : "it is answered as failed";
     }
 }
--- a/capture/src/main/java/quincespar/capture/Replay.java
+++ b/capture/src/main/java/quincespar/capture/Replay.java
@@ -8,7 +8,7 @@
 import java.util.Deque;
 import java.util.HexFormat;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /**
  * Feeds a module what another was told, and compares what it decides. It stops where they part: from there on the events
@@ -18,13 +18,13 @@
     /** Makes the modules that are played on. */
     public interface ModuleFactory {
         /** A new one. */
-        Gateway create(Entry.Opening opening);
+        Scheduler create(Entry.Opening opening);
 
         /** One in that state; throws {@link MalformedCaptureException} where it is of another text, or none. */
-        Gateway restore(Entry.State state) throws IOException;
+        Scheduler restore(Entry.State state) throws IOException;
 
         /** A module's state, as bytes that are the same where the state is. */
-        byte[] stateOf(Gateway module);
+        byte[] stateOf(Scheduler module);
     }
 
     /**
@@ -36,7 +36,7 @@
             Divergence divergence) { }
 
     /** The first call whose decisions differ, by number from 1, with the calls before it, the last one last. */
-    public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Gateway.Action> got) { }
+    public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Scheduler.Action> got) { }
 
     /** Calls shown before a divergence. */
     private static final int BEFORE = 10;
@@ -47,7 +47,7 @@
     private final ModuleFactory modules;
     /** Of the segment that begins: whether a state comes with it is known with the next entry. */
     private Entry.Opening opening;
-    private Gateway module;
+    private Scheduler module;
     private long states;
     private long otherStates;
     private long lost;
@@ -97,7 +97,7 @@
     }
 
     private boolean call(Entry.Call c) {
-        List<Gateway.Action> got = List.copyOf(module.decide(c.time(), c.events()));
+        List<Scheduler.Action> got = List.copyOf(module.decide(c.time(), c.events()));
         calls++;
         events += c.events().size();
         decisions += got.size();
@@ -115,7 +115,7 @@
     }
 
     /** The module as it stands, null where nothing can be played before the next state. */
-    Gateway module() {
+    Scheduler module() {
         return module;
     }
 
--- a/capture/src/main/java/quincespar/capture/RuleChecker.java
+++ b/capture/src/main/java/quincespar/capture/RuleChecker.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
 
 /**
  * Holds captured calls against the rules that can be seen in them: what may not run twice is sent once unless it is proven
@@ -28,7 +28,7 @@
 
     private static final class Open {
         private final ClassSpec spec;
-        private final List<Gateway.Outcome> attempts = new ArrayList<>();
+        private final List<Scheduler.Outcome> attempts = new ArrayList<>();
         private boolean over;
         /** Its client has left: nothing is owed, and nothing new may be sent. */
         private boolean left;
@@ -51,7 +51,7 @@
     private final Map<Long, Double> notReadySince = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private Entry.Opening opening;
-    private Gateway.Settings settings;
+    private Scheduler.Settings settings;
     private long count;
 
     /** Takes one entry. */
@@ -79,11 +79,11 @@
     }
 
     private void happened(double now, Event e) {
-        if (e instanceof Gateway.Request r && r.cls() >= 0 && r.cls() < settings.classes().size()) {
-            requests.putIfAbsent(r.id(), new Open(settings.classes().get(r.cls())));
-        } else if (e instanceof Gateway.Configured c) {
+        if (e instanceof Scheduler.Request r && r.requestClass() >= 0 && r.requestClass() < settings.classes().size()) {
+            requests.putIfAbsent(r.id(), new Open(settings.classes().get(r.requestClass())));
+        } else if (e instanceof Scheduler.SettingsChanged c) {
             settings = c.settings();
-        } else if (e instanceof Gateway.Listed l) {
+        } else if (e instanceof Scheduler.EngineList l) {
             l.engines().forEach(n -> {
                 if (n.state() == EngineState.READY) {
                     notReadySince.remove(n.id());
@@ -91,47 +91,47 @@
                     notReadySince.putIfAbsent(n.id(), now);
                 }
             });
-        } else if (e instanceof Gateway.Ended x) {
+        } else if (e instanceof Scheduler.AttemptEnded x) {
             ended(x, requests.get(x.id()));
-        } else if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
+        } else if (e instanceof Scheduler.ClientLeft l && requests.containsKey(l.id())) {
             requests.get(l.id()).left = true;
         }
     }
 
-    private void ended(Gateway.Ended x, Open r) {
+    private void ended(Scheduler.AttemptEnded x, Open r) {
         if (r != null && x.attempt() >= 0 && x.attempt() < r.attempts.size() && r.attempts.get(x.attempt()) == null) {
             r.attempts.set(x.attempt(), x.outcome()); // an end that is told again says nothing
-            r.over |= x.over();
+            r.over |= x.requestOver();
             forget(x.id(), r);
         }
     }
 
     private void left(Event e) {
-        if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
+        if (e instanceof Scheduler.ClientLeft l && requests.containsKey(l.id())) {
             requests.get(l.id()).over = true;
             forget(l.id(), requests.get(l.id()));
         }
     }
 
     private void decided(double now, Action a) {
-        if (a instanceof Gateway.Send x) {
+        if (a instanceof Scheduler.SendAttempt x) {
             send(now, x, requests.get(x.id()));
-        } else if (a instanceof Gateway.Refuse x) {
+        } else if (a instanceof Scheduler.RefuseRequest x) {
             answered(now, x.id(), requests.get(x.id()), true);
-        } else if (a instanceof Gateway.Fail x) {
+        } else if (a instanceof Scheduler.FailRequest x) {
             answered(now, x.id(), requests.get(x.id()), false);
         }
     }
 
-    private void send(double now, Gateway.Send s, Open r) {
+    private void send(double now, Scheduler.SendAttempt s, Open r) {
         require(!ended.contains(s.id()), now, s.id(), "is sent after its end");
         if (r == null) {
             return; // over, or open since before the first call that is known
         }
         require(!r.over && !r.left, now, s.id(), "is sent after its end");
-        require(r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, s.id(),
+        require(r.spec.idempotency() != Scheduler.Idempotency.UNSAFE || !r.mayHaveRun(), now, s.id(),
                 "is sent again though it may have run, and may not run twice");
-        require(r.out() == 0 || settings.limits().secondCopies(), now, s.id(), "has two attempts out");
+        require(r.out() == 0 || settings.limits().mayRunConcurrentAttempts(), now, s.id(), "has two attempts out");
         Double since = notReadySince.get(s.engine());
         require(since == null || now - since <= settings.rules().drainGrace(), now, s.id(),
                 "is sent to engine " + s.engine() + ", which takes nothing new");
@@ -143,7 +143,7 @@
         if (r == null) {
             return;
         }
-        require(!refused || r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, id,
+        require(!refused || r.spec.idempotency() != Scheduler.Idempotency.UNSAFE || !r.mayHaveRun(), now, id,
                 "is refused after it may have run");
         require(!r.over, now, id, "has two final answers");
         r.over = true;
--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -19,8 +19,8 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
 
 /** What a capture costs the module's thread, what it costs the writer's, and how long a snapshot takes; no part of CI. */
 @BenchmarkMode(Mode.AverageTime)
@@ -36,7 +36,7 @@
         @Param({"off", "on"})
         public String capture;
         private List<Entry.Call> calls;
-        private Gateway module;
+        private Scheduler module;
         private Recorder recorder;
         private Thread writer;
         private int at;
@@ -77,7 +77,7 @@
             }
         }
 
-        List<Gateway.Action> next() {
+        List<Scheduler.Action> next() {
             if (at == calls.size()) {
                 begin();
             }
@@ -123,20 +123,20 @@
         @Param({"6x100", "60x500", "60x2000"})
         public String size;
         private final StateCodec codec = new StateCodec(GcMuScheduler.class);
-        private Gateway module;
+        private Scheduler module;
 
         /** Fills one. */
         @Setup(Level.Trial)
         public void fill() {
             String[] parts = size.split("x");
-            List<Gateway.Engine> engines = new ArrayList<>();
+            List<Scheduler.Engine> engines = new ArrayList<>();
             for (long e = 1; e <= Integer.parseInt(parts[0]); e++) {
-                engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
+                engines.add(new Scheduler.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
             }
             module = new GcMuScheduler(World.settings(), 5);
-            module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
+            module.decide(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, engines)));
             for (int i = 1; i <= Integer.parseInt(parts[1]); i++) {
-                module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
+                module.decide(i / 10.0, List.of(new Scheduler.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
             }
             System.out.println(size + ": " + codec.write(module).length + " bytes");
         }
@@ -144,7 +144,7 @@
 
     /** One call of the module, events of a day in their order. */
     @Benchmark
-    public List<Gateway.Action> call(Day d) {
+    public List<Scheduler.Action> call(Day d) {
         return d.next();
     }
 
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 @Timeout(120)
 class CaptureTest {
@@ -49,8 +49,8 @@
                 c.events().forEach(x -> kinds.add(x.getClass()));
             }
         });
-        assertThat(kinds).contains(Gateway.Request.class, Gateway.Listed.class, Gateway.Ended.class, Gateway.Note.class,
-                Gateway.Left.class, Gateway.Timer.class, Gateway.Probed.class);
+        assertThat(kinds).contains(Scheduler.Request.class, Scheduler.EngineList.class, Scheduler.AttemptEnded.class, Scheduler.AttemptNote.class,
+                Scheduler.ClientLeft.class, Scheduler.TimerFired.class, Scheduler.ProbeResult.class);
     }
 
     /** Existing captures stay readable: a renamed record, component or constant needs its stored name in the codec's table. */
@@ -162,8 +162,8 @@
     /** Whatever the bytes of a record, they are an entry or refused; nothing else is thrown. */
     @Property(tries = 3000, seed = "20261201")
     void anyBytesAreAnEntryOrRefused(@ForAll byte[] bytes, @ForAll int at, @ForAll byte with) {
-        byte[] record = codec.write(new Entry.Call(5, List.of(new Gateway.Timer(3), new Gateway.Told(1, new byte[9])),
-                List.of(new Gateway.Send(1, 2, 0))));
+        byte[] record = codec.write(new Entry.Call(5, List.of(new Scheduler.TimerFired(3), new Scheduler.PeerMessage(1, new byte[9])),
+                List.of(new Scheduler.SendAttempt(1, 2, 0))));
         record[Math.floorMod(at, record.length)] = with;
         for (byte[] some : List.of(bytes, record, Arrays.copyOf(record, Math.floorMod(at, record.length)))) {
             try {
@@ -176,7 +176,7 @@
 
     @Test
     void figuresThatAreNoneKeepTheirBits() throws IOException {
-        Entry.Call c = new Entry.Call(Double.MAX_VALUE, List.of(new Gateway.Ended(1, 0, 2, Gateway.Outcome.OK, Double.NaN,
+        Entry.Call c = new Entry.Call(Double.MAX_VALUE, List.of(new Scheduler.AttemptEnded(1, 0, 2, Scheduler.Outcome.OK, Double.NaN,
                 true, Double.NEGATIVE_INFINITY, -0.0, List.of(Double.MIN_VALUE, Double.NaN))), List.of());
         byte[] bytes = codec.write(c);
         assertThat(codec.write(codec.read(bytes))).isEqualTo(bytes);
@@ -197,6 +197,6 @@
     @Test
     void theModulesTextHasADigestThatNamesIt() {
         assertThat(ModuleDigest.of(GcMuScheduler.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleDigest.of(GcMuScheduler.class))
-                .isNotEqualTo(ModuleDigest.of(Gateway.class));
+                .isNotEqualTo(ModuleDigest.of(Scheduler.class));
     }
 }
--- a/capture/src/test/java/quincespar/capture/ExplainTest.java
+++ b/capture/src/test/java/quincespar/capture/ExplainTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.decision.DecisionExplainer;
 import quincespar.decision.DecisionExplainer.EngineView;
 
@@ -33,7 +33,7 @@
         int told = 0;
         for (Entry e : entries) {
             if (e instanceof Entry.Call c) {
-                long now = c.actions().stream().filter(Gateway.Send.class::isInstance).count();
+                long now = c.actions().stream().filter(Scheduler.SendAttempt.class::isInstance).count();
                 if (now > 0) {
                     sends += now;
                     List<DecisionExplainer.Choice> all = new DecisionExplainer(codec.read(codec.write(module), GcMuScheduler.class)).choices(c.time(),
--- a/capture/src/test/java/quincespar/capture/RecordingTest.java
+++ b/capture/src/test/java/quincespar/capture/RecordingTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /** Segments on a store that works, fails, fills up and drops what is old, and their replay. */
 class RecordingTest {
--- a/capture/src/test/java/quincespar/capture/ScenesTest.java
+++ b/capture/src/test/java/quincespar/capture/ScenesTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Outcome;
 
 /**
  * Past failures, captured: the module as it is decides as it did then. Where a change to the module is meant to change
@@ -90,16 +90,16 @@
         long out = 0;
         for (Entry e : captured(s)) {
             if (e instanceof Entry.Call c) {
-                taken += c.events().stream().filter(Gateway.Request.class::isInstance).count();
+                taken += c.events().stream().filter(Scheduler.Request.class::isInstance).count();
                 long at = taken;
-                out += c.actions().stream().filter(a -> a instanceof Gateway.Send x && at > from && at <= to
+                out += c.actions().stream().filter(a -> a instanceof Scheduler.SendAttempt x && at > from && at <= to
                         && (!toSecond || x.engine() == 2)).count();
             }
         }
         return out;
     }
 
-    private static Entry.Call call(double time, List<Gateway.Event> events, Gateway.Action... actions) {
+    private static Entry.Call call(double time, List<Scheduler.Event> events, Scheduler.Action... actions) {
         return new Entry.Call(time, events, List.of(actions));
     }
 
@@ -108,27 +108,27 @@
     void eachBrokenRuleIsNamed() {
         RuleChecker r = new RuleChecker();
         r.check(World.opening(1));
-        Gateway.Engine drains = new Gateway.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
-        r.check(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(drains)))));
-        Gateway.Event load = new Gateway.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
-        r.check(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace
-        r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Gateway.Send(1, 1, 0))); // it never ran
+        Scheduler.Engine drains = new Scheduler.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
+        r.check(call(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, List.of(drains)))));
+        Scheduler.Event load = new Scheduler.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
+        r.check(call(100, List.of(load), new Scheduler.SendAttempt(1, 2, 0))); // within the grace
+        r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Scheduler.SendAttempt(1, 1, 0))); // it never ran
         r.check(call(300, List.of(ended(1, 1, Outcome.ERROR))));
         assertThat(r.violationCount()).isZero();
-        r.check(call(400, List.of(), new Gateway.Send(1, 1, 0)));
-        r.check(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Gateway.Refuse(1, 0)));
-        r.check(call(600, List.of(), new Gateway.Fail(1)));
-        r.check(call(700, List.of(), new Gateway.Send(1, 1, 0)));
-        Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.check(call(2000, List.of(lookup), new Gateway.Send(2, 1, 0), new Gateway.Send(2, 1, 0)));
-        r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Gateway.Send(2, 2, 0)));
+        r.check(call(400, List.of(), new Scheduler.SendAttempt(1, 1, 0)));
+        r.check(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Scheduler.RefuseRequest(1, 0)));
+        r.check(call(600, List.of(), new Scheduler.FailRequest(1)));
+        r.check(call(700, List.of(), new Scheduler.SendAttempt(1, 1, 0)));
+        Scheduler.Event lookup = new Scheduler.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
+        r.check(call(2000, List.of(lookup), new Scheduler.SendAttempt(2, 1, 0), new Scheduler.SendAttempt(2, 1, 0)));
+        r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Scheduler.SendAttempt(2, 2, 0)));
         assertThat(r.violations()).containsExactly(
                 "0.400 request 1 is sent again though it may have run, and may not run twice",
                 "0.500 request 1 is refused after it may have run", "0.600 request 1 has two final answers",
                 "0.700 request 1 is sent after its end", "2.000 request 2 has two attempts out",
                 "2.100 request 2 is sent to engine 2, which takes nothing new");
         r.check(new Entry.Gap(2200, 5, "the ring was full"));
-        r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // nothing is known of it any more
+        r.check(call(2300, List.of(), new Scheduler.SendAttempt(2, 2, 0))); // nothing is known of it any more
         assertThat(r.violationCount()).isEqualTo(6);
     }
 
@@ -143,7 +143,7 @@
         }
         assertThat(r.violations()).isEmpty();
         r.check(World.opening(8));
-        r.check(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
+        r.check(call(99_000, List.of(), new Scheduler.SendAttempt(3, 1, 0)));
         assertThat(r.violations()).containsExactly("99.000 request 3 is sent after its end");
     }
 
@@ -152,18 +152,18 @@
     void whoLeavesInTheCallInWhichItIsGivenUpHasOneAnswer() {
         RuleChecker r = new RuleChecker();
         r.check(World.opening(1));
-        Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.check(call(0, List.of(lookup), new Gateway.Send(2, 1, 0)));
-        r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Gateway.Left(2)), new Gateway.Refuse(2, 0)));
+        Scheduler.Event lookup = new Scheduler.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
+        r.check(call(0, List.of(lookup), new Scheduler.SendAttempt(2, 1, 0)));
+        r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Scheduler.ClientLeft(2)), new Scheduler.RefuseRequest(2, 0)));
         assertThat(r.violations()).isEmpty();
-        r.check(call(20, List.of(), new Gateway.Refuse(2, 0)));
-        r.check(call(30, List.of(new Gateway.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
-        r.check(call(40, List.of(new Gateway.Left(3)), new Gateway.Send(3, 1, 0)));
+        r.check(call(20, List.of(), new Scheduler.RefuseRequest(2, 0)));
+        r.check(call(30, List.of(new Scheduler.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
+        r.check(call(40, List.of(new Scheduler.ClientLeft(3)), new Scheduler.SendAttempt(3, 1, 0)));
         assertThat(r.violations()).containsExactly("0.020 request 2 has two final answers",
                 "0.040 request 3 is sent after its end");
     }
 
-    private static Gateway.Event ended(long id, int attempt, Outcome how) {
-        return new Gateway.Ended(id, attempt, 1, how, 5, false, Double.NaN, Double.NaN, List.of());
+    private static Scheduler.Event ended(long id, int attempt, Outcome how) {
+        return new Scheduler.AttemptEnded(id, attempt, 1, how, 5, false, Double.NaN, Double.NaN, List.of());
     }
 }
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
 
 @Timeout(120)
 class StateCodecTest {
     private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
-    private static void play(Gateway module, List<Entry> entries, int from, int to) {
+    private static void play(Scheduler module, List<Entry> entries, int from, int to) {
         for (Entry e : entries.subList(from, to)) {
             if (e instanceof Entry.Call c) {
                 assertThat(module.decide(c.time(), c.events())).isEqualTo(c.actions());
@@ -31,10 +31,10 @@
     void aModuleInAStateThatWasReadDecidesAsTheOneThatItWasWrittenFrom() throws IOException {
         List<Entry> entries = new World(31).play(1500);
         for (int at = 1; at < entries.size(); at += entries.size() / 12) {
-            Gateway module = new GcMuScheduler(World.settings(), 31);
+            Scheduler module = new GcMuScheduler(World.settings(), 31);
             play(module, entries, 1, at);
             byte[] state = codec.write(module);
-            Gateway other = codec.read(state, GcMuScheduler.class);
+            Scheduler other = codec.read(state, GcMuScheduler.class);
             assertThat(codec.write(other)).isEqualTo(state);
             play(other, entries, at, entries.size());
             play(module, entries, at, entries.size());
@@ -45,14 +45,14 @@
     /** All open requests hang together through the engines: a walk that calls itself for each would not end well. */
     @Test
     void thousandsOfOpenRequestsAreWrittenOnASmallStack() throws Exception {
-        Gateway module = new GcMuScheduler(World.settings(), 5);
-        List<Gateway.Engine> engines = new ArrayList<>();
+        Scheduler module = new GcMuScheduler(World.settings(), 5);
+        List<Scheduler.Engine> engines = new ArrayList<>();
         for (long e = 1; e <= 60; e++) {
-            engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
+            engines.add(new Scheduler.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
         }
-        module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
+        module.decide(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, engines)));
         for (int i = 1; i <= 5000; i++) {
-            module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
+            module.decide(i / 10.0, List.of(new Scheduler.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
         }
         List<byte[]> out = new ArrayList<>();
         Thread small = new Thread(null, () -> out.add(codec.write(module)), "small", 64 * 1024);
@@ -66,7 +66,7 @@
     void bytesThatAreNoStateAreRefusedAndNothingElseIsThrown() throws IOException {
         World w = new World(33);
         List<Entry> entries = w.play(40);
-        Gateway module = new GcMuScheduler(World.settings(), 33);
+        Scheduler module = new GcMuScheduler(World.settings(), 33);
         play(module, entries, 1, 60);
         byte[] state = codec.write(module);
         SplittableRandom random = new SplittableRandom(3);
--- a/capture/src/test/java/quincespar/capture/World.java
+++ b/capture/src/test/java/quincespar/capture/World.java
@@ -11,9 +11,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.decision.SettingsParser;
 
 /**
@@ -59,7 +59,7 @@
         private static final int ENDS = 160;
     }
 
-    private record Due(double at, long order, Gateway.Event event) { }
+    private record Due(double at, long order, Scheduler.Event event) { }
 
     private record Out(long id, int attempt, long engine) { }
 
@@ -67,7 +67,7 @@
     private final PriorityQueue<Due> due = new PriorityQueue<>(
             Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private final Map<Long, Integer> attempts = new LinkedHashMap<>();
-    private final Map<Long, Gateway.Engine> engines = new LinkedHashMap<>();
+    private final Map<Long, Scheduler.Engine> engines = new LinkedHashMap<>();
     private final List<Entry> entries = new ArrayList<>();
     private final EntryCodec codec = new EntryCodec();
     private final CapturedGateway module;
@@ -103,17 +103,17 @@
         return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleDigest.of(GcMuScheduler.class), settings());
     }
 
-    static Gateway.Settings settings() {
+    static Scheduler.Settings settings() {
         return SettingsParser.parse(SETTINGS);
     }
 
     /** Plays so many requests, and answers all that was captured. */
     List<Entry> play(int requests) {
         for (long e = 1; e <= ENGINES; e++) {
-            engines.put(e, new Gateway.Engine(e, 0, 0, (int) e % 2, EngineState.READY, 1, 0));
+            engines.put(e, new Scheduler.Engine(e, 0, 0, (int) e % 2, EngineState.READY, 1, 0));
         }
         if (scene != Scene.LIST_COMES_LATE) {
-            tell(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.copyOf(engines.values())));
+            tell(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, List.copyOf(engines.values())));
         }
         while (id < requests || !due.isEmpty()) {
             if (id < requests && (due.isEmpty() || random.nextInt(3) == 0)) {
@@ -126,7 +126,7 @@
                     case 2 -> -0.0;
                     default -> random.nextDouble() * (cls == 0 ? 80 : 900);
                 };
-                tell(new Gateway.Request(++id, cls, -1, cls == 0 ? 1300 : 5000, work, random.nextInt(100),
+                tell(new Scheduler.Request(++id, cls, -1, cls == 0 ? 1300 : 5000, work, random.nextInt(100),
                         random.nextInt(4), 0, random.nextInt(20) == 0, cls == 2));
             } else {
                 Due d = due.poll();
@@ -141,7 +141,7 @@
     void settle(java.util.function.BooleanSupplier goOn) {
         while (goOn.getAsBoolean()) {
             now += 1;
-            tell(new Gateway.Timer(1));
+            tell(new Scheduler.TimerFired(1));
         }
     }
 
@@ -153,18 +153,18 @@
     private void staged() {
         boolean begins = id == Scene.BEGINS;
         boolean ends = id == Scene.ENDS;
-        Gateway.Engine second = engines.get(2L);
+        Scheduler.Engine second = engines.get(2L);
         if (begins && scene == Scene.LIST_COMES_LATE) {
-            tell(new Gateway.Listed(Gateway.ListKind.FULL, 1, List.copyOf(engines.values())));
+            tell(new Scheduler.EngineList(Scheduler.ListKind.FULL, 1, List.copyOf(engines.values())));
         } else if (scene == Scene.DIES_AND_RETURNS_COLD && (begins || ends)) {
             hung = begins ? 2 : -1;
-            list(new Gateway.Engine(2, 0, 0, second.cell(), begins ? EngineState.GONE : EngineState.READY, 1, begins ? 0 : now));
+            list(new Scheduler.Engine(2, 0, 0, second.cell(), begins ? EngineState.GONE : EngineState.READY, 1, begins ? 0 : now));
         } else if (scene == Scene.HANGS && (begins || ends)) {
             hung = begins ? 2 : -1;
         } else if (scene == Scene.SLOWS_DOWN && (begins || ends)) {
             slow = begins ? 2 : -1;
         } else if (scene == Scene.DRAINS_UNDER_LOADS && (begins || ends)) {
-            list(new Gateway.Engine(2, 0, 0, second.cell(), begins ? EngineState.DRAINING : EngineState.GONE, 1, 0));
+            list(new Scheduler.Engine(2, 0, 0, second.cell(), begins ? EngineState.DRAINING : EngineState.GONE, 1, 0));
         } else if (scene == Scene.CLOCK_STEPS && begins) {
             now += 30_000;
         }
@@ -176,32 +176,32 @@
             return;
         }
         long e = 1 + random.nextInt(ENGINES);
-        Gateway.Engine old = engines.get(e);
+        Scheduler.Engine old = engines.get(e);
         switch (random.nextInt(400)) {
-            case 0 -> list(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, now)); // back, and cold
-            case 1 -> list(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.DRAINING, 1, old.startedAt()));
-            case 2 -> list(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, old.startedAt()));
+            case 0 -> list(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, now)); // back, and cold
+            case 1 -> list(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.DRAINING, 1, old.startedAt()));
+            case 2 -> list(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, old.startedAt()));
             case 3 -> hung = e;
             case 4 -> hung = -1;
-            case 5 -> tell(new Gateway.Left(1 + random.nextLong(Math.max(1, id))));
-            case 6 -> tell(new Gateway.Probed(e, random.nextBoolean(), Double.NaN, List.of(1.0, Double.NaN)));
+            case 5 -> tell(new Scheduler.ClientLeft(1 + random.nextLong(Math.max(1, id))));
+            case 6 -> tell(new Scheduler.ProbeResult(e, random.nextBoolean(), Double.NaN, List.of(1.0, Double.NaN)));
             default -> { }
         }
     }
 
-    private void list(Gateway.Engine e) {
+    private void list(Scheduler.Engine e) {
         engines.put(e.id(), e);
-        tell(new Gateway.Listed(Gateway.ListKind.DELTA, ++order, List.of(e)));
+        tell(new Scheduler.EngineList(Scheduler.ListKind.DELTA, ++order, List.of(e)));
     }
 
-    private void tell(Gateway.Event event) {
+    private void tell(Scheduler.Event event) {
         calls++;
-        for (Gateway.Action a : module.decide(now, List.of(event))) {
-            if (a instanceof Gateway.Send s) {
+        for (Scheduler.Action a : module.decide(now, List.of(event))) {
+            if (a instanceof Scheduler.SendAttempt s) {
                 sent(new Out(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.engine()));
-            } else if (a instanceof Gateway.SetTimer t) {
-                later(t.delay(), new Gateway.Timer(t.token()));
-            } else if (a instanceof Gateway.Cancel c) {
+            } else if (a instanceof Scheduler.SetTimer t) {
+                later(t.delay(), new Scheduler.TimerFired(t.token()));
+            } else if (a instanceof Scheduler.CancelAttempt c) {
                 later(1, end(new Out(c.id(), c.attempt(), 0), Outcome.CANCELLED, 1));
             }
         }
@@ -210,7 +210,7 @@
     private void sent(Out o) {
         double took = 10 + random.nextDouble() * 90 * (o.engine() == slow ? 8 : 1);
         if (random.nextInt(12) == 0) {
-            later(2, new Gateway.Note(o.id(), o.attempt(), o.engine(), Gateway.NoteKind.WAIT, 2));
+            later(2, new Scheduler.AttemptNote(o.id(), o.attempt(), o.engine(), Scheduler.NoteKind.WAIT, 2));
             took += 400;
         }
         Outcome outcome = o.engine() == hung ? Outcome.TIMEOUT : switch (random.nextInt(40)) {
@@ -222,12 +222,12 @@
         later(o.engine() == hung ? 1300 : took, end(o, outcome, took));
     }
 
-    private static Gateway.Ended end(Out o, Outcome outcome, double took) {
-        return new Gateway.Ended(o.id(), o.attempt(), o.engine(), outcome, took, outcome == Outcome.OK, Double.NaN,
+    private static Scheduler.AttemptEnded end(Out o, Outcome outcome, double took) {
+        return new Scheduler.AttemptEnded(o.id(), o.attempt(), o.engine(), outcome, took, outcome == Outcome.OK, Double.NaN,
                 Double.NaN, List.of());
     }
 
-    private void later(double delay, Gateway.Event e) {
+    private void later(double delay, Scheduler.Event e) {
         due.add(new Due(now + delay, order++, e));
     }
 
@@ -246,17 +246,17 @@
         Replay.ModuleFactory own = new CurrentModuleFactory();
         Replay replay = new Replay(new Replay.ModuleFactory() {
             @Override
-            public Gateway create(Entry.Opening o) {
+            public Scheduler create(Entry.Opening o) {
                 return new GcMuScheduler(o.settings(), o.seed() + seedAside);
             }
 
             @Override
-            public Gateway restore(Entry.State s) throws IOException {
+            public Scheduler restore(Entry.State s) throws IOException {
                 return own.restore(s);
             }
 
             @Override
-            public byte[] stateOf(Gateway module) {
+            public byte[] stateOf(Scheduler module) {
                 return own.stateOf(module);
             }
         });
--- a/decision/src/main/java/quincespar/decision/DecisionExplainer.java
+++ b/decision/src/main/java/quincespar/decision/DecisionExplainer.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
 import quincespar.decision.SchedulerState.ClassStats;
 import quincespar.decision.SchedulerState.EngineNode;
 import quincespar.decision.SchedulerState.Query;
@@ -49,8 +49,8 @@
         runUpToFirstChoice(time, events);
         List<Choice> out = new ArrayList<>();
         for (Action a : actions) {
-            Query query = a instanceof Gateway.Send s ? scheduler.queries.get(s.id()) : null;
-            EngineNode chosen = a instanceof Gateway.Send s ? scheduler.nodes.get(s.engine()) : null;
+            Query query = a instanceof Scheduler.SendAttempt s ? scheduler.queries.get(s.id()) : null;
+            EngineNode chosen = a instanceof Scheduler.SendAttempt s ? scheduler.nodes.get(s.engine()) : null;
             if (query != null && query.queue != null && chosen != null) {
                 out.add(new Choice(query.id, query.spec.name(), scheduler.now - query.agedFrom, scheduler.expectedTime(query), query.sendCount, chosen.engine.id(),
                         views(query, chosen)));
--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -9,11 +9,11 @@
 import quincespar.decision.SchedulerState.*;
 
 /**
- * Every decision of one router, by D-Gcμ. The interface (settings, events, actions) is in Gateway.java.
+ * Every decision of one router, by D-Gcμ. The interface (settings, events, actions) is in Scheduler.java.
  * Read in this order: intake and queues; index and rates; thread bound; engine choice; terms; attempts and
  * health; rule guards; answers. Time comes with the events; same events, same actions. One thread calls it.
  */
-public final class GcMuScheduler implements Gateway {
+public final class GcMuScheduler implements Scheduler {
     /** Rates forget over about ten seconds, as the design page has it. */
     private static final double STATS_SPAN_MS = 10_000;
     /** Samples that the class's own figure weighs against an engine's: a rate from fewer is mostly noise. */
@@ -86,12 +86,12 @@
     /** Starts one router's module; the seed feeds its only source of chance. */
     public GcMuScheduler(Settings settings, long seed) {
         random = new SeededRandom(seed);
-        applySettings(new Configured(settings, List.of()));
-        watchRetryDelay = Math.min(1000, settings.rules().askEvery() / 8);
+        applySettings(new SettingsChanged(settings, List.of()));
+        watchRetryDelay = Math.min(1000, settings.rules().discoveryInterval() / 8);
     }
 
     /** Settings bind now. A class keeps its number and what was learned, open queries their terms. */
-    private void applySettings(Configured configured) {
+    private void applySettings(SettingsChanged configured) {
         settings = configured.settings();
         int known = classStats.length, statsCount = settings.classes().size() * 2;
         classStats = Arrays.copyOf(classStats, statsCount);
@@ -101,8 +101,8 @@
             ClassSpec spec = settings.classes().get(i / 2);
             classStats[i] = i < known ? classStats[i] : new ClassStats(i / 2, i % 2, STATS_SPAN_MS, 3 * STATS_SPAN_MS, PRIOR_WEIGHT);
             classStats[i].spec = spec;
-            classStats[i].dropped = configured.dropped().contains(i / 2);
-            shortestAim = classStats[i].dropped ? shortestAim : Math.min(shortestAim, spec.aim());
+            classStats[i].dropped = configured.droppedClasses().contains(i / 2);
+            shortestAim = classStats[i].dropped ? shortestAim : Math.min(shortestAim, spec.latencyTarget());
             for (int prospect = 0; prospect < 3 && i >= known; prospect++) {
                 queues[i * 3 + prospect] = new QueryQueue(classStats[i], prospect);
             }
@@ -121,9 +121,9 @@
         for (Event event : events) {
             handle(event);
         }
-        if (settings.askDiscovery() && !watching && now >= nextWatchAt) { // ask anew, ever less often, when that fails
+        if (settings.discoveryOnRequest() && !watching && now >= nextWatchAt) { // ask anew, ever less often, when that fails
             watching = true;
-            actions.add(new Watch(true));
+            actions.add(new WatchEngineList(true));
         }
         if (now >= nextSupervisionAt) {
             nextSupervisionAt = now + supervisionInterval();
@@ -133,7 +133,7 @@
         dispatch();
         boolean queriesHeld = Arrays.stream(queues).anyMatch(queue -> !queue.queries.isEmpty());
         double delay = queriesHeld || !allLimitsShared ? supervisionInterval() : 5 * baseInterval; // what is held needs finer looks than what runs
-        if ((openRequests > 0 || settings.askDiscovery() && !watching) && (timerDueAt < now + 0.01 || now + delay < timerDueAt)) {
+        if ((openRequests > 0 || settings.discoveryOnRequest() && !watching) && (timerDueAt < now + 0.01 || now + delay < timerDueAt)) {
             timerDueAt = now + delay;
             actions.add(new SetTimer(1, delay));
         }
@@ -154,19 +154,19 @@
     void handle(Event event) {
         if (event instanceof Request request) {
             handleRequest(request);
-        } else if (event instanceof Ended x) {
+        } else if (event instanceof AttemptEnded x) {
             handleEnded(x);
-        } else if (event instanceof Note x) {
+        } else if (event instanceof AttemptNote x) {
             handleNote(x);
-        } else if (event instanceof Listed l) {
+        } else if (event instanceof EngineList l) {
             handleEngineList(l);
-        } else if (event instanceof Left l) {
+        } else if (event instanceof ClientLeft l) {
             close(queries.get(l.id()));
-        } else if (event instanceof Told t) {
+        } else if (event instanceof PeerMessage t) {
             peerAttempts.receive(t, nodesByTag, settings, now, PEER_ATTEMPT_STALE_MULTIPLE);
-        } else if (event instanceof Configured c) {
+        } else if (event instanceof SettingsChanged c) {
             applySettings(c);
-        } else if (event instanceof Started s && queries.containsKey(s.id())) {
+        } else if (event instanceof AnswerStarted s && queries.containsKey(s.id())) {
             queries.get(s.id()).streaming = true;
         }
     }
@@ -175,34 +175,34 @@
 
     /** Takes a request: its estimate, the age it already has, its type; beyond the cap it is turned away. */
     private void handleRequest(Request request) {
-        if (request.cls() < 0 || request.cls() >= settings.classes().size() || queries.containsKey(request.id())) {
+        if (request.requestClass() < 0 || request.requestClass() >= settings.classes().size() || queries.containsKey(request.id())) {
             return;
         }
-        if (!Double.isNaN(settings.rules().budgetSpan())) {
+        if (!Double.isNaN(settings.rules().retryBudgetWindow())) {
             requestsTakenAt.addLast(now);
         }
-        Query query = new Query(request, settings.classes().get(request.cls()), settings.limits().maxAttempts(), now, nextSequence++);
-        tablesKnown |= request.tables() != 0; // all 0: nothing is told of tables
-        query.tableTag = SchedulerState.hash16(Float.floatToIntBits((float) request.tables()));
-        ClassStats stats = classStats[request.cls() * 2];
+        Query query = new Query(request, settings.classes().get(request.requestClass()), settings.limits().maxAttempts(), now, nextSequence++);
+        tablesKnown |= request.tableGroup() != 0; // all 0: nothing is told of tables
+        query.tableTag = SchedulerState.hash16(Float.floatToIntBits((float) request.tableGroup()));
+        ClassStats stats = classStats[request.requestClass() * 2];
         boolean hasEstimate = hasEstimate(request);
-        query.estimatedWork = stats.workFit.predict(hasEstimate ? request.work() : Double.NaN, query.spec.aim() / 2);
+        query.estimatedWork = stats.workFit.predict(hasEstimate ? request.estimatedWork() : Double.NaN, query.spec.latencyTarget() / 2);
         query.band = query.estimatedWork > HEAVY_WORK_MULTIPLE * stats.workFit.predict(Double.NaN, query.estimatedWork) ? 1 : 0;
         if (hasEstimate) {
-            stats.estimatedWork.add(now, request.work());
+            stats.estimatedWork.add(now, request.estimatedWork());
         }
         meanOfferedWork.add(now, usualWork(stats));
         announcedShare.add(now, isWorthAnnouncing(query) ? 1 : 0);
         // a marked repeat with its patience cut began before: it keeps that age, or it would starve again
-        query.agedFrom = now - (request.retry() ? Math.max(0, query.spec.deadline() - request.patience()) : 0);
+        query.agedFrom = now - (request.retry() ? Math.max(0, query.spec.deadline() - request.clientTimeout()) : 0);
         query.overShare = request.tenant() >= 0 && request.tenant() < quotas.length && quotas[request.tenant()].countAndCheckOverQuota(now);
         queries.put(request.id(), query);
         openRequests++;
-        if (query.spec.ordered() && request.key() != 0) {
+        if (query.spec.orderedByKey() && request.key() != 0) {
             query.keyQueue = keyQueues.computeIfAbsent(request.key(), KeyQueue::new);
             query.keyQueue.waiting.add(query);
         }
-        if (openRequests >= settings.limits().openCap() - 1) {
+        if (openRequests >= settings.limits().maxOpenRequests() - 1) {
             giveUp(query);
         } else {
             enqueue(query);
@@ -211,7 +211,7 @@
 
     /** Whether there is an estimate; an infinite one, once learned, would make all that is foretold NaN. */
     private static boolean hasEstimate(Request request) {
-        return request.work() > 0 && request.work() < Double.POSITIVE_INFINITY;
+        return request.estimatedWork() > 0 && request.estimatedWork() < Double.POSITIVE_INFINITY;
     }
 
     /** Into the queue of its type; what can earn nothing any more is answered at once. */
@@ -241,7 +241,7 @@
     }
 
     private double targetTime(Query query) {
-        return query.agedFrom + query.spec.aim() + query.spec.stretch() * query.estimatedWork / query.spec.threads();
+        return query.agedFrom + query.spec.latencyTarget() + query.spec.targetStretch() * query.estimatedWork / query.spec.threads();
     }
 
     // ---- index and rates ---------------------------------------------------------------------------------
@@ -256,7 +256,7 @@
     /** The learned rate μ of a kind on an engine: one over its mean time there, leaning on its class. */
     double serviceRate(ClassStats stats, EngineNode node) {
         DecayingMean here = node.serviceTimes[stats.index];
-        double fallback = stats.band == 0 ? stats.spec.aim() : HEAVY_WORK_MULTIPLE * classStats[stats.index - 1].serviceTime.value(stats.spec.aim());
+        double fallback = stats.band == 0 ? stats.spec.latencyTarget() : HEAVY_WORK_MULTIPLE * classStats[stats.index - 1].serviceTime.value(stats.spec.latencyTarget());
         double usual = stats.serviceTime.value(fallback);
         double prior = usual * slowness(node);
         return here == null ? 1 / prior : (here.weight + PRIOR_WEIGHT) / (here.sum + PRIOR_WEIGHT * prior);
@@ -268,8 +268,8 @@
     }
 
     private double worth(QueryQueue queue, Query query, EngineNode node) {
-        double worth = query.spec.worth() * (query.overShare ? settings.overShareWorth() : 1);
-        return queue.prospect == 2 || now > latestStart(query, slowness(node)) ? worth * query.spec.lateWorth() : worth;
+        double worth = query.spec.reward() * (query.overShare ? settings.overQuotaRewardFactor() : 1);
+        return queue.prospect == 2 || now > latestStart(query, slowness(node)) ? worth * query.spec.lateReward() : worth;
     }
 
     /**
@@ -277,14 +277,14 @@
      * else a backlog of late ones goes before all that could still be in time, and makes them late too.
      */
     double index(QueryQueue queue, Query query, EngineNode node) {
-        double age = queue.prospect == 2 ? Math.min(now - query.agedFrom, query.spec.aim() / 2) : now - query.agedFrom;
-        return worth(queue, query, node) / query.spec.aim() * (age + baseInterval) * serviceRate(queue.stats, node) / query.spec.threads();
+        double age = queue.prospect == 2 ? Math.min(now - query.agedFrom, query.spec.latencyTarget() / 2) : now - query.agedFrom;
+        return worth(queue, query, node) / query.spec.latencyTarget() * (age + baseInterval) * serviceRate(queue.stats, node) / query.spec.threads();
     }
 
     // ---- thread bound ------------------------------------------------------------------------------------
 
     double cores(Engine engine) {
-        List<Double> coresByKind = settings.fleet().cores();
+        List<Double> coresByKind = settings.engineTraits().coresByKind();
         double cores = engine.kind() < coresByKind.size() ? coresByKind.get(engine.kind()) : 0;
         return cores > 0 ? cores : 4;
     }
@@ -316,7 +316,7 @@
             boolean full = freshReportedLoad(node) > FULL_LOAD_PER_CORE && !node.outstanding.isEmpty();
             return node.limit == sharedLimit && hasRoomBeyondSharedLimit(node) || !full && hasRoom(node.limit, stats);
         }
-        return now >= node.retryAt + (stats.spec.effect() == Effect.SAFE ? 0 : node.backoff)
+        return now >= node.retryAt + (stats.spec.idempotency() == Idempotency.SAFE ? 0 : node.backoff)
                 && node.outstanding.stream().noneMatch(attempt -> attempt.sentAt > node.ejectedAt);
     }
 
@@ -386,7 +386,7 @@
         if (growth > GROWN_STRETCH) {
             limit.maxThreads -= limit == sharedLimit ? SHARED_LIMIT_CUT * limit.maxThreads : 0.5;
         } else if (wanted && allClassesNearBest(limit)) {
-            double gain = limit == sharedLimit && settings.fleet().tellsCost() ? SHARED_LIMIT_GAIN : 1;
+            double gain = limit == sharedLimit && settings.engineTraits().reportsWork() ? SHARED_LIMIT_GAIN : 1;
             limit.maxThreads += gain * stats.spec.threads() / Math.max(1, limit.maxThreads);
         }
         double cores = limit == sharedLimit ? sharedCores : cores(node.engine); // its part of a thread a core overfills nothing
@@ -394,7 +394,7 @@
     }
 
     boolean isCold(EngineNode node) {
-        return node.engine.startedAt() > 0 && now - node.engine.startedAt() <= settings.rules().cold();
+        return node.engine.startedAt() > 0 && now - node.engine.startedAt() <= settings.rules().coldPeriod();
     }
 
     /**
@@ -404,7 +404,7 @@
     private void rescaleSharedLimit() {
         double cores = 0;
         for (EngineNode node : nodes.values()) {
-            double warmedPart = (now - node.engine.startedAt()) / settings.rules().cold(), coldShare = settings.rules().coldShare();
+            double warmedPart = (now - node.engine.startedAt()) / settings.rules().coldPeriod(), coldShare = settings.rules().coldCapacityShare();
             cores += node.limit != sharedLimit || node.engine.state() != EngineState.READY || node.isEjected() ? 0
                     : cores(node.engine) * (isCold(node) ? coldShare + (1 - coldShare) * Math.max(0, warmedPart) : 1);
         }
@@ -436,7 +436,7 @@
         for (ClassStats stats : classStats) {
             if (stats.band == 0 && !stats.dropped) {
                 highestGammaMu = Math.max(highestGammaMu, gammaMu(stats));
-                longestLoadTime = Math.max(longestLoadTime, stats.spec.loads() ? stats.serviceTime.value(stats.spec.aim()) : 0);
+                longestLoadTime = Math.max(longestLoadTime, stats.spec.loadsTables() ? stats.serviceTime.value(stats.spec.latencyTarget()) : 0);
                 smallestUsualWork = Math.min(smallestUsualWork, usualWork(stats));
                 largestUsualWork = Math.max(largestUsualWork, usualWork(stats));
             }
@@ -481,7 +481,7 @@
 
     /** Load for each core from a report: what is held there, how busy cores and disks are, what waits. */
     private void recordReport(EngineNode node, List<Double> values) {
-        List<String> fields = settings.fleet().reportFields();
+        List<String> fields = settings.engineTraits().reportFields();
         double load = 0;
         for (int i = 0; i < Math.min(fields.size(), values.size()); i++) {
             double value = values.get(i);
@@ -503,7 +503,7 @@
 
     /** What a report says of an engine now: it fades into the usual load, and our own sends come on top. */
     private double estimatedLoad(EngineNode node) {
-        if (settings.limits().tell()) { // words are newer than reports, which may be seconds late
+        if (settings.limits().mayTellPeers()) { // words are newer than reports, which may be seconds late
             double load = node.inSubset ? (node.peerThreads + node.threads) / cores(node.engine) : meanEngineLoad.value(0);
             meanEngineLoad.add(now, load);
             return load;
@@ -531,14 +531,14 @@
      * its attempts within milliseconds, on engines just heard to be held. Late for its aim it may go.
      */
     boolean wouldWaitForLoad(Query query, EngineNode node) {
-        return query.spec.waitsForLoads() && !query.spec.loads() && now < latestStart(query, 1) && loadHoldsTables(query, node);
+        return query.spec.waitsForLoads() && !query.spec.loadsTables() && now < latestStart(query, 1) && loadHoldsTables(query, node);
     }
 
     /** Among engines of like index: own zone, more free room, its tables' engines, not where it failed. */
     double preference(Query query, EngineNode node) {
         double fullThreads = node.limit == sharedLimit ? cores(node.engine) / 2 : Math.max(node.limit.maxThreads, 1);
         double factor = (1 - 0.5 * Math.min(1, node.threads / fullThreads)) * (1 + 0.01 * random.nextDouble());
-        factor *= node.engine.zone() == settings.zone() ? 1 : 1 - Math.min(0.5, 2 * settings.crossZonePrice());
+        factor *= node.engine.zone() == settings.zone() ? 1 : 1 - Math.min(0.5, 2 * settings.crossZonePenalty());
         factor *= node.inSubset ? 1 : OUTSIDE_SUBSET_FACTOR;
         factor *= (loadHoldsTables(query, node) ? HELD_TABLES_FACTOR : 1) * tableAffinity(query, node);
         factor /= node.limit == sharedLimit ? 1 + estimatedLoad(node) * estimatedLoad(node) : 1; // an own bound already tells how full it is
@@ -548,17 +548,17 @@
     // ---- terms -------------------------------------------------------------------------------------------
 
     private void updateTerms(Query query) {
-        Fleet fleet = settings.fleet();
-        int priority = fleet.priorities() ? priority(query) : 1;
+        EngineTraits fleet = settings.engineTraits();
+        int priority = fleet.supportsPriorities() ? priority(query) : 1;
         double memory = 0;
-        if (fleet.takesGrants() && query.request.memory() > 0) {
+        if (fleet.acceptsMemoryGrants() && query.request.estimatedMemory() > 0) {
             LogLinearFit memoryFit = classStats[query.classIndex * 2].memoryFit;
-            memory = memoryFit.hasEnoughSamples() ? memoryFit.predict(query.request.memory(), 0) * 1.3 : query.request.memory() * 2.5;
+            memory = memoryFit.hasEnoughSamples() ? memoryFit.predict(query.request.estimatedMemory(), 0) * 1.3 : query.request.estimatedMemory() * 2.5;
         }
         if (priority != query.priority || memory != query.memoryGrant) {
             query.priority = priority;
             query.memoryGrant = memory;
-            actions.add(new Terms(query.id, priority, memory));
+            actions.add(new SetTerms(query.id, priority, memory));
         }
     }
 
@@ -575,7 +575,7 @@
     }
 
     private double gammaMu(ClassStats stats) {
-        return stats.spec.worth() / stats.spec.aim() / stats.serviceTime.value(stats.spec.aim());
+        return stats.spec.reward() / stats.spec.latencyTarget() / stats.serviceTime.value(stats.spec.latencyTarget());
     }
 
     // ---- attempts and health -----------------------------------------------------------------------------
@@ -585,7 +585,7 @@
         query.queue.queries.remove(query);
         query.queue = null;
         Attempt attempt = new Attempt(query, node, query.sendCount, now, expectedTime(query));
-        if (query.sendCount > 0 && !Double.isNaN(settings.rules().budgetSpan())) {
+        if (query.sendCount > 0 && !Double.isNaN(settings.rules().retryBudgetWindow())) {
             retriesSentAt.addLast(now);
         }
         query.sendCount++;
@@ -595,11 +595,11 @@
         node.outstanding.add(attempt);
         node.threads += query.spec.threads();
         node.limit.addThreads(query.classIndex, query.spec.threads());
-        node.recordSend(now, usualWork(classStats[query.classIndex * 2]), settings.rules().fall());
+        node.recordSend(now, usualWork(classStats[query.classIndex * 2]), settings.rules().overloadWindow());
         if (node.isEjected()) {
             node.retryAt = now + node.backoff;
         }
-        actions.add(new Send(query.id, node.engine.id(), 0));
+        actions.add(new SendAttempt(query.id, node.engine.id(), 0));
         announce(attempt);
     }
 
@@ -613,7 +613,7 @@
      */
     private void announce(Attempt attempt) {
         Query query = attempt.query;
-        if (settings.limits().tell() && (query.spec.loads() || allLimitsShared && isWorthAnnouncing(query))) {
+        if (settings.limits().mayTellPeers() && (query.spec.loadsTables() || allLimitsShared && isWorthAnnouncing(query))) {
             attempt.announcement = announcementCount++ & 255;
             tellWatchers(attempt.node, PeerAttempt.encodeStart(attempt, SchedulerState.hash16(attempt.engine.id())));
         }
@@ -622,7 +622,7 @@
     /** More work than the usual query: few and long, so that four bytes a query tell where the work is. */
     private boolean isWorthAnnouncing(Query query) {
         return usualWork(classStats[query.classIndex * 2]) > meanOfferedWork.value(Double.MAX_VALUE)
-                && announcedShare.value(0) * settings.peerPrice() * ANNOUNCEMENT_BYTES / 256 * settings.routers()
+                && announcedShare.value(0) * settings.peerMessagePenalty() * ANNOUNCEMENT_BYTES / 256 * settings.routers()
                 * Math.min(1, WATCHED_ENGINES / nodes.size()) < MAX_ANNOUNCEMENT_COST;
     }
 
@@ -636,17 +636,17 @@
 
     private void tellWatchers(EngineNode node, byte[] text) {
         for (int router = 0; router < settings.routers(); router++) {
-            if (router != settings.me() && watches(router, node)) {
-                actions.add(new Tell(router, text));
+            if (router != settings.routerIndex() && watches(router, node)) {
+                actions.add(new TellPeers(router, text));
             }
         }
     }
 
     /** Whether a load holds the tables of this query on that engine, as far as is known. */
     private boolean loadHoldsTables(Query query, EngineNode node) {
-        return (query.spec.loads() || query.spec.waitsForLoads()) && (node.hasTablesHeldSince(query.tableTag, now - LOAD_NOTE_LIFETIME * longestLoadTime)
+        return (query.spec.loadsTables() || query.spec.waitsForLoads()) && (node.hasTablesHeldSince(query.tableTag, now - LOAD_NOTE_LIFETIME * longestLoadTime)
                 || node.peerAttempts.stream().anyMatch(peerAttempt -> peerAttempt.tableTag == query.tableTag)
-                || node.outstanding.stream().anyMatch(attempt -> attempt.query.spec.loads() && attempt.query.tableTag == query.tableTag));
+                || node.outstanding.stream().anyMatch(attempt -> attempt.query.spec.loadsTables() && attempt.query.tableTag == query.tableTag));
     }
 
     /**
@@ -657,12 +657,12 @@
      */
     private double tableAffinity(Query query, EngineNode node) {
         double position = SchedulerState.hashToUnitInterval((long) query.tableTag << 48 ^ node.engine.id());
-        boolean separate = settings.classes().stream().anyMatch(ClassSpec::loads) && !query.spec.loads();
-        double affinity = TABLE_AFFINITY * (separate || query.spec.loads() ? 1 : warmEngineShare * warmEngineShare);
+        boolean separate = settings.classes().stream().anyMatch(ClassSpec::loadsTables) && !query.spec.loadsTables();
+        double affinity = TABLE_AFFINITY * (separate || query.spec.loadsTables() ? 1 : warmEngineShare * warmEngineShare);
         return !tablesKnown || separate && !query.spec.waitsForLoads() ? 1 : 1 - affinity * (separate ? 1 - position : position);
     }
 
-    private void handleEnded(Ended end) {
+    private void handleEnded(AttemptEnded end) {
         Query query = queries.get(end.id());
         if (query == null || end.attempt() < 0 || end.attempt() >= query.attempts.size()
                 || query.attempts.get(end.attempt()).outcome != null) {
@@ -680,11 +680,11 @@
             nodes.remove(attempt.node.engine.id(), attempt.node);
         }
         recordOutcome(attempt, end);
-        recordReport(attempt.node, end.load());
+        recordReport(attempt.node, end.engineReport());
         if (query.keyQueue != null && attempt.mayHaveRun() && end.outcome() != Outcome.OK) {
-            query.keyQueue.blockUntil(query, now + settings.rules().settle());
+            query.keyQueue.blockUntil(query, now + settings.rules().settlePeriod());
         }
-        if (end.over()) {
+        if (end.requestOver()) {
             close(query);
         } else if (!query.over && query.queue == null && query.runningAttempts() == 0) {
             requeueOrGiveUp(query, attempt);
@@ -707,7 +707,7 @@
      * After a stall of this router all that ended meanwhile is found at once, and the time told holds the
      * stall: taken as the engines' time it would cut bounds and rates. It tells only that the engine answers.
      */
-    private void recordOutcome(Attempt attempt, Ended end) {
+    private void recordOutcome(Attempt attempt, AttemptEnded end) {
         EngineNode node = attempt.node;
         ClassStats stats = classStats[attempt.query.classIndex * 2 + attempt.query.band];
         if (stalled && end.outcome() == Outcome.OK || attempt.waitedForLoad) {
@@ -736,7 +736,7 @@
         }
     }
 
-    private void recordSuccess(Attempt attempt, Ended end, ClassStats stats) {
+    private void recordSuccess(Attempt attempt, AttemptEnded end, ClassStats stats) {
         EngineNode node = attempt.node;
         Query query = attempt.query;
         node.lastHeardAt = now;
@@ -744,21 +744,21 @@
         node.ejectedAt = -1;
         node.backoff = 0;
         double took = Math.max(end.latency(), 0.1);
-        boolean workReported = end.work() > 0;
+        boolean workReported = end.reportedWork() > 0;
         if (workReported) {
-            classStats[query.classIndex * 2].reportedWork.add(now, end.work());
-            if (query.request.memory() > 0 && end.memory() > 0) {
-                classStats[query.classIndex * 2].memoryFit.add(now, query.request.memory(), end.memory());
+            classStats[query.classIndex * 2].reportedWork.add(now, end.reportedWork());
+            if (query.request.estimatedMemory() > 0 && end.reportedMemory() > 0) {
+                classStats[query.classIndex * 2].memoryFit.add(now, query.request.estimatedMemory(), end.reportedMemory());
             }
         }
-        classStats[query.classIndex * 2].workFit.add(now, hasEstimate(query.request) ? query.request.work() : 1,
-                workReported ? end.work() : took * query.spec.threads());
+        classStats[query.classIndex * 2].workFit.add(now, hasEstimate(query.request) ? query.request.estimatedWork() : 1,
+                workReported ? end.reportedWork() : took * query.spec.threads());
         double timePerEstimate = took * query.spec.threads() / Math.max(1, query.estimatedWork);
         double usual = attempt.expectedTime * query.spec.threads() / Math.max(1, query.estimatedWork);
         stats.timePerEstimate.add(now, Math.min(timePerEstimate, usual * MIN_STRAGGLER_MULTIPLE));
         stats.logDeviation.add(now, Math.abs(Math.log(took / attempt.expectedTime)));
         node.slowness.add(now, Math.min(took / attempt.expectedTime, 10));
-        adjustLimit(node, classStats[query.classIndex * 2], took * query.spec.threads() / Math.max(1, workReported ? end.work() : query.estimatedWork));
+        adjustLimit(node, classStats[query.classIndex * 2], took * query.spec.threads() / Math.max(1, workReported ? end.reportedWork() : query.estimatedWork));
     }
 
     /** Engines that fail far more than their peers are shunned for a while, whatever the reason. */
@@ -787,7 +787,7 @@
             peerAttempts.expire(now);
         }
         rescaleSharedLimit();
-        peersHeard = settings.limits().tell() && now > startedAt + STATS_SPAN_MS / 4; // at first nothing has been heard
+        peersHeard = settings.limits().mayTellPeers() && now > startedAt + STATS_SPAN_MS / 4; // at first nothing has been heard
         fleetThreadsPerRouter = allLimitsShared && peersHeard ? estimateFleetThreads() : 0;
         warmEngineShare = nodes.values().stream().mapToDouble(node -> isCold(node) || node.isEjected() ? 0 : 1).average().orElse(1);
         List<EngineNode> busy = nodes.values().stream().filter(node -> !node.outstanding.isEmpty()).toList();
@@ -797,14 +797,14 @@
         for (EngineNode node : busy) {
             double oldestSentAt = node.outstanding.stream().mapToDouble(attempt -> attempt.sentAt).min().orElse(now);
             boolean silent = missedFinishes(node) > SILENCE_MISSED_FINISHES + 2 * usual
-                    && now - Math.max(oldestSentAt, node.lastHeardAt) > settings.fleet().notePeriod();
+                    && now - Math.max(oldestSentAt, node.lastHeardAt) > settings.engineTraits().noteInterval();
             if (silent && !node.isEjected()) {
                 eject(node);
             }
             for (Attempt attempt : new ArrayList<>(node.outstanding)) {
                 boolean unanswered = node.isEjected() && silent && now - attempt.sentAt > attempt.expectedTime;
                 if (unanswered || isStraggler(attempt)) {
-                    cancelForRetry(attempt, classStats[attempt.query.classIndex * 2].cancelCredit, unanswered ? Gateway.Why.MUTE : Gateway.Why.STRAGGLES);
+                    cancelForRetry(attempt, classStats[attempt.query.classIndex * 2].cancelCredit, unanswered ? Scheduler.CancelReason.ENGINE_SILENT : Scheduler.CancelReason.STRAGGLER);
                 }
             }
         }
@@ -821,7 +821,7 @@
 
     private boolean isStraggler(Attempt attempt) {
         ClassStats stats = classStats[attempt.query.classIndex * 2 + attempt.query.band];
-        double deviations = settings.fleet().notePeriod() > 0 ? 2.5 : 1.4; // notes tell more surely than time
+        double deviations = settings.engineTraits().noteInterval() > 0 ? 2.5 : 1.4; // notes tell more surely than time
         double deviation = Math.exp(deviations * 1.25 * stats.logDeviation.value(0.5)); // mean to standard
         double limit = Math.max(MIN_STRAGGLER_MULTIPLE, Math.min(MAX_STRAGGLER_MULTIPLE, deviation));
         // pooled, a router knows too little of one engine to excuse an attempt by the engine's pace
@@ -830,21 +830,21 @@
     }
 
     /** Cancels an attempt for a resend, where the rules let it be sent again and the time left allows it. */
-    private void cancelForRetry(Attempt attempt, double credit, Gateway.Why reason) {
+    private void cancelForRetry(Attempt attempt, double credit, Scheduler.CancelReason reason) {
         Query query = attempt.query;
         boolean useful = now + expectedTime(query) < query.deadline;
-        if (attempt.cancelled || query.over || query.streaming || !settings.limits().cancel() || !useful || credit < 1
-                || query.sendCount >= query.maxAttempts || query.spec.effect() != Effect.SAFE || !retryBudgetAllows(pendingRetries())) {
+        if (attempt.cancelled || query.over || query.streaming || !settings.limits().mayCancel() || !useful || credit < 1
+                || query.sendCount >= query.maxAttempts || query.spec.idempotency() != Idempotency.SAFE || !retryBudgetAllows(pendingRetries())) {
             return;
         }
         classStats[query.classIndex * 2].cancelCredit = Math.max(0, credit - 1);
         attempt.cancelled = true;
-        actions.add(new Cancel(query.id, attempt.number, reason));
+        actions.add(new CancelAttempt(query.id, attempt.number, reason));
     }
 
     /** Further attempts due already: work cut for one that the budget then forbids is thrown away. */
     private long pendingRetries() {
-        return Double.isNaN(settings.rules().budgetSpan()) ? 0 : queries.values().stream().filter(query -> !query.over
+        return Double.isNaN(settings.rules().retryBudgetWindow()) ? 0 : queries.values().stream().filter(query -> !query.over
                 && query.sendCount > 0 && (query.queue != null || query.attempts.get(query.sendCount - 1).cancelled)).count();
     }
 
@@ -852,7 +852,7 @@
      * A note that a query stands still behind a load tells what no router sees of the others' loads: those
      * tables are held there. It has done nothing yet, so it goes elsewhere while it can be in time.
      */
-    private void handleNote(Note note) {
+    private void handleNote(AttemptNote note) {
         Query query = queries.get(note.id());
         if (query == null || note.attempt() < 0 || note.attempt() >= query.attempts.size()) {
             return;
@@ -862,22 +862,22 @@
             attempt.node.lastHeardAt = Math.max(attempt.node.lastHeardAt, now - baseInterval);
             attempt.node.tablesHeldAt.put(query.tableTag, now);
             attempt.waitedForLoad = true;
-            cancelForRetry(attempt, 1, Gateway.Why.HELD);
+            cancelForRetry(attempt, 1, Scheduler.CancelReason.WAITS_FOR_LOAD);
         } else if (note.value() > 0 && note.kind() == NoteKind.PROGRESS) {
             attempt.node.lastHeardAt = Math.max(attempt.node.lastHeardAt, now - baseInterval);
             double projectedTime = (now - attempt.sentAt) / Math.min(1, note.value());
             if (projectedTime > 4 * attempt.expectedTime * Math.max(1, slowness(attempt.node)) && projectedTime - (now - attempt.sentAt) > 2 * attempt.expectedTime) {
-                cancelForRetry(attempt, 1, Gateway.Why.SLOW);
+                cancelForRetry(attempt, 1, Scheduler.CancelReason.SLOW_PROGRESS);
             }
         }
     }
 
     // ---- the list of engines -----------------------------------------------------------------------------
 
-    private void handleEngineList(Listed list) {
+    private void handleEngineList(EngineList list) {
         if (list.kind() == ListKind.FAILED) {
             watching = false;
-            watchRetryDelay = Math.min(watchRetryDelay * 2, settings.rules().askEvery() / 2);
+            watchRetryDelay = Math.min(watchRetryDelay * 2, settings.rules().discoveryInterval() / 2);
             nextWatchAt = now + watchRetryDelay * (0.5 + random.nextDouble());
             return;
         }
@@ -906,8 +906,8 @@
         nodesByTag.clear();
         nodes.values().forEach(node -> nodesByTag.put(SchedulerState.hash16(node.engine.id()), node));
         allLimitsShared = sharedLimit != null && nodes.values().stream().allMatch(node -> node.limit == sharedLimit);
-        if (settings.limits().tell()) {
-            nodes.values().forEach(node -> node.inSubset = node.limit != sharedLimit || watches(settings.me(), node));
+        if (settings.limits().mayTellPeers()) {
+            nodes.values().forEach(node -> node.inSubset = node.limit != sharedLimit || watches(settings.routerIndex(), node));
             return;
         }
         for (boolean ownZone : new boolean[] {true, false}) {
@@ -920,7 +920,7 @@
             }
             side.sort(java.util.Comparator.comparingLong(node -> node.engine.id()));
             for (int i = 0; i < Math.min(SUBSET_ENGINES_PER_SIDE, side.size()); i++) {
-                side.get((int) (((long) settings.me() * SUBSET_ENGINES_PER_SIDE + i) % side.size())).inSubset = true;
+                side.get((int) (((long) settings.routerIndex() * SUBSET_ENGINES_PER_SIDE + i) % side.size())).inSubset = true;
             }
         }
     }
@@ -939,7 +939,7 @@
         if (restarted) {
             node.resetAfterRestart(now);
             if (node.limit != sharedLimit) {
-                node.limit.maxThreads = Math.max(1, cores(engine) / settings.routers() * settings.rules().coldShare());
+                node.limit.maxThreads = Math.max(1, cores(engine) / settings.routers() * settings.rules().coldCapacityShare());
             }
         }
         if (engine.state() == EngineState.GONE && node.outstanding.isEmpty()) {
@@ -953,25 +953,25 @@
     boolean maySend(Query query, EngineNode node) {
         return !query.over && !query.streaming && node.engine.state() == EngineState.READY && now < query.deadline
                 && query.sendCount < query.maxAttempts && isAllowedPlace(query, node) && mayRepeat(query, node)
-                && (query.runningAttempts() == 0 || settings.limits().secondCopies()) && isFirstOfKey(query)
+                && (query.runningAttempts() == 0 || settings.limits().mayRunConcurrentAttempts()) && isFirstOfKey(query)
                 && (query.sendCount == 0 || retryBudgetAllows(0)) && coldAllowanceLeft(classStats[query.classIndex * 2], node);
     }
 
     boolean isAllowedPlace(Query query, EngineNode node) {
-        return (query.spec.zones() == null || query.spec.zones().contains(node.engine.zone()))
-                && (query.spec.kinds() == null || query.spec.kinds().contains(node.engine.kind()));
+        return (query.spec.allowedZones() == null || query.spec.allowedZones().contains(node.engine.zone()))
+                && (query.spec.allowedEngineKinds() == null || query.spec.allowedEngineKinds().contains(node.engine.kind()));
     }
 
     /** Unsafe: only after proof that nothing ran. Keyed: within group and time of what may have run. */
     boolean mayRepeat(Query query, EngineNode node) {
-        return query.spec.effect() == Effect.SAFE || query.attempts.stream().noneMatch(attempt -> attempt.mayHaveRun()
-                && (query.spec.effect() == Effect.UNSAFE || now - attempt.sentAt > query.spec.repeatWindow() - baseInterval
+        return query.spec.idempotency() == Idempotency.SAFE || query.attempts.stream().noneMatch(attempt -> attempt.mayHaveRun()
+                && (query.spec.idempotency() == Idempotency.UNSAFE || now - attempt.sentAt > query.spec.deduplicationWindow() - baseInterval
                 || node != null && !sameGroup(query.spec, attempt.engine, node.engine)));
     }
 
     private static boolean sameGroup(ClassSpec spec, Engine a, Engine b) {
-        return spec.scope() == Scope.ALL
-                || (spec.scope() == Scope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        return spec.deduplicationScope() == DeduplicationScope.ALL
+                || (spec.deduplicationScope() == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
     }
 
     /** Order: first of its key's line, or the line's rest after a doubtful end is over. */
@@ -982,12 +982,12 @@
     /** Budget on further attempts in the window that ends now, beside those promised already. */
     boolean retryBudgetAllows(long pending) {
         Rules rules = settings.rules();
-        if (Double.isNaN(rules.budgetSpan())) {
+        if (Double.isNaN(rules.retryBudgetWindow())) {
             return true;
         }
-        retriesSentAt.removeIf(time -> time < now - rules.budgetSpan() - settings.tick());
-        requestsTakenAt.removeIf(time -> time < now - rules.budgetSpan() + settings.tick());
-        return retriesSentAt.size() + pending + 1 <= rules.budgetFree() + rules.budgetShare() * requestsTakenAt.size();
+        retriesSentAt.removeIf(time -> time < now - rules.retryBudgetWindow() - settings.tick());
+        requestsTakenAt.removeIf(time -> time < now - rules.retryBudgetWindow() + settings.tick());
+        return retriesSentAt.size() + pending + 1 <= rules.retryBudgetBase() + rules.retryBudgetRatio() * requestsTakenAt.size();
     }
 
     /**
@@ -1000,24 +1000,24 @@
     boolean coldAllowanceLeft(ClassStats stats, EngineNode node) {
         Rules rules = settings.rules();
         double upFor = now - node.engine.startedAt();
-        if (!isCold(node) || rules.fall() <= 0) {
+        if (!isCold(node) || rules.overloadWindow() <= 0) {
             return true;
         }
-        double allowance = COLD_ALLOWANCE_USED * rules.fallMultiple() * rules.coldShare() * 0.85 * cores(node.engine) * rules.fall();
+        double allowance = COLD_ALLOWANCE_USED * rules.overloadMultiple() * rules.coldCapacityShare() * 0.85 * cores(node.engine) * rules.overloadWindow();
         double hosts = Math.max(1, Math.min(settings.routers(), Math.floor(allowance / largestUsualWork)));
-        long place = settings.me() + (long) (SchedulerState.hashToUnitInterval(node.engine.id()) * settings.routers());
+        long place = settings.routerIndex() + (long) (SchedulerState.hashToUnitInterval(node.engine.id()) * settings.routers());
         if (settings.routers() > 2 * ROUTERS_PER_COLD_TURN && allowance / settings.routers() < smallestUsualWork) {
-            place = settings.me() - (long) Math.floor(upFor / rules.fall()) * ROUTERS_PER_COLD_TURN;
+            place = settings.routerIndex() - (long) Math.floor(upFor / rules.overloadWindow()) * ROUTERS_PER_COLD_TURN;
             hosts = ROUTERS_PER_COLD_TURN;
             allowance /= 2;
         }
         return Math.floorMod(place, (long) settings.routers()) < hosts
-                && node.recentWork(now, rules.fall()) + usualWork(stats) <= allowance / hosts;
+                && node.recentWork(now, rules.overloadWindow()) + usualWork(stats) <= allowance / hosts;
     }
 
     /** The usual work of a class as the cold guard counts it: told, else estimated, else the time it held. */
     double usualWork(ClassStats stats) {
-        return Math.max(stats.reportedWork.value(0), stats.estimatedWork.value(stats.serviceTime.value(stats.spec.aim()) * stats.spec.threads()));
+        return Math.max(stats.reportedWork.value(0), stats.estimatedWork.value(stats.serviceTime.value(stats.spec.latencyTarget()) * stats.spec.threads()));
     }
 
     // ---- answers -----------------------------------------------------------------------------------------
@@ -1040,16 +1040,16 @@
     /** It can't finish before its deadline, or only too late where that earns nothing, or may not be sent. */
     private boolean isHopeless(Query query) {
         return now + Math.max(supervisionInterval() + baseInterval, 0.7 * expectedTime(query)) > query.deadline
-                || query.spec.lateWorth() <= 0 && prospect(query) == 2 || query.sendCount > 0 && !mayRepeat(query, null);
+                || query.spec.lateReward() <= 0 && prospect(query) == 2 || query.sendCount > 0 && !mayRepeat(query, null);
     }
 
     /** The final answer of a query that is given up, at once: refused where that is true, else failed. */
     private void giveUp(Query query) {
-        boolean safeToRetry = query.spec.effect() == Effect.SAFE
-                || query.spec.effect() == Effect.KEYED && query.spec.scope() == Scope.ALL
+        boolean safeToRetry = query.spec.idempotency() == Idempotency.SAFE
+                || query.spec.idempotency() == Idempotency.KEYED && query.spec.deduplicationScope() == DeduplicationScope.ALL
                 || query.attempts.stream().noneMatch(Attempt::mayHaveRun);
-        actions.add(safeToRetry ? new Refuse(query.id, settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0)
-                : new Fail(query.id));
+        actions.add(safeToRetry ? new RefuseRequest(query.id, settings.limits().mayGiveRetryAfter() ? settings.limits().maxRetryAfter() : 0)
+                : new FailRequest(query.id));
         close(query);
     }
 
@@ -1064,9 +1064,9 @@
             query.queue = null;
         }
         for (Attempt attempt : query.attempts) {
-            if (attempt.outcome == null && !attempt.cancelled && settings.limits().cancel() && !query.streaming) {
+            if (attempt.outcome == null && !attempt.cancelled && settings.limits().mayCancel() && !query.streaming) {
                 attempt.cancelled = true;
-                actions.add(new Cancel(query.id, attempt.number, Gateway.Why.OVER));
+                actions.add(new CancelAttempt(query.id, attempt.number, Scheduler.CancelReason.REQUEST_OVER));
             }
         }
         removeIfFinished(query);
--- a/decision/src/main/java/quincespar/decision/Gateway.java
+++ b/decision/src/main/java/quincespar/decision/Scheduler.java
@@ -7,7 +7,7 @@
  * asked to do. A router owns one gateway, feeds it every event with the time at which it happened and carries
  * out the actions in the order given. All times are milliseconds on one clock that never runs backwards.
  */
-public interface Gateway {
+public interface Scheduler {
 
     /** Takes what happened by {@code now}, in order, and answers what is to be done at that time. */
     List<Action> decide(double now, List<Event> events);
@@ -18,10 +18,10 @@
     }
 
     /** Whether a request may run more than once: at will, where repeats are dropped, or never. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Idempotency { SAFE, KEYED, UNSAFE }
 
     /** Which engines drop each other's repeats of a keyed request. */
-    enum Scope { ALL, ZONE, CELL }
+    enum DeduplicationScope { ALL, ZONE, CELL }
 
     /** What the list says of an engine. */
     enum EngineState { READY, DRAINING, GONE }
@@ -33,7 +33,7 @@
     enum NoteKind { PROGRESS, SPILL, WAIT }
 
     /** What an engine does when grants pass its memory. */
-    enum Shortage { LINE_UP, CUT, OVERCOMMIT }
+    enum MemoryShortagePolicy { QUEUE, CUT, OVERCOMMIT }
 
     /** How an attempt ended; {@code neverRan} is true where that is proven. */
     enum Outcome {
@@ -49,59 +49,59 @@
     }
 
     /** A class of requests. {@code zones} and {@code kinds} are null where the class is not bound. */
-    record ClassSpec(String name, double aim, double stretch, double deadline, double worth, double lateWorth,
-            Effect effect, Scope scope, double repeatWindow, boolean ordered, boolean streaming, int threads,
-            boolean loads, boolean waitsForLoads, List<Integer> zones, List<Integer> kinds) { }
+    record ClassSpec(String name, double latencyTarget, double targetStretch, double deadline, double reward, double lateReward,
+            Idempotency idempotency, DeduplicationScope deduplicationScope, double deduplicationWindow, boolean orderedByKey, boolean streaming, int threads,
+            boolean loadsTables, boolean waitsForLoads, List<Integer> allowedZones, List<Integer> allowedEngineKinds) { }
 
     /** A tenant and the requests a second, over all routers, that lie within its share. */
-    record Tenant(String name, double quotaPerS, double share) { }
+    record Tenant(String name, double quotaPerSecond, double share) { }
 
     /** What the site allows. */
-    record Limits(boolean cancel, boolean probe, boolean tell, boolean secondCopies, boolean retryAfter,
-            int maxAttempts, double maxRetryAfter, int openCap, double connectTimeout) { }
+    record Limits(boolean mayCancel, boolean mayProbe, boolean mayTellPeers, boolean mayRunConcurrentAttempts, boolean mayGiveRetryAfter,
+            int maxAttempts, double maxRetryAfter, int maxOpenRequests, double connectTimeout) { }
 
     /** The figures of the rules; the budget fields are NaN where no budget is set, {@code settle} 0 where none. */
-    record Rules(double answerSlack, double askEvery, double cold, double coldShare, double drainGrace,
-            double fall, double fallMultiple, double settle, double budgetFree, double budgetShare,
-            double budgetSpan) { }
+    record Rules(double answerSlack, double discoveryInterval, double coldPeriod, double coldCapacityShare, double drainGrace,
+            double overloadWindow, double overloadMultiple, double settlePeriod, double retryBudgetBase, double retryBudgetRatio,
+            double retryBudgetWindow) { }
 
     /** What is told of the engines; {@code cores} and {@code memory} are by kind of machine, 0 if not told. */
-    record Fleet(List<Double> cores, List<Double> memory, double largestShare, boolean takesGrants,
-            boolean priorities, Shortage shortage, double notePeriod, boolean tellsCost,
+    record EngineTraits(List<Double> coresByKind, List<Double> memoryByKind, double largestShare, boolean acceptsMemoryGrants,
+            boolean supportsPriorities, MemoryShortagePolicy onMemoryShortage, double noteInterval, boolean reportsWork,
             List<String> reportFields) { }
 
     /** What a router is told at its start. */
-    record Settings(int routers, int me, int zone, List<ClassSpec> classes, List<Tenant> tenants,
-            double overShareWorth, boolean askDiscovery, boolean marksRetry, double crossZonePrice,
-            double wastePrice, double peerPrice, double tick, Limits limits, Rules rules, Fleet fleet) {
+    record Settings(int routers, int routerIndex, int zone, List<ClassSpec> classes, List<Tenant> tenants,
+            double overQuotaRewardFactor, boolean discoveryOnRequest, boolean clientsMarkRetries, double crossZonePenalty,
+            double wastePenalty, double peerMessagePenalty, double tick, Limits limits, Rules rules, EngineTraits engineTraits) {
         /** Refuses what can't work, by the name of the field. */
         public Settings {
             require(routers >= 1, "routers must be at least 1");
             require(!classes.isEmpty(), "classes must not be empty");
             for (ClassSpec c : classes) {
-                require(c.aim() > 0, "aim of class " + c.name() + " must be above 0");
+                require(c.latencyTarget() > 0, "aim of class " + c.name() + " must be above 0");
                 require(c.deadline() > 0, "deadline of class " + c.name() + " must be above 0");
             }
         }
 
         /** The same with other classes and tenants. */
         public Settings withClassesAndTenants(List<ClassSpec> otherClasses, List<Tenant> otherTenants) {
-            return new Settings(routers, me, zone, otherClasses, otherTenants, overShareWorth, askDiscovery, marksRetry,
-                    crossZonePrice, wastePrice, peerPrice, tick, limits, rules, fleet);
+            return new Settings(routers, routerIndex, zone, otherClasses, otherTenants, overQuotaRewardFactor, discoveryOnRequest, clientsMarkRetries,
+                    crossZonePenalty, wastePenalty, peerMessagePenalty, tick, limits, rules, engineTraits);
         }
 
         /** The same among so many routers, as the one with this number. */
-        public Settings withRouter(int routerCount, int number) {
-            return routerCount == routers && number == me ? this : new Settings(routerCount, number, zone, classes, tenants,
-                    overShareWorth, askDiscovery, marksRetry, crossZonePrice, wastePrice, peerPrice, tick, limits, rules, fleet);
+        public Settings withRouter(int routerCount, int index) {
+            return routerCount == routers && index == routerIndex ? this : new Settings(routerCount, index, zone, classes, tenants,
+                    overQuotaRewardFactor, discoveryOnRequest, clientsMarkRetries, crossZonePenalty, wastePenalty, peerMessagePenalty, tick, limits, rules, engineTraits);
         }
 
         /** The same where no word reaches another router, whatever the site allows. */
         public Settings withoutPeerMessages() {
-            Limits withoutTell = new Limits(limits.cancel, limits.probe, false, limits.secondCopies, limits.retryAfter, limits.maxAttempts,
-                    limits.maxRetryAfter, limits.openCap, limits.connectTimeout);
-            return limits.tell ? new Settings(routers, me, zone, classes, tenants, overShareWorth, askDiscovery, marksRetry,
-                    crossZonePrice, wastePrice, peerPrice, tick, withoutTell, rules, fleet) : this;
+            Limits withoutTell = new Limits(limits.mayCancel, limits.mayProbe, false, limits.mayRunConcurrentAttempts, limits.mayGiveRetryAfter, limits.maxAttempts,
+                    limits.maxRetryAfter, limits.maxOpenRequests, limits.connectTimeout);
+            return limits.mayTellPeers ? new Settings(routers, routerIndex, zone, classes, tenants, overQuotaRewardFactor, discoveryOnRequest, clientsMarkRetries,
+                    crossZonePenalty, wastePenalty, peerMessagePenalty, tick, withoutTell, rules, engineTraits) : this;
         }
 
         private static void require(boolean condition, String message) {
@@ -123,85 +123,92 @@
     sealed interface Event { }
 
     /** A request was taken. {@code work} is NaN and {@code memory} 0 where there is no estimate. */
-    record Request(long id, int cls, int tenant, double patience, double work, double memory, double tables,
+    record Request(long id, int requestClass, int tenant, double clientTimeout, double estimatedWork, double estimatedMemory, double tableGroup,
             long key, boolean retry, boolean write) implements Event { }
 
     /** A list of engines came, or word that asking for it failed. */
-    record Listed(ListKind kind, long version, List<Engine> engines) implements Event { }
+    record EngineList(ListKind kind, long version, List<Engine> engines) implements Event { }
 
     /** An attempt ended. {@code over}: its request is over too; {@code work} and {@code memory} NaN if not told. */
-    record Ended(long id, int attempt, long engine, Outcome outcome, double latency, boolean over, double work,
-            double memory, List<Double> load) implements Event { }
+    record AttemptEnded(long id, int attempt, long engine, Outcome outcome, double latency, boolean requestOver, double reportedWork,
+            double reportedMemory, List<Double> engineReport) implements Event { }
 
     /** The answer of a streamed request has started: it belongs to the client now. */
-    record Started(long id, int attempt, long engine, double latency) implements Event { }
+    record AnswerStarted(long id, int attempt, long engine, double latency) implements Event { }
 
     /** News of a running attempt. */
-    record Note(long id, int attempt, long engine, NoteKind kind, double value) implements Event { }
+    record AttemptNote(long id, int attempt, long engine, NoteKind kind, double value) implements Event { }
 
     /**
      * New settings bind from now on, also for the list of engines that follows. A class that both know keeps its number
      * for good; {@code dropped} are the numbers of those that no new request will name. Requests that are open keep the
      * terms under which they were taken.
      */
-    record Configured(Settings settings, List<Integer> dropped) implements Event { }
+    record SettingsChanged(Settings settings, List<Integer> droppedClasses) implements Event { }
 
     /** The client has left; nothing is owed any more. */
-    record Left(long id) implements Event { }
+    record ClientLeft(long id) implements Event { }
 
     /** A timer came due. */
-    record Timer(int token) implements Event { }
+    record TimerFired(int token) implements Event { }
 
     /** What a probe found; {@code ok} is false where it failed. */
-    record Probed(long engine, boolean ok, double latency, List<Double> load) implements Event { }
+    record ProbeResult(long engine, boolean ok, double latency, List<Double> engineReport) implements Event { }
 
     /** A message from another router. */
-    record Told(long from, byte[] text) implements Event { }
+    record PeerMessage(long from, byte[] payload) implements Event { }
 
     /** Something to do. */
     sealed interface Action { }
 
     /** Send the request's next attempt to an engine; {@code timeout} 0 means until the client gives up. */
-    record Send(long id, long engine, double timeout) implements Action { }
+    record SendAttempt(long id, long engine, double timeout) implements Action { }
 
     /** Turn the request away: trying again is harmless, after {@code comeBack} where that is above 0. */
-    record Refuse(long id, double comeBack) implements Action { }
+    record RefuseRequest(long id, double retryAfter) implements Action { }
 
     /** End the request as failed: nothing is promised. */
-    record Fail(long id) implements Action { }
+    record FailRequest(long id) implements Action { }
 
-    /** Why an attempt is cancelled; the adapter's wire has no word for it, it is told to operators. */
-    enum Why {
+    /** Why an attempt is cancelled: reported to operators, not sent to the engine. */
+    enum CancelReason {
         /** The request is over. */
-        OVER,
-        /** Its engine has gone silent. */
-        MUTE,
-        /** It takes far longer than its query should. */
-        STRAGGLES,
-        /** A note says that it stands still behind a load. */
-        HELD,
-        /** A note of progress says that it would take far longer than its query should. */
-        SLOW
+        REQUEST_OVER("over"),
+        /** Its engine has stopped answering. */
+        ENGINE_SILENT("mute"),
+        /** It takes far longer than expected of its query. */
+        STRAGGLER("straggles"),
+        /** A note says that it waits behind a load. */
+        WAITS_FOR_LOAD("held"),
+        /** A progress note says that it would take far longer than expected of its query. */
+        SLOW_PROGRESS("slow");
+
+        /** The word for it in counters and explanations. */
+        public final String label;
+
+        CancelReason(String label) {
+            this.label = label;
+        }
     }
 
     /** Stop waiting for an attempt. */
-    record Cancel(long id, int attempt, Why why) implements Action { }
+    record CancelAttempt(long id, int attempt, CancelReason reason) implements Action { }
 
     /** Wake the gateway with this token after a delay. */
     record SetTimer(int token, double delay) implements Action { }
 
     /** Name priority (0 to 3) and memory grant (0: the engine's choice) of the request's next attempts. */
-    record Terms(long id, int priority, double memory) implements Action { }
+    record SetTerms(long id, int priority, double memoryGrant) implements Action { }
 
     /** Look at an engine. */
-    record Probe(long engine) implements Action { }
+    record ProbeEngine(long engine) implements Action { }
 
     /** Follow the list of engines from now on. */
-    record Watch(boolean on) implements Action { }
+    record WatchEngineList(boolean enabled) implements Action { }
 
     /** Ask once for the whole list. */
-    record Fetch() implements Action { }
+    record FetchEngineList() implements Action { }
 
     /** Send a short message to a router, or to all where {@code to} is negative. */
-    record Tell(int to, byte[] text) implements Action { }
+    record TellPeers(int to, byte[] payload) implements Action { }
 }
--- a/decision/src/main/java/quincespar/decision/SchedulerState.java
+++ b/decision/src/main/java/quincespar/decision/SchedulerState.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Settings;
-import quincespar.decision.Gateway.Tenant;
-import quincespar.decision.Gateway.Told;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.Settings;
+import quincespar.decision.Scheduler.Tenant;
+import quincespar.decision.Scheduler.PeerMessage;
 
 /**
  * What the decision module remembers: requests, attempts, engines, and plain statistics over them. Nothing here
@@ -135,8 +135,8 @@
         static QuotaBucket[] forTenants(QuotaBucket[] previous, List<Tenant> tenants) {
             QuotaBucket[] buckets = Arrays.copyOf(previous, tenants.size());
             for (int tenant = 0; tenant < buckets.length; tenant++) {
-                buckets[tenant] = buckets[tenant] != null ? buckets[tenant] : new QuotaBucket(tenants.get(tenant).quotaPerS());
-                buckets[tenant].tokensPerSecond = tenants.get(tenant).quotaPerS();
+                buckets[tenant] = buckets[tenant] != null ? buckets[tenant] : new QuotaBucket(tenants.get(tenant).quotaPerSecond());
+                buckets[tenant].tokensPerSecond = tenants.get(tenant).quotaPerSecond();
             }
             return buckets;
         }
@@ -210,8 +210,8 @@
             this.spec = spec;
             this.sequence = sequence;
             id = r.id();
-            classIndex = r.cls();
-            deadline = now + (r.patience() >= 0 ? r.patience() : spec.deadline());
+            classIndex = r.requestClass();
+            deadline = now + (r.clientTimeout() >= 0 ? r.clientTimeout() : spec.deadline());
         }
 
         int runningAttempts() {
@@ -267,7 +267,7 @@
             int timeExponent = (int) Math.max(0, Math.min(15, Math.ceil(Math.log(attempt.expectedTime / 64) / Math.log(2))));
             byte[] all = {(byte) attempt.announcement, (byte) (attempt.query.classIndex << 4 | timeExponent), (byte) (engineTag >> 8), (byte) engineTag,
                 (byte) (attempt.query.tableTag >> 8), (byte) attempt.query.tableTag};
-            return attempt.query.spec.loads() ? all : Arrays.copyOf(all, 4);
+            return attempt.query.spec.loadsTables() ? all : Arrays.copyOf(all, 4);
         }
 
         /** The attempt told, or null where the text tells none that is known here. */
@@ -278,7 +278,7 @@
                 return null;
             }
             ClassSpec spec = classes.get(classIndex);
-            int tableTag = spec.loads() && bytes.length > 5 ? (bytes[4] & 255) << 8 | bytes[5] & 255 : -1;
+            int tableTag = spec.loadsTables() && bytes.length > 5 ? (bytes[4] & 255) << 8 | bytes[5] & 255 : -1;
             return new PeerAttempt(node, spec.threads(), tableTag, now + staleMultiple * 64 * (1 << (bytes[1] & 15)));
         }
 
@@ -298,8 +298,8 @@
         private final Map<Long, PeerAttempt> bySenderAndNumber = new LinkedHashMap<>();
 
         /** A first byte names the attempt, and ends what was told under that number before. */
-        void receive(Told message, Map<Integer, EngineNode> nodesByTag, Settings settings, double now, double staleMultiple) {
-            byte[] bytes = message.text();
+        void receive(PeerMessage message, Map<Integer, EngineNode> nodesByTag, Settings settings, double now, double staleMultiple) {
+            byte[] bytes = message.payload();
             if (bytes.length == 0 || message.from() < 0 || message.from() >= settings.routers()) {
                 return;
             }
--- a/decision/src/main/java/quincespar/decision/SettingsParser.java
+++ b/decision/src/main/java/quincespar/decision/SettingsParser.java
@@ -20,7 +20,7 @@
     }
 
     /** The settings of the wire's text, a pair on each line. */
-    public static Gateway.Settings parse(String text) {
+    public static Scheduler.Settings parse(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
@@ -87,19 +87,19 @@
         return i < list.size() ? list.get(i) : absent;
     }
 
-    private Gateway.ClassSpec classSpec(int i) {
+    private Scheduler.ClassSpec classSpec(int i) {
         String p = "requestClasses." + i + ".";
-        Gateway.Effect effect = switch (pairs.getOrDefault(p + "effect", "unsafe")) {
-            case "safe" -> Gateway.Effect.SAFE;
-            case "keyed" -> Gateway.Effect.KEYED;
-            default -> Gateway.Effect.UNSAFE;
+        Scheduler.Idempotency effect = switch (pairs.getOrDefault(p + "effect", "unsafe")) {
+            case "safe" -> Scheduler.Idempotency.SAFE;
+            case "keyed" -> Scheduler.Idempotency.KEYED;
+            default -> Scheduler.Idempotency.UNSAFE;
         };
-        Gateway.Scope scope = switch (pairs.getOrDefault(p + "keyScope", "cell")) {
-            case "all" -> Gateway.Scope.ALL;
-            case "zone" -> Gateway.Scope.ZONE;
-            default -> Gateway.Scope.CELL;
+        Scheduler.DeduplicationScope scope = switch (pairs.getOrDefault(p + "keyScope", "cell")) {
+            case "all" -> Scheduler.DeduplicationScope.ALL;
+            case "zone" -> Scheduler.DeduplicationScope.ZONE;
+            default -> Scheduler.DeduplicationScope.CELL;
         };
-        return new Gateway.ClassSpec(pairs.getOrDefault(p + "name", "class-" + i), required(p + "slo"),
+        return new Scheduler.ClassSpec(pairs.getOrDefault(p + "name", "class-" + i), required(p + "slo"),
                 number(p + "aimStretch", 0), required(p + "hardLimit"), number(p + "points", 1),
                 number(p + "lateWorth", 0), effect, scope, number(p + "repeatWindow", 0),
                 flag(p + "keepOrder", false), flag(p + "streaming", false),
@@ -109,47 +109,47 @@
                 indices(p + "allowedIn", names("localities")), indices(p + "servedOn", names("kinds")));
     }
 
-    private List<Gateway.Tenant> tenants() {
-        List<Gateway.Tenant> out = new ArrayList<>();
+    private List<Scheduler.Tenant> tenants() {
+        List<Scheduler.Tenant> out = new ArrayList<>();
         int n = (int) number("projects.count", 0);
         for (int i = 0; i < n; i++) {
             String p = "projects." + i + ".";
-            out.add(new Gateway.Tenant(pairs.getOrDefault(p + "name", ""), number(p + "quotaPerS", 0),
+            out.add(new Scheduler.Tenant(pairs.getOrDefault(p + "name", ""), number(p + "quotaPerS", 0),
                     number(p + "share", 0)));
         }
         return out;
     }
 
     /** The module's settings; what can't be used is told in an {@link IllegalArgumentException}. */
-    public Gateway.Settings settings() {
-        List<Gateway.ClassSpec> classes = new ArrayList<>();
+    public Scheduler.Settings settings() {
+        List<Scheduler.ClassSpec> classes = new ArrayList<>();
         int n = (int) required("requestClasses.count");
         for (int i = 0; i < n; i++) {
             classes.add(classSpec(i));
         }
-        Gateway.Limits limits = new Gateway.Limits(flag("limits.cancelling", false), flag("limits.probes", false),
+        Scheduler.Limits limits = new Scheduler.Limits(flag("limits.cancelling", false), flag("limits.probes", false),
                 flag("limits.mayTell", false), flag("limits.secondCopies", false),
                 flag("limits.retryAfter", false), (int) number("limits.maxAttempts", 1),
                 number("limits.maxRetryAfter", 0), (int) number("limits.openCap", 20000),
                 number("limits.connectTimeout", 250));
         boolean rationed = pairs.containsKey("rules.budgetFree") || pairs.containsKey("rules.resendRatio");
         double none = rationed ? 0 : Double.NaN;
-        Gateway.Rules rules = new Gateway.Rules(number("rules.answerSlack", 0), number("rules.askEvery", 10000),
+        Scheduler.Rules rules = new Scheduler.Rules(number("rules.answerSlack", 0), number("rules.askEvery", 10000),
                 number("rules.cold", 0), number("rules.coldShare", 1), number("rules.drainGrace", 0),
                 number("rules.fall", 0), number("rules.fallMultiple", 1), number("rules.settleAfterDoubt", 0),
                 number("rules.budgetFree", none), number("rules.resendRatio", none),
                 number("rules.budgetSpan", rationed ? 60000 : Double.NaN));
-        Gateway.Shortage shortage = switch (pairs.getOrDefault("extra.onShortage", "line_up")) {
-            case "cut" -> Gateway.Shortage.CUT;
-            case "overcommit" -> Gateway.Shortage.OVERCOMMIT;
-            default -> Gateway.Shortage.LINE_UP;
+        Scheduler.MemoryShortagePolicy shortage = switch (pairs.getOrDefault("extra.onShortage", "line_up")) {
+            case "cut" -> Scheduler.MemoryShortagePolicy.CUT;
+            case "overcommit" -> Scheduler.MemoryShortagePolicy.OVERCOMMIT;
+            default -> Scheduler.MemoryShortagePolicy.QUEUE;
         };
         boolean reports = !"off".equals(pairs.getOrDefault("reporting.how", "off"));
-        Gateway.Fleet fleet = new Gateway.Fleet(numbers("extra.sizeCores"), numbers("extra.memoryByKindMb"),
+        Scheduler.EngineTraits fleet = new Scheduler.EngineTraits(numbers("extra.sizeCores"), numbers("extra.memoryByKindMb"),
                 number("extra.largestShare", 1), flag("extra.takesGrants", false),
                 flag("extra.lanesCount", false), shortage, number("extra.notePeriod", 0),
                 flag("extra.tellsCost", false), reports ? names("reporting.fields") : List.of());
-        return new Gateway.Settings((int) number("balancers", 1), (int) number("me", 0),
+        return new Scheduler.Settings((int) number("balancers", 1), (int) number("me", 0),
                 (int) number("myZone", 0), classes, tenants(), number("overShareWorth", 1),
                 "on_request".equals(pairs.get("discovery")), flag("clients.marksRetry", false),
                 number("penalties.crossZone", 0), number("penalties.waste", 0),
--- a/decision/src/test/java/quincespar/decision/FleetWorld.java
+++ b/decision/src/test/java/quincespar/decision/FleetWorld.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.Cancel;
-import quincespar.decision.Gateway.Ended;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
-import quincespar.decision.Gateway.Fail;
-import quincespar.decision.Gateway.ListKind;
-import quincespar.decision.Gateway.Listed;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Refuse;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Send;
-import quincespar.decision.Gateway.Timer;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.CancelAttempt;
+import quincespar.decision.Scheduler.AttemptEnded;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
+import quincespar.decision.Scheduler.FailRequest;
+import quincespar.decision.Scheduler.ListKind;
+import quincespar.decision.Scheduler.EngineList;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.RefuseRequest;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.SendAttempt;
+import quincespar.decision.Scheduler.TimerFired;
 
 /**
  * Routers that know nothing of each other before engines of eight cores, in virtual time. It holds every send to the rules
@@ -86,7 +86,7 @@
         f.rig.now = now;
         f.rig.classes.add(Rig.safe("light", 1000, 1));
         f.rig.classes.add(Rig.safe("long", 3000, 7));
-        f.rig.classes.add(Rig.spec("load", 5000, 10, Gateway.Effect.UNSAFE, Gateway.Scope.ALL, false, null, null));
+        f.rig.classes.add(Rig.spec("load", 5000, 10, Scheduler.Idempotency.UNSAFE, Scheduler.DeduplicationScope.ALL, false, null, null));
         f.rig.start(listed.values().toArray(new Engine[0]));
         listed.values().forEach(e -> f.told.put(e.id(), e.state()));
         return f;
@@ -106,7 +106,7 @@
     void tell(Front f, long engine, EngineState state, double started) {
         startedAt.merge(engine, started, Math::max);
         listed.put(engine, Rig.engine(engine, 0, 0, state, started));
-        f.next.add(new Listed(ListKind.DELTA, 2, List.of(listed.get(engine))));
+        f.next.add(new EngineList(ListKind.DELTA, 2, List.of(listed.get(engine))));
         f.told.put(engine, state);
         if (state == EngineState.GONE) {
             f.out.values().stream().filter(a -> a.engine() == engine).toList().forEach(a -> end(f, a, Outcome.RESET));
@@ -117,7 +117,7 @@
         f.out.remove(a.id());
         boolean over = outcome == Outcome.OK || now >= f.until.get(a.id());
         boolean ok = outcome == Outcome.OK;
-        f.next.add(new Ended(a.id(), a.number(), a.engine(), outcome, now - a.at(), over, ok ? WORK[a.cls()] : Double.NaN,
+        f.next.add(new AttemptEnded(a.id(), a.number(), a.engine(), outcome, now - a.at(), over, ok ? WORK[a.cls()] : Double.NaN,
                 Double.NaN, List.of()));
         if (over) {
             assertTrue(f.open.remove(a.id()) != null, "a second final answer to " + a.id());
@@ -141,7 +141,7 @@
                 f.until.put(r.id(), now + PATIENCE[cls]);
                 f.next.add(r);
             }
-            f.next.add(new Timer(1));
+            f.next.add(new TimerFired(1));
             List<Event> events = List.copyOf(f.next);
             f.next.clear();
             f.rig.now = now;
@@ -150,26 +150,26 @@
     }
 
     void act(Front f, Action action) {
-        if (action instanceof Send s) {
+        if (action instanceof SendAttempt s) {
             Request r = f.open.get(s.id());
             assertTrue(r != null, "sent after its answer: " + s);
             assertEquals(EngineState.READY, f.told.get(s.engine()), "sent to an engine that was told to drain or be gone");
             assertTrue(!f.out.containsKey(s.id()), "two attempts out at once");
             int number = f.sends.merge(s.id(), 1, Integer::sum) - 1;
-            assertTrue(r.cls() != LOAD || number == 0, "a load sent twice, though it may have run");
-            f.out.put(s.id(), new Flight(s.id(), r.cls(), number, s.engine(), now,
-                    now + WORK[r.cls()] * (0.8 + 0.4 * random.nextDouble())));
-            cold(s.engine(), r.cls());
-        } else if (action instanceof Cancel c && f.out.containsKey(c.id())) {
+            assertTrue(r.requestClass() != LOAD || number == 0, "a load sent twice, though it may have run");
+            f.out.put(s.id(), new Flight(s.id(), r.requestClass(), number, s.engine(), now,
+                    now + WORK[r.requestClass()] * (0.8 + 0.4 * random.nextDouble())));
+            cold(s.engine(), r.requestClass());
+        } else if (action instanceof CancelAttempt c && f.out.containsKey(c.id())) {
             end(f, f.out.get(c.id()), Outcome.CANCELLED);
-        } else if (action instanceof Refuse r) {
+        } else if (action instanceof RefuseRequest r) {
             Request asked = f.open.remove(r.id());
             assertTrue(asked != null, "a second final answer to " + r.id());
-            assertTrue(asked.cls() != LOAD || !f.sends.containsKey(r.id()), "a load refused that may have run");
+            assertTrue(asked.requestClass() != LOAD || !f.sends.containsKey(r.id()), "a load refused that may have run");
             turnedAway++;
-        } else if (action instanceof Gateway.Probe) {
+        } else if (action instanceof Scheduler.ProbeEngine) {
             throw new AssertionError("a probe: reports come with answers, and probes are priced over the fleet");
-        } else if (action instanceof Fail x) {
+        } else if (action instanceof FailRequest x) {
             assertTrue(f.open.remove(x.id()) != null, "a second final answer to " + x.id());
             failed++;
         }
--- a/decision/src/test/java/quincespar/decision/FullFleetTest.java
+++ b/decision/src/test/java/quincespar/decision/FullFleetTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler.EngineState;
 
 /** A hundred routers and eighty engines: what is harmless in one and adds up over the fleet. */
 class FullFleetTest {
--- a/decision/src/test/java/quincespar/decision/LargeFleetTest.java
+++ b/decision/src/test/java/quincespar/decision/LargeFleetTest.java
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.Cancel;
-import quincespar.decision.Gateway.Ended;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
-import quincespar.decision.Gateway.Fail;
-import quincespar.decision.Gateway.ListKind;
-import quincespar.decision.Gateway.Listed;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Refuse;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Send;
-import quincespar.decision.Gateway.Timer;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.CancelAttempt;
+import quincespar.decision.Scheduler.AttemptEnded;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
+import quincespar.decision.Scheduler.FailRequest;
+import quincespar.decision.Scheduler.ListKind;
+import quincespar.decision.Scheduler.EngineList;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.RefuseRequest;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.SendAttempt;
+import quincespar.decision.Scheduler.TimerFired;
 
 /** Fourteen routers that know nothing of each other and sixty engines, in virtual time: the rules over the fleet. */
 class LargeFleetTest {
@@ -50,7 +50,7 @@
                 started.add(Rig.engine(e, 0, 0, EngineState.READY, start));
                 f.told.put(e, EngineState.READY);
             }
-            f.next.add(new Listed(ListKind.DELTA, 2, started));
+            f.next.add(new EngineList(ListKind.DELTA, 2, started));
             w.run(spread / 1000.0 / ROUTERS, true);
         }
         for (long e = 1; e <= 50; e++) { // what is left must be carried by those that have just started, too
@@ -107,11 +107,11 @@
     void oddListsDoNoHarm() {
         w.begin();
         for (FleetWorld.Front f : w.fronts) {
-            f.next.add(new Listed(ListKind.DELTA, 3, List.of()));
-            f.next.add(new Listed(ListKind.DELTA, 4, List.of(Rig.engine(70, 0, 0, EngineState.READY, w.now + 60_000),
+            f.next.add(new EngineList(ListKind.DELTA, 3, List.of()));
+            f.next.add(new EngineList(ListKind.DELTA, 4, List.of(Rig.engine(70, 0, 0, EngineState.READY, w.now + 60_000),
                     Rig.engine(70, 0, 0, EngineState.READY, w.now + 60_000))));
             f.told.put(70L, EngineState.READY);
-            f.next.add(new Ended(999, 0, 1, Outcome.OK, 5, true, Double.NaN, Double.NaN, List.of(Double.NaN, -1.0)));
+            f.next.add(new AttemptEnded(999, 0, 1, Outcome.OK, 5, true, Double.NaN, Double.NaN, List.of(Double.NaN, -1.0)));
         }
         w.answers.put(70L, true);
         w.run(5, true);
--- a/decision/src/test/java/quincespar/decision/ManyRoutersTest.java
+++ b/decision/src/test/java/quincespar/decision/ManyRoutersTest.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.Effect;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Ended;
-import quincespar.decision.Gateway.ListKind;
-import quincespar.decision.Gateway.Listed;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Scope;
-import quincespar.decision.Gateway.Send;
-import quincespar.decision.Gateway.Timer;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.Idempotency;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.AttemptEnded;
+import quincespar.decision.Scheduler.ListKind;
+import quincespar.decision.Scheduler.EngineList;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.DeduplicationScope;
+import quincespar.decision.Scheduler.SendAttempt;
+import quincespar.decision.Scheduler.TimerFired;
 import org.junit.jupiter.api.Test;
 
 /** What holds where a router's part of an engine is a fraction of a thread. */
@@ -47,7 +47,7 @@
     void routersSpreadOverEnginesByTheirNumber() {
         Map<Long, Integer> first = new TreeMap<>();
         for (int me = 0; me < 40; me++) {
-            for (Send s : Rig.sends(among(40, me, 10).tell(Rig.ask(1, 0)))) {
+            for (SendAttempt s : Rig.sends(among(40, me, 10).tell(Rig.ask(1, 0)))) {
                 first.merge(s.engine(), 1, Integer::sum);
             }
         }
@@ -65,9 +65,9 @@
         r.start(Rig.ready(10), Rig.ready(11));
         List<Long> went = new ArrayList<>();
         for (int i = 0; i < 12; i++) { // the first heard says it is idle, later that it is full
-            Send s = Rig.sends(r.after(1, Rig.ask(i, 0))).get(0);
+            SendAttempt s = Rig.sends(r.after(1, Rig.ask(i, 0))).get(0);
             went.add(s.engine());
-            r.after(50, new Ended(i, 0, s.engine(), Outcome.OK, 50, true, 50, Double.NaN,
+            r.after(50, new AttemptEnded(i, 0, s.engine(), Outcome.OK, 50, true, 50, Double.NaN,
                     List.of(i > 0 && s.engine() == went.get(0) ? 40.0 : 0.0)));
         }
         assertEquals(List.of(21 - went.get(0)), went.subList(6, 12).stream().distinct().toList(), went.toString());
@@ -84,7 +84,7 @@
             r.classes.add(Rig.safe("light", 1000, 1));
             r.start(Rig.ready(10));
             r.tell(Rig.ask(1, 0));
-            r.after(50, new Ended(1, 0, 10, Outcome.OK, 50, true, 50, Double.NaN, bad));
+            r.after(50, new AttemptEnded(1, 0, 10, Outcome.OK, 50, true, 50, Double.NaN, bad));
             assertEquals(1, Rig.sends(r.after(1, Rig.ask(2, 0))).size());
         }
     }
@@ -116,7 +116,7 @@
     }
 
     private static ClassSpec wide(String name, int threads) {
-        return new ClassSpec(name, 3000, 0, 12000, 1, 0.5, Effect.SAFE, Scope.ALL, 0, false, false, threads, false,
+        return new ClassSpec(name, 3000, 0, 12000, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false, false, threads, false,
                 false, null, null);
     }
 
@@ -128,7 +128,7 @@
         r.routers = 14;
         r.me = me;
         r.classes.add(Rig.safe("light", 500, 1));
-        r.classes.add(new ClassSpec("long", 2000, 0, 12000, 1, 0.5, Effect.SAFE, Scope.ALL, 0, false, false, 2, false,
+        r.classes.add(new ClassSpec("long", 2000, 0, 12000, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false, false, 2, false,
                 false, null, null));
         r.classes.add(wide("longer", 2));
         return r.start(Rig.readyFrom(10, engines).toArray(new Engine[0]));
@@ -149,19 +149,19 @@
         for (int me = 0; me < 14; me++) {
             Rig r = fourteen(me, 0);
             for (int e = 0; e < 20; e++) {
-                r.tell(new Gateway.Listed(Gateway.ListKind.DELTA, 2 + e,
+                r.tell(new Scheduler.EngineList(Scheduler.ListKind.DELTA, 2 + e,
                         List.of(Rig.engine(50 + e, 0, 0, EngineState.READY, r.now))));
             }
             for (int span = 0; span < 3; span++) {
                 for (int cls = 0; cls < 3; cls++) {
                     double work = cls == 0 ? 100 : 1000 + 400 * cls;
                     for (int i = 0; i < 30; i++) {
-                        for (Send s : Rig.sends(r.tell(query(1000 * span + 100 * cls + i, cls, work, 0)))) {
+                        for (SendAttempt s : Rig.sends(r.tell(query(1000 * span + 100 * cls + i, cls, work, 0)))) {
                             sent[(int) s.engine() - 50][span] += work;
                         }
                     }
                 }
-                r.after(1000, new Timer(1));
+                r.after(1000, new TimerFired(1));
             }
         }
         double falls = new Rig().falls(), all = 0;
@@ -181,7 +181,7 @@
         for (int left = 0; left < 3; left++) {
             Rig r = fourteen(0, 60);
             for (int e = 0; e < 20 * left; e++) {
-                r.tell(new Gateway.Listed(Gateway.ListKind.DELTA, 2 + e,
+                r.tell(new Scheduler.EngineList(Scheduler.ListKind.DELTA, 2 + e,
                         List.of(Rig.engine(10 + e, 0, 0, EngineState.DRAINING, 0))));
             }
             room[left] = fill(r, 1, 1, 2000);
@@ -211,12 +211,12 @@
             Rig r = new Rig();
             r.reports = List.of("outstanding", "utilization");
             fourteen(r, 0, 60);
-            Send one = Rig.sends(r.tell(query(1, 2, 6000, 0))).get(0);
+            SendAttempt one = Rig.sends(r.tell(query(1, 2, 6000, 0))).get(0);
             fill(r, 1000, 2, 6000);
             assertEquals(0, Rig.sends(r.tell(query(2000, 1, 2000, 0))).size(), "the bound is full");
-            Ended end = new Ended(1, 0, one.engine(), Outcome.OK, 3000, true, 6000, Double.NaN,
+            AttemptEnded end = new AttemptEnded(1, 0, one.engine(), Outcome.OK, 3000, true, 6000, Double.NaN,
                     List.of(report[0], report[1]));
-            List<Send> sends = Rig.sends(r.after(10, end, query(2001, 1, 2000, 0), query(2002, 1, 2000, 0)));
+            List<SendAttempt> sends = Rig.sends(r.after(10, end, query(2001, 1, 2000, 0), query(2002, 1, 2000, 0)));
             long there = sends.stream().filter(s -> s.engine() == one.engine()).count();
             assertTrue(report[0] == 1 ? there > 1 : sends.size() <= 1, report[0] + " held: " + sends);
         }
@@ -240,14 +240,14 @@
             for (long e = 10; e < 22; e++) { // where this router has fewer than two, none is to be had
                 if (at.getOrDefault(e, List.of()).size() < 2) {
                     at.remove(e);
-                    r.tell(new Gateway.Listed(Gateway.ListKind.DELTA, e,
+                    r.tell(new Scheduler.EngineList(Scheduler.ListKind.DELTA, e,
                             List.of(Rig.engine(e, 0, 0, EngineState.DRAINING, 0))));
                 }
             }
             assertTrue(at.size() > 8, "two or more on most: " + at);
             r.now += 5000; // those that wait have been given up
-            r.tell(new Timer(1));
-            at.forEach((e, l) -> r.tell(new Ended(l.get(0), 0, e, Outcome.OK, 100, true, 100, Double.NaN,
+            r.tell(new TimerFired(1));
+            at.forEach((e, l) -> r.tell(new AttemptEnded(l.get(0), 0, e, Outcome.OK, 100, true, 100, Double.NaN,
                     List.of(held, held == 1 ? 0.1 : 1.0))));
             int more = 0;
             for (int i = 200; i < 230; i++) {
@@ -263,10 +263,10 @@
         Rig r = among(20, 0, 10); // ten engines of eight cores: a part of four threads
         long id = 1;
         for (int i = 0; i < 200; i++) {
-            for (Send s : Rig.sends(r.tell(Rig.ask(id++, 0)))) {
+            for (SendAttempt s : Rig.sends(r.tell(Rig.ask(id++, 0)))) {
                 double took = i < 40 ? 100 : 900;
                 for (double t = 0; t < took - 20; t += 20) {
-                    r.after(20, new Timer(1));
+                    r.after(20, new TimerFired(1));
                 }
                 r.after(20, Rig.end(s.id(), 0, s.engine(), Outcome.OK, took));
             }
@@ -285,7 +285,7 @@
         for (int tables = 1; tables <= 30; tables++) {
             Map<Long, Integer> at = new TreeMap<>();
             for (int me = 0; me < 10; me++) {
-                Send s = Rig.sends(among(10, me, 8).tell(query(1, 0, 100, tables))).get(0);
+                SendAttempt s = Rig.sends(among(10, me, 8).tell(query(1, 0, 100, tables))).get(0);
                 at.merge(s.engine(), 1, Integer::sum);
             }
             together += at.values().stream().mapToInt(n -> n).max().orElse(0);
@@ -302,10 +302,10 @@
             for (int tables = 1; tables <= 60; tables++) {
                 Rig r = among(10, 0, 4);
                 for (int i = 0; i < 4 * cold; i++) { // as many again have just started
-                    r.tell(new Listed(ListKind.DELTA, 2 + i, List.of(Rig.engine(30 + i, 0, 0, EngineState.READY, 999))));
+                    r.tell(new EngineList(ListKind.DELTA, 2 + i, List.of(Rig.engine(30 + i, 0, 0, EngineState.READY, 999))));
                 }
-                r.after(100, new Timer(1));
-                List<Send> two = Rig.sends(r.tell(query(1, 0, 3000, tables), query(2, 0, 3000, tables)));
+                r.after(100, new TimerFired(1));
+                List<SendAttempt> two = Rig.sends(r.tell(query(1, 0, 3000, tables), query(2, 0, 3000, tables)));
                 assertEquals(2, two.size());
                 together[cold] += two.get(0).engine() == two.get(1).engine() ? 1 : 0;
             }
--- a/decision/src/test/java/quincespar/decision/Rig.java
+++ b/decision/src/test/java/quincespar/decision/Rig.java
@@ -3,24 +3,24 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.Effect;
-import quincespar.decision.Gateway.Ended;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
-import quincespar.decision.Gateway.Fleet;
-import quincespar.decision.Gateway.Limits;
-import quincespar.decision.Gateway.ListKind;
-import quincespar.decision.Gateway.Listed;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Rules;
-import quincespar.decision.Gateway.Scope;
-import quincespar.decision.Gateway.Send;
-import quincespar.decision.Gateway.Settings;
-import quincespar.decision.Gateway.Shortage;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.Idempotency;
+import quincespar.decision.Scheduler.AttemptEnded;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
+import quincespar.decision.Scheduler.EngineTraits;
+import quincespar.decision.Scheduler.Limits;
+import quincespar.decision.Scheduler.ListKind;
+import quincespar.decision.Scheduler.EngineList;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.Rules;
+import quincespar.decision.Scheduler.DeduplicationScope;
+import quincespar.decision.Scheduler.SendAttempt;
+import quincespar.decision.Scheduler.Settings;
+import quincespar.decision.Scheduler.MemoryShortagePolicy;
 
 /** One module with settings that a test can change, a clock that it moves, and short ways to say events. */
 final class Rig {
@@ -33,14 +33,14 @@
     GcMuScheduler brain;
     double now = 1000;
 
-    static ClassSpec spec(String name, double aim, double worth, Effect effect, Scope scope, boolean ordered,
+    static ClassSpec spec(String name, double aim, double worth, Idempotency effect, DeduplicationScope scope, boolean ordered,
             List<Integer> zones, List<Integer> kinds) {
         return new ClassSpec(name, aim, 0, 4 * aim, worth, 0.5, effect, scope, 3000, ordered, false, 1, false,
                 false, zones, kinds);
     }
 
     static ClassSpec safe(String name, double aim, double worth) {
-        return spec(name, aim, worth, Effect.SAFE, Scope.ALL, false, null, null);
+        return spec(name, aim, worth, Idempotency.SAFE, DeduplicationScope.ALL, false, null, null);
     }
 
     static Engine engine(long id, int zone, int cell, EngineState state, double startedAt) {
@@ -57,17 +57,17 @@
 
     /** The work that makes a cold engine of eight cores fall within {@code rules.fall}, at its least capacity. */
     double falls() {
-        return rules.fallMultiple() * rules.coldShare() * 0.85 * 8 * rules.fall();
+        return rules.overloadMultiple() * rules.coldCapacityShare() * 0.85 * 8 * rules.overloadWindow();
     }
 
     Settings settings() {
-        Fleet fleet = new Fleet(List.of(8.0), List.of(16384.0), 0.5, false, false, Shortage.CUT, 0, true, reports);
+        EngineTraits fleet = new EngineTraits(List.of(8.0), List.of(16384.0), 0.5, false, false, MemoryShortagePolicy.CUT, 0, true, reports);
         return new Settings(routers, me, 0, classes, List.of(), 1, ask, true, 0.02, 0.05, 0.01, 5, limits, rules, fleet);
     }
 
     Rig start(Engine... engines) {
         brain = new GcMuScheduler(settings(), 7 + me);
-        tell(new Listed(ListKind.CACHED, 1, List.of(engines)));
+        tell(new EngineList(ListKind.CACHED, 1, List.of(engines)));
         return this;
     }
 
@@ -86,7 +86,7 @@
         while (!sends(tell(ask(id, cls))).isEmpty()) {
             id++;
         }
-        tell(new Gateway.Left(id));
+        tell(new Scheduler.ClientLeft(id));
     }
 
     static Request ask(long id, int cls) {
@@ -97,13 +97,13 @@
         return new Request(id, cls, 0, 4000, 100, 0, 0, key, false, false);
     }
 
-    static Ended end(long id, int attempt, long engine, Outcome outcome, double latency) {
+    static AttemptEnded end(long id, int attempt, long engine, Outcome outcome, double latency) {
         boolean ok = outcome == Outcome.OK;
-        return new Ended(id, attempt, engine, outcome, latency, ok, ok ? 100 : Double.NaN, Double.NaN, List.of());
+        return new AttemptEnded(id, attempt, engine, outcome, latency, ok, ok ? 100 : Double.NaN, Double.NaN, List.of());
     }
 
-    static List<Send> sends(List<Action> actions) {
-        return all(actions, Send.class);
+    static List<SendAttempt> sends(List<Action> actions) {
+        return all(actions, SendAttempt.class);
     }
 
     static <T> List<T> all(List<Action> actions, Class<T> type) {
--- a/decision/src/test/java/quincespar/decision/WordsTest.java
+++ b/decision/src/test/java/quincespar/decision/WordsTest.java
@@ -6,21 +6,21 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.Effect;
-import quincespar.decision.Gateway.Engine;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Limits;
-import quincespar.decision.Gateway.ListKind;
-import quincespar.decision.Gateway.Listed;
-import quincespar.decision.Gateway.Outcome;
-import quincespar.decision.Gateway.Request;
-import quincespar.decision.Gateway.Scope;
-import quincespar.decision.Gateway.Send;
-import quincespar.decision.Gateway.Tell;
-import quincespar.decision.Gateway.Timer;
-import quincespar.decision.Gateway.Told;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.Idempotency;
+import quincespar.decision.Scheduler.Engine;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Limits;
+import quincespar.decision.Scheduler.ListKind;
+import quincespar.decision.Scheduler.EngineList;
+import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.Request;
+import quincespar.decision.Scheduler.DeduplicationScope;
+import quincespar.decision.Scheduler.SendAttempt;
+import quincespar.decision.Scheduler.TellPeers;
+import quincespar.decision.Scheduler.TimerFired;
+import quincespar.decision.Scheduler.PeerMessage;
 import org.junit.jupiter.api.Test;
 
 /** What routers tell each other, and what a stalled router makes of what it finds. */
@@ -28,7 +28,7 @@
     private static final Limits TALKING = new Limits(true, false, true, false, true, 4, 500, 20000, 250);
 
     private static ClassSpec spec(String name, int threads, boolean loads, boolean waits) {
-        return new ClassSpec(name, 1000, 0, 4000, 1, 0.5, loads ? Effect.UNSAFE : Effect.SAFE, Scope.ALL, 3000,
+        return new ClassSpec(name, 1000, 0, 4000, 1, 0.5, loads ? Idempotency.UNSAFE : Idempotency.SAFE, DeduplicationScope.ALL, 3000,
                 false, false, threads, loads, waits, null, null);
     }
 
@@ -50,8 +50,8 @@
         return new Request(id, cls, 0, 4000, cls == 0 ? 100 : 2000, 0, tables, 0, false, false);
     }
 
-    private static List<Tell> tells(List<Action> actions) {
-        return Rig.all(actions, Tell.class);
+    private static List<TellPeers> tells(List<Action> actions) {
+        return Rig.all(actions, TellPeers.class);
     }
 
     /** A reader of tables that another router's load holds stands still there, so it goes elsewhere. */
@@ -62,8 +62,8 @@
             List<Action> load = a.tell(of(1, 1, tables));
             long at = Rig.sends(load).get(0).engine();
             Rig b = rig(2, 1, 2);
-            tells(load).forEach(t -> b.tell(new Told(0, t.text())));
-            Send held = Rig.sends(b.tell(of(7, 0, tables))).get(0);
+            tells(load).forEach(t -> b.tell(new PeerMessage(0, t.payload())));
+            SendAttempt held = Rig.sends(b.tell(of(7, 0, tables))).get(0);
             assertNotEquals(at, held.engine(), "tables " + tables);
             b.after(100, Rig.end(7, 0, held.engine(), Outcome.OK, 100));
         }
@@ -77,16 +77,16 @@
         List<Action> end = a.after(50, Rig.end(1, 0, Rig.sends(start).get(0).engine(), Outcome.OK, 50));
         assertEquals(1, tells(start).size());
         assertEquals(1, tells(end).size());
-        assertEquals(6, tells(start).get(0).text().length);
-        assertEquals(1, tells(end).get(0).text().length);
-        assertEquals(tells(start).get(0).text()[0], tells(end).get(0).text()[0]);
+        assertEquals(6, tells(start).get(0).payload().length);
+        assertEquals(1, tells(end).get(0).payload().length);
+        assertEquals(tells(start).get(0).payload()[0], tells(end).get(0).payload()[0]);
     }
 
     /** Words go to routers that watch the engine, which all work out alike, and never to oneself. */
     @Test
     void wordsGoToTheRoutersThatWatchTheEngineOnly() {
         Rig a = rig(200, 3, 100);
-        List<Tell> told = tells(a.tell(of(1, 1, 3)));
+        List<TellPeers> told = tells(a.tell(of(1, 1, 3)));
         assertTrue(told.size() > 5 && told.size() < 40, "about a tenth of 200: " + told.size());
         assertTrue(told.stream().noneMatch(t -> t.to() == 3 || t.to() < 0));
     }
@@ -110,7 +110,7 @@
                 new byte[] {1, (byte) 0xff, 3, 4, 5, 6}, new byte[256])) {
             Rig r = rig(2, 1, 2);
             for (long from : new long[] {-1, 0, 1, 99, 4294967295L}) {
-                assertTrue(r.tell(new Told(from, text)).stream().noneMatch(x -> x instanceof Send));
+                assertTrue(r.tell(new PeerMessage(from, text)).stream().noneMatch(x -> x instanceof SendAttempt));
             }
             assertEquals(1, Rig.sends(r.tell(of(5, 0, 3))).size());
         }
@@ -122,8 +122,8 @@
         Rig a = rig(2, 0, 1);
         List<Action> load = a.tell(of(1, 1, 3));
         Rig b = rig(2, 1, 1);
-        b.tell(new Listed(ListKind.DELTA, 2, List.of(Rig.engine(10, 0, 0, EngineState.DRAINING, 0))));
-        tells(load).forEach(t -> b.tell(new Told(0, t.text()), new Told(0, new byte[] {t.text()[0]})));
+        b.tell(new EngineList(ListKind.DELTA, 2, List.of(Rig.engine(10, 0, 0, EngineState.DRAINING, 0))));
+        tells(load).forEach(t -> b.tell(new PeerMessage(0, t.payload()), new PeerMessage(0, new byte[] {t.payload()[0]})));
         assertTrue(Rig.sends(b.tell(of(7, 0, 3))).isEmpty());
     }
 
@@ -145,10 +145,10 @@
                 long first = id;
                 r.tell(of(id++, 0, 0), of(id++, 0, 0));
                 for (int t = 0; stall == 0 && t < 1400; t += 20) {
-                    r.after(20, new Timer(1));
+                    r.after(20, new TimerFired(1));
                 }
                 double took = stall == 0 ? 20 : 1420;
-                r.after(took, new Timer(1), Rig.end(first, 0, 10, Outcome.OK, 1420),
+                r.after(took, new TimerFired(1), Rig.end(first, 0, 10, Outcome.OK, 1420),
                         Rig.end(first + 1, 0, 10, Outcome.OK, 1420));
             }
             while (!Rig.sends(r.tell(of(id++, 0, 0))).isEmpty()) {
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway.ClassSpec;
+import quincespar.decision.Scheduler.ClassSpec;
 import quincespar.program.clients.ThriftFront;
 import quincespar.protocol.resp.EngineCodec;
 import quincespar.protocol.resp.RespDecoder;
@@ -75,7 +75,7 @@
     private Query query(int i, ClassSpec spec) {
         String tenant = configuration.site().decision().tenants().stream().findFirst().map(t -> t.name()).orElse("");
         byte[] frame = FrontCodec.call(i, Map.of("verb", spec.name(), "txn", String.format("%016x", i), "limit",
-                Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.aim() / 4),
+                Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.latencyTarget() / 4),
                 "heap_mb", "64"), STATEMENT);
         return front.query(Arrays.copyOfRange(frame, 4, frame.length));
     }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -30,7 +30,7 @@
 import quincespar.capture.SegmentName;
 import quincespar.capture.SegmentStore;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.routing.EngineNumber;
 
 /** What can be asked of captures; every answer is lines that scripts can read. */
@@ -67,7 +67,7 @@
                 System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
                         + (o.moduleDigest().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
                         + Long.toHexString(o.seed()));
-                System.out.println("  classes=" + o.settings().classes().stream().map(Gateway.ClassSpec::name).toList());
+                System.out.println("  classes=" + o.settings().classes().stream().map(Scheduler.ClassSpec::name).toList());
             });
         });
         return 0;
@@ -211,7 +211,7 @@
         System.out.println("got      " + ordered(p.got()));
     }
 
-    private static String ordered(List<Gateway.Action> actions) {
+    private static String ordered(List<Scheduler.Action> actions) {
         return actions.stream().map(String::valueOf).reduce((a, b) -> a + " " + b).orElse("nothing");
     }
 
--- a/frontend/src/main/java/quincespar/program/captures/CapturedInstances.java
+++ b/frontend/src/main/java/quincespar/program/captures/CapturedInstances.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.program.runtime.Clock;
 import quincespar.settings.Settings;
 import quincespar.simulator.SimulatorHost;
@@ -36,7 +36,7 @@
         }
     }
 
-    private Gateway make(Gateway.Settings settings, long seed) {
+    private Scheduler make(Scheduler.Settings settings, long seed) {
         try {
             Capturing c = Capturing.into(folder, Settings.defaults(), "i" + all.size(), 0, seed, settings, clock,
                     System.err::println);
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -16,7 +16,7 @@
 import quincespar.capture.StateCodec;
 import quincespar.capture.SegmentStore;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Version;
 import quincespar.settings.Keyword;
@@ -31,9 +31,9 @@
 
     private final Recorder recorder;
     private final Thread writer;
-    private final Gateway module;
+    private final Scheduler module;
 
-    private Capturing(Recorder recorder, Gateway module) {
+    private Capturing(Recorder recorder, Scheduler module) {
         this.recorder = recorder;
         this.module = module;
         writer = Threads.daemon("capture", recorder);
@@ -43,7 +43,7 @@
      * Captures a module that is made here, from {@code now} on its clock; {@code tell} hears of failures and their end.
      * Throws {@link IOException} where the folder can't be read.
      */
-    public static Capturing into(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
+    public static Capturing into(Path folder, Settings s, String name, double now, long seed, Scheduler.Settings settings,
             Clock clock, Consumer<String> tell) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
         SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
@@ -63,7 +63,7 @@
     }
 
     /** The module, captured. */
-    public Gateway module() {
+    public Scheduler module() {
         return module;
     }
 
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quincespar.decision.Gateway.NoteKind;
+import quincespar.decision.Scheduler.NoteKind;
 import quincespar.program.runtime.Addresses;
 import quincespar.protocol.MalformedException;
 import quincespar.protocol.Utf8;
@@ -46,7 +46,7 @@
     }
 
     public void adopt(RoutingSettings site) {
-        reportFields = site.decision().fleet().reportFields();
+        reportFields = site.decision().engineTraits().reportFields();
     }
 
     public void open(Effect.OpenLink e) {
--- a/frontend/src/main/java/quincespar/routing/Attempt.java
+++ b/frontend/src/main/java/quincespar/routing/Attempt.java
@@ -2,7 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.util.List;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.transport.WithdrawableWrite;
 
 /** One sending of a request to one engine. */
--- a/frontend/src/main/java/quincespar/routing/AttemptCounters.java
+++ b/frontend/src/main/java/quincespar/routing/AttemptCounters.java
@@ -5,6 +5,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import quincespar.decision.Scheduler;
 
 /**
  * Counters of attempts, by cause and class and by engine. The number of counter names is bounded: each is made of a fixed
@@ -22,6 +23,11 @@
         add(kind, cause, className, 1);
     }
 
+    /** Adds one to the counter {@code cut.reason.className}, with the reason's label. */
+    void countCancelled(Scheduler.CancelReason reason, String className) {
+        byClass.computeIfAbsent("cut." + reason.label + "." + className, name -> new AtomicLong()).incrementAndGet();
+    }
+
     /** Adds to the counter {@code kind.cause.className}; the cause is in lower case. */
     void add(String kind, Enum<?> cause, String className, long amount) {
         byClass.computeIfAbsent(kind + "." + cause.name().toLowerCase(Locale.ROOT) + "." + className,
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -1,8 +1,8 @@
 package quincespar.routing;
 
 import java.util.List;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Outcome;
 
 /** The attempts of all requests: sends them to engines and decides how each ends. */
 final class Attempts {
@@ -40,9 +40,9 @@
     }
 
     /** The decision module cancels an attempt. */
-    void cancelByModule(Attempt attempt, Gateway.Why why) {
+    void cancelByModule(Attempt attempt, Scheduler.CancelReason why) {
         if (attempt != null) {
-            counters.count("cut", why, attempt.request.spec.name());
+            counters.countCancelled(why, attempt.request.spec.name());
             stop(attempt, Outcome.CANCELLED);
         }
     }
@@ -72,10 +72,10 @@
     }
 
     /** Sends the next attempt of a request as the decision module asks. */
-    void send(OpenRequest request, Gateway.Send action) {
+    void send(OpenRequest request, Scheduler.SendAttempt action) {
         // an unsafe request is never sent twice, and none has two attempts at once unless the settings allow it
         boolean duplicate = request != null && (request.unsafe() && request.mayHaveRun()
-                || request.running() && !context.settings.decision().limits().secondCopies());
+                || request.running() && !context.settings.decision().limits().mayRunConcurrentAttempts());
         if (request == null || request.closed || duplicate) {
             context.addEffect(new Effect.Log("ignored an invalid action of the decision module: " + action));
             return;
@@ -179,7 +179,7 @@
             attempt.link.suspect |= attempt.cancelOutcome != null && attempt.link.lastHeardAt < attempt.createdAt;
             links.startIdleTimer(attempt.link);
         }
-        context.addEvent(new Gateway.Ended(attempt.key.request(), attempt.key.attempt(), attempt.engine, outcome,
+        context.addEvent(new Scheduler.AttemptEnded(attempt.key.request(), attempt.key.attempt(), attempt.engine, outcome,
                 context.now - attempt.createdAt, attempt.request.closed, Double.NaN, Double.NaN, attempt.load));
         requests.removeIfEnded(attempt.request);
     }
@@ -217,7 +217,7 @@
             return; // late: its attempt has ended, and another attempt must not take it for its own
         }
         if (message instanceof EngineMessage.Note note) {
-            context.addEvent(new Gateway.Note(attempt.key.request(), attempt.key.attempt(), attempt.engine, note.kind(),
+            context.addEvent(new Scheduler.AttemptNote(attempt.key.request(), attempt.key.attempt(), attempt.engine, note.kind(),
                     note.value()));
         } else if (message instanceof EngineMessage.Done done) {
             resultStarted(attempt, done);
--- a/frontend/src/main/java/quincespar/routing/ClusterState.java
+++ b/frontend/src/main/java/quincespar/routing/ClusterState.java
@@ -1,8 +1,8 @@
 package quincespar.routing;
 
 import java.util.List;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.membership.Membership;
 import quincespar.metrics.MetricsRecorder;
 import quincespar.metrics.MetricsSnapshot;
@@ -193,7 +193,7 @@
             metrics.setClasses(next.classNames());
             recovery.setClasses(next);
             context.addEffect(new Effect.ApplySettings(next));
-            context.addEvent(new Gateway.Configured(next.decision(), next.droppedClasses()));
+            context.addEvent(new Scheduler.SettingsChanged(next.decision(), next.droppedClasses()));
             context.addEvent(engines.relist(next));
         }
     }
--- a/frontend/src/main/java/quincespar/routing/EngineMessage.java
+++ b/frontend/src/main/java/quincespar/routing/EngineMessage.java
@@ -1,7 +1,7 @@
 package quincespar.routing;
 
 import java.util.List;
-import quincespar.decision.Gateway.NoteKind;
+import quincespar.decision.Scheduler.NoteKind;
 
 /** A message of an engine, independent of the wire protocol; {@code load} is the load report that came with it, or empty. */
 public sealed interface EngineMessage {
--- a/frontend/src/main/java/quincespar/routing/EngineRegistry.java
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
 import quincespar.protocol.FleetEvent;
 import quincespar.protocol.FleetEvent.Phase;
 
@@ -87,15 +87,15 @@
     }
 
     /** Applies one event of the change log, with the engines that its list leaves out, and makes the module's event of it. */
-    Gateway.Listed apply(FleetEvent event, List<FleetEvent.Member> removed, double now) {
-        Gateway.ListKind kind = !event.complete() ? Gateway.ListKind.DELTA
-                : listReceived ? Gateway.ListKind.FULL : Gateway.ListKind.CACHED;
+    Scheduler.EngineList apply(FleetEvent event, List<FleetEvent.Member> removed, double now) {
+        Scheduler.ListKind kind = !event.complete() ? Scheduler.ListKind.DELTA
+                : listReceived ? Scheduler.ListKind.FULL : Scheduler.ListKind.CACHED;
         listReceived = true;
         revision = event.revision();
-        List<Gateway.Engine> changed = new ArrayList<>();
+        List<Scheduler.Engine> changed = new ArrayList<>();
         event.members().forEach(m -> changed.add(toGateway(update(m, kind, now))));
         removed.forEach(m -> update(m, kind, now));
-        return new Gateway.Listed(kind, event.revision(), changed);
+        return new Scheduler.EngineList(kind, event.revision(), changed);
     }
 
     /** Puts all sends on hold, or ends that; takes effect with the next {@link #relist}. */
@@ -109,15 +109,15 @@
     }
 
     /** The whole list again, with zones and kinds numbered as in these settings. */
-    Gateway.Listed relist(RoutingSettings next) {
+    Scheduler.EngineList relist(RoutingSettings next) {
         settings = next;
         byNumber.values().forEach(e -> e.withheld = held || recovery.withholds(e.listed));
-        return new Gateway.Listed(Gateway.ListKind.FULL, revision, byNumber.values().stream()
+        return new Scheduler.EngineList(Scheduler.ListKind.FULL, revision, byNumber.values().stream()
                 .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::toGateway).toList());
     }
 
-    private Engine update(FleetEvent.Member member, Gateway.ListKind kind, double now) {
-        boolean change = kind == Gateway.ListKind.DELTA;
+    private Engine update(FleetEvent.Member member, Scheduler.ListKind kind, double now) {
+        boolean change = kind == Scheduler.ListKind.DELTA;
         Engine engine = byNumber.computeIfAbsent(number(member.id()),
                 n -> new Engine(n, member, startedAt(member, change, now)));
         if (member.startedAt() != engine.listed.startedAt()) {
@@ -148,14 +148,14 @@
         return number;
     }
 
-    private Gateway.Engine toGateway(Engine engine) {
+    private Scheduler.Engine toGateway(Engine engine) {
         FleetEvent.Member member = engine.listed;
         EngineState state = switch (member.phase()) {
             case UP -> engine.withheld ? EngineState.DRAINING : EngineState.READY;
             case DRAINING -> EngineState.DRAINING;
             case REMOVED -> EngineState.GONE;
         };
-        return new Gateway.Engine(engine.number, Math.max(0, settings.zones().indexOf(member.zone())),
+        return new Scheduler.Engine(engine.number, Math.max(0, settings.zones().indexOf(member.zone())),
                 Math.max(0, settings.kinds().indexOf(member.kind())), member.cell(), state, member.size(),
                 recovery.startedAt(member.id(), engine.startedAt));
     }
--- a/frontend/src/main/java/quincespar/routing/Links.java
+++ b/frontend/src/main/java/quincespar/routing/Links.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Outcome;
 
 /** Links to engines: which link carries which attempt, when a link ends, and the probes on them. */
 final class Links {
@@ -209,7 +209,7 @@
         if (link != null) {
             link.probes.remove(tag);
             context.stopTimer(new TimerKey.ProbeTimeout(tag));
-            context.addEvent(new Gateway.Probed(link.engine.number, healthy, 0, load));
+            context.addEvent(new Scheduler.ProbeResult(link.engine.number, healthy, 0, load));
             startIdleTimer(link);
         }
     }
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.Effect;
-import quincespar.decision.Gateway.Scope;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.Idempotency;
+import quincespar.decision.Scheduler.DeduplicationScope;
 
 /** A request from its arrival until it is answered and none of its attempts is open. */
 final class OpenRequest {
@@ -34,18 +34,18 @@
 
     /** Whether it must not run twice. */
     boolean unsafe() {
-        return spec.effect() == Effect.UNSAFE;
+        return spec.idempotency() == Idempotency.UNSAFE;
     }
 
     /** Whether it may be refused, which tells its client that a retry is safe. */
     boolean refusable() {
-        return spec.effect() == Effect.SAFE || spec.effect() == Effect.KEYED && spec.scope() == Scope.ALL || !mayHaveRun();
+        return spec.idempotency() == Idempotency.SAFE || spec.idempotency() == Idempotency.KEYED && spec.deduplicationScope() == DeduplicationScope.ALL || !mayHaveRun();
     }
 
     /** Until when a further attempt may start: engines drop a repeat of a keyed request only within its class's window. */
     double startDeadline() {
-        return spec.effect() != Effect.KEYED ? Double.POSITIVE_INFINITY : attempts.stream()
-                .filter(a -> a.outcome == null || !a.outcome.neverRan).mapToDouble(a -> a.createdAt + spec.repeatWindow())
+        return spec.idempotency() != Idempotency.KEYED ? Double.POSITIVE_INFINITY : attempts.stream()
+                .filter(a -> a.outcome == null || !a.outcome.neverRan).mapToDouble(a -> a.createdAt + spec.deduplicationWindow())
                 .min().orElse(Double.POSITIVE_INFINITY);
     }
 
--- a/frontend/src/main/java/quincespar/routing/PeerShares.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -21,8 +21,8 @@
     /** These settings are configured from now on. */
     void configure(RoutingSettings next) {
         if (shares != null && (next.decision().routers() != configured.decision().routers()
-                || next.decision().me() != configured.decision().me())) {
-            shares = new ShareTracker(next.decision().routers(), next.decision().me(), shares.growthDelayMs());
+                || next.decision().routerIndex() != configured.decision().routerIndex())) {
+            shares = new ShareTracker(next.decision().routers(), next.decision().routerIndex(), shares.growthDelayMs());
         }
         configured = next;
     }
@@ -35,7 +35,7 @@
     /** What is known of the fleet has changed. */
     void fleetChanged(double now, Input.FleetChanged change) {
         if (shares == null) {
-            shares = new ShareTracker(configured.decision().routers(), configured.decision().me(), change.shareHoldMs());
+            shares = new ShareTracker(configured.decision().routers(), configured.decision().routerIndex(), change.shareHoldMs());
         }
         view = change.view();
         instanceName = change.instanceName();
--- a/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
@@ -4,7 +4,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.fleet.FleetView;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.ClassTraits;
@@ -38,8 +38,8 @@
 
     /** What recovery needs to know of the classes in these settings. */
     static List<ClassTraits> terms(RoutingSettings settings) {
-        return settings.decision().classes().stream().map(c -> new ClassTraits(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(),
-                c.worth(), c.aim())).toList();
+        return settings.decision().classes().stream().map(c -> new ClassTraits(c.name(), c.idempotency() != Scheduler.Idempotency.UNSAFE, c.loadsTables(),
+                c.reward(), c.latencyTarget())).toList();
     }
 
     private boolean enabled() {
@@ -149,9 +149,9 @@
         if (waitMs <= 0) {
             return Double.NaN;
         }
-        Gateway.Limits limits = context.settings.decision().limits();
+        Scheduler.Limits limits = context.settings.decision().limits();
         double retryAfterMs = recovery.retryAfterMs(waitMs, query.txn());
-        return !limits.retryAfter() ? 0
+        return !limits.mayGiveRetryAfter() ? 0
                 : limits.maxRetryAfter() > 0 ? Math.min(retryAfterMs, limits.maxRetryAfter()) : retryAfterMs;
     }
 
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler;
 import quincespar.metrics.MetricsRecorder;
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.protocol.FleetEvent;
@@ -19,7 +19,7 @@
  */
 public final class Reducer {
     private final StepContext context;
-    private final Gateway gateway;
+    private final Scheduler gateway;
     private final EngineRegistry engines;
     private final Requests requests;
     private final Attempts attempts;
@@ -32,7 +32,7 @@
     private boolean tickScheduled;
 
     /** A reducer without recovery from power losses. */
-    public Reducer(RoutingSettings settings, Bounds bounds, Gateway gateway) {
+    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler gateway) {
         this(settings, bounds, gateway, null, false);
     }
 
@@ -42,7 +42,7 @@
      * @param recovery      null for none
      * @param persistsLoads whether loads are sent only once an entry of them is on disk
      */
-    public Reducer(RoutingSettings settings, Bounds bounds, Gateway gateway, Recovery recovery, boolean persistsLoads) {
+    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler gateway, Recovery recovery, boolean persistsLoads) {
         this.gateway = gateway;
         context = new StepContext(settings);
         this.recovery = new RecoveryCoordinator(context, recovery, persistsLoads);
@@ -228,19 +228,19 @@
     }
 
     private void perform(Action action) {
-        if (action instanceof Gateway.Send a) {
+        if (action instanceof Scheduler.SendAttempt a) {
             attempts.send(requests.get(a.id()), a);
-        } else if (action instanceof Gateway.Refuse a) {
-            attempts.refuse(requests.get(a.id()), a.comeBack());
-        } else if (action instanceof Gateway.Fail a) {
+        } else if (action instanceof Scheduler.RefuseRequest a) {
+            attempts.refuse(requests.get(a.id()), a.retryAfter());
+        } else if (action instanceof Scheduler.FailRequest a) {
             requests.answer(requests.get(a.id()), new Reply.Failed());
-        } else if (action instanceof Gateway.Cancel a) {
-            attempts.cancelByModule(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.why());
-        } else if (action instanceof Gateway.SetTimer a) {
+        } else if (action instanceof Scheduler.CancelAttempt a) {
+            attempts.cancelByModule(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.reason());
+        } else if (action instanceof Scheduler.SetTimer a) {
             context.startTimer(new TimerKey.Gateway(a.token(), context.nextId()), a.delay());
-        } else if (action instanceof Gateway.Probe a) {
+        } else if (action instanceof Scheduler.ProbeEngine a) {
             links.probe(engines.get(a.engine()));
-        } else if (!(action instanceof Gateway.Watch || action instanceof Gateway.Fetch)) {
+        } else if (!(action instanceof Scheduler.WatchEngineList || action instanceof Scheduler.FetchEngineList)) {
             // Watch and Fetch need nothing, as the change log is always followed; the protocol has no messages between front
             // ends and no terms of an attempt
             context.addEffect(new Effect.Log("ignored an action that the protocol does not support: " + action));
@@ -251,7 +251,7 @@
         if (key instanceof TimerKey.DecisionTick) {
             tickScheduled = false;
         } else if (key instanceof TimerKey.Gateway k) {
-            context.addEvent(new Gateway.Timer(k.token()));
+            context.addEvent(new Scheduler.TimerFired(k.token()));
         } else if (key instanceof TimerKey.AttemptTimeout k) {
             attempts.timedOut(requests.attempt(k.key()));
         } else if (key instanceof TimerKey.StartDeadline k) {
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.metrics.MetricsRecorder;
 
 /** Open requests, from their arrival until they are answered and none of their attempts is open, and their callers. */
@@ -87,7 +87,7 @@
     /** Tells the decision module, if it has been told of the request, that no answer is needed any more. */
     private void tellModuleClosed(OpenRequest request) {
         if (!request.awaitingDisk) {
-            context.addEvent(new Gateway.Left(request.id));
+            context.addEvent(new Scheduler.ClientLeft(request.id));
         }
     }
 
@@ -174,9 +174,9 @@
 
     private void tellModule(OpenRequest request) {
         Query query = request.query;
-        context.addEvent(new Gateway.Request(request.id, query.classNumber(), query.tenantNumber(),
+        context.addEvent(new Scheduler.Request(request.id, query.classNumber(), query.tenantNumber(),
                 Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), 0, query.retry(),
-                request.spec.loads()));
+                request.spec.loadsTables()));
     }
 
     /** The recovery entry of a request has been written, or could not be: the decision module may send the request now. */
--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.decision.SettingsParser;
 
 /**
@@ -20,7 +20,7 @@
  * @param classNumbers      the numbers of the classes that a request may name; the module's list may hold dropped ones too
  * @param tenantNumbers     the numbers of the tenants that a request may name, likewise
  */
-public record RoutingSettings(Gateway.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs,
+public record RoutingSettings(Scheduler.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs,
         int maxStreamsPerLink, Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
     private static final double DEFAULT_LINK_IDLE_MS = 15_000;
     private static final int DEFAULT_MAX_STREAMS = 100;
@@ -33,12 +33,12 @@
      */
     public static RoutingSettings of(Map<String, String> pairs) {
         SettingsParser parser = new SettingsParser(pairs);
-        Gateway.Settings decision = parser.settings().withoutPeerMessages();
+        Scheduler.Settings decision = parser.settings().withoutPeerMessages();
         return new RoutingSettings(decision, parser.names("localities"), parser.names("kinds"),
                 positiveOr(parser.number("limits.connIdle", DEFAULT_LINK_IDLE_MS), DEFAULT_LINK_IDLE_MS),
                 (int) positiveOr(parser.number("limits.maxStreams", DEFAULT_MAX_STREAMS), DEFAULT_MAX_STREAMS),
-                indexByName(decision.classes(), Gateway.ClassSpec::name),
-                indexByName(decision.tenants(), Gateway.Tenant::name));
+                indexByName(decision.classes(), Scheduler.ClassSpec::name),
+                indexByName(decision.tenants(), Scheduler.Tenant::name));
     }
 
     private static <T> Map<String, Integer> indexByName(List<T> items, Function<T, String> name) {
@@ -54,11 +54,11 @@
      * appended, and what was dropped keeps its number and its last settings, for the requests that are still open.
      */
     public RoutingSettings keepingNumbersOf(RoutingSettings previous) {
-        List<Gateway.ClassSpec> mergedClasses = merge(previous.decision.classes(), decision.classes(), Gateway.ClassSpec::name);
-        List<Gateway.Tenant> mergedTenants = merge(previous.decision.tenants(), decision.tenants(), Gateway.Tenant::name);
-        Map<String, Integer> usableClasses = new HashMap<>(indexByName(mergedClasses, Gateway.ClassSpec::name));
+        List<Scheduler.ClassSpec> mergedClasses = merge(previous.decision.classes(), decision.classes(), Scheduler.ClassSpec::name);
+        List<Scheduler.Tenant> mergedTenants = merge(previous.decision.tenants(), decision.tenants(), Scheduler.Tenant::name);
+        Map<String, Integer> usableClasses = new HashMap<>(indexByName(mergedClasses, Scheduler.ClassSpec::name));
         usableClasses.keySet().retainAll(classNumbers.keySet());
-        Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Gateway.Tenant::name));
+        Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Scheduler.Tenant::name));
         usableTenants.keySet().retainAll(tenantNumbers.keySet());
         return new RoutingSettings(decision.withClassesAndTenants(mergedClasses, mergedTenants), zones, kinds, linkIdleMs, maxStreamsPerLink,
                 Map.copyOf(usableClasses), Map.copyOf(usableTenants));
@@ -66,7 +66,7 @@
 
     /** These settings for the front end at place {@code index} among {@code count}. */
     RoutingSettings sharedAmong(int count, int index) {
-        Gateway.Settings shared = decision.withRouter(count, index);
+        Scheduler.Settings shared = decision.withRouter(count, index);
         return shared == decision ? this
                 : new RoutingSettings(shared, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
     }
@@ -93,7 +93,7 @@
 
     /** The names of all classes by number, dropped ones too. */
     public List<String> classNames() {
-        return decision.classes().stream().map(Gateway.ClassSpec::name).toList();
+        return decision.classes().stream().map(Scheduler.ClassSpec::name).toList();
     }
 
     private static double positiveOr(double value, double fallback) {
--- a/frontend/src/main/java/quincespar/routing/StepContext.java
+++ b/frontend/src/main/java/quincespar/routing/StepContext.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import quincespar.decision.Gateway.Event;
+import quincespar.decision.Scheduler.Event;
 
 /**
  * What all parts of the reducer's state share: the time of the step, the settings in force, and the effects and events that
--- a/frontend/src/main/java/quincespar/simulator/ReplyWriter.java
+++ b/frontend/src/main/java/quincespar/simulator/ReplyWriter.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /** Builds a reply: a length prefix and the records of the actions, packed little-endian. */
 final class ReplyWriter {
@@ -71,39 +71,39 @@
     }
 
     /** Adds the record of an action of an instance. */
-    void action(int instance, Gateway.Action action) {
-        if (action instanceof Gateway.Send a) {
+    void action(int instance, Scheduler.Action action) {
+        if (action instanceof Scheduler.SendAttempt a) {
             beginRequestRecord(SEND, 14, instance, a.id());
             number(a.engine(), 6);
             f64(a.timeout());
-        } else if (action instanceof Gateway.Refuse a) {
+        } else if (action instanceof Scheduler.RefuseRequest a) {
             beginRequestRecord(REFUSE, 8, instance, a.id());
-            f64(a.comeBack());
-        } else if (action instanceof Gateway.Fail a) {
+            f64(a.retryAfter());
+        } else if (action instanceof Scheduler.FailRequest a) {
             beginRequestRecord(FAIL, 0, instance, a.id());
-        } else if (action instanceof Gateway.Cancel a) {
+        } else if (action instanceof Scheduler.CancelAttempt a) {
             beginRequestRecord(CANCEL, 2, instance, a.id());
             number(a.attempt(), 2);
-        } else if (action instanceof Gateway.SetTimer a) {
+        } else if (action instanceof Scheduler.SetTimer a) {
             beginRecord(SET_TIMER, 14, instance);
             number(a.token(), 4);
             f64(a.delay());
-        } else if (action instanceof Gateway.Probe a) {
+        } else if (action instanceof Scheduler.ProbeEngine a) {
             beginRecord(PROBE, 8, instance);
             number(a.engine(), 6);
-        } else if (action instanceof Gateway.Tell a) {
-            beginRecord(TELL, 6 + a.text().length, instance);
+        } else if (action instanceof Scheduler.TellPeers a) {
+            beginRecord(TELL, 6 + a.payload().length, instance);
             number(a.to() < 0 ? ALL_INSTANCES : a.to(), 2);
-            text(a.text());
-        } else if (action instanceof Gateway.Watch a) {
+            text(a.payload());
+        } else if (action instanceof Scheduler.WatchEngineList a) {
             beginRecord(WATCH, 3, instance);
-            u8(a.on() ? 1 : 0);
-        } else if (action instanceof Gateway.Fetch) {
+            u8(a.enabled() ? 1 : 0);
+        } else if (action instanceof Scheduler.FetchEngineList) {
             beginRecord(FETCH, 2, instance);
-        } else if (action instanceof Gateway.Terms a) {
+        } else if (action instanceof Scheduler.SetTerms a) {
             beginRequestRecord(TERMS, 5, instance, a.id());
             u8(a.priority());
-            number(Float.floatToIntBits((float) a.memory()), 4);
+            number(Float.floatToIntBits((float) a.memoryGrant()), 4);
         }
     }
 
--- a/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.decision.SettingsParser;
 
 /**
@@ -34,28 +34,28 @@
     private static final int ENGINES_LISTED = 120;
 
     /** Outcomes of attempts by status code. */
-    private static final Gateway.Outcome[] OUTCOMES_BY_CODE = new Gateway.Outcome[15];
+    private static final Scheduler.Outcome[] OUTCOMES_BY_CODE = new Scheduler.Outcome[15];
 
     static {
-        OUTCOMES_BY_CODE[0] = Gateway.Outcome.OK;
-        OUTCOMES_BY_CODE[13] = Gateway.Outcome.ERROR;
-        OUTCOMES_BY_CODE[8] = Gateway.Outcome.FULL;
-        OUTCOMES_BY_CODE[4] = Gateway.Outcome.TIMEOUT;
-        OUTCOMES_BY_CODE[14] = Gateway.Outcome.CONNECT_FAILED;
-        OUTCOMES_BY_CODE[10] = Gateway.Outcome.RESET;
-        OUTCOMES_BY_CODE[1] = Gateway.Outcome.CANCELLED;
-        OUTCOMES_BY_CODE[9] = Gateway.Outcome.MOOT;
+        OUTCOMES_BY_CODE[0] = Scheduler.Outcome.OK;
+        OUTCOMES_BY_CODE[13] = Scheduler.Outcome.ERROR;
+        OUTCOMES_BY_CODE[8] = Scheduler.Outcome.FULL;
+        OUTCOMES_BY_CODE[4] = Scheduler.Outcome.TIMEOUT;
+        OUTCOMES_BY_CODE[14] = Scheduler.Outcome.CONNECT_FAILED;
+        OUTCOMES_BY_CODE[10] = Scheduler.Outcome.RESET;
+        OUTCOMES_BY_CODE[1] = Scheduler.Outcome.CANCELLED;
+        OUTCOMES_BY_CODE[9] = Scheduler.Outcome.MOOT;
     }
 
     /** Creates the decision module of an instance. */
     public interface GatewayFactory {
-        Gateway create(Gateway.Settings settings, long seed);
+        Scheduler create(Scheduler.Settings settings, long seed);
     }
 
     private final GatewayFactory gatewayFactory;
-    private final Map<Integer, Gateway> instances = new TreeMap<>();
-    private final Map<Integer, List<Gateway.Engine>> engineLists = new TreeMap<>();
-    private Map<Integer, List<Gateway.Event>> pendingEvents = new LinkedHashMap<>();
+    private final Map<Integer, Scheduler> instances = new TreeMap<>();
+    private final Map<Integer, List<Scheduler.Engine>> engineLists = new TreeMap<>();
+    private Map<Integer, List<Scheduler.Event>> pendingEvents = new LinkedHashMap<>();
 
     /** Creates a host of instances of {@link Brain}. */
     public SimulatorHost() {
@@ -116,18 +116,18 @@
                     + " after its last record");
         }
         ReplyWriter reply = new ReplyWriter();
-        for (Map.Entry<Integer, List<Gateway.Event>> e : pendingEvents.entrySet()) {
+        for (Map.Entry<Integer, List<Scheduler.Event>> e : pendingEvents.entrySet()) {
             answer(e.getKey(), e.getValue(), now, reply);
         }
         return reply.take();
     }
 
-    private void answer(int instance, List<Gateway.Event> events, double now, ReplyWriter reply) {
-        Gateway gateway = instances.get(instance);
+    private void answer(int instance, List<Scheduler.Event> events, double now, ReplyWriter reply) {
+        Scheduler gateway = instances.get(instance);
         if (gateway == null) {
             return;
         }
-        List<Gateway.Action> actions;
+        List<Scheduler.Action> actions;
         try {
             actions = gateway.decide(now, events);
         } catch (RuntimeException e) {
@@ -135,7 +135,7 @@
             reply.fault(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
             return;
         }
-        for (Gateway.Action a : actions) {
+        for (Scheduler.Action a : actions) {
             reply.action(instance, a);
         }
     }
@@ -172,9 +172,9 @@
         pendingEvents.put(instance, new ArrayList<>());
     }
 
-    private static List<Gateway.Engine> engineList(RecordReader reader) {
+    private static List<Scheduler.Engine> engineList(RecordReader reader) {
         long n = reader.u32();
-        List<Gateway.Engine> out = new ArrayList<>();
+        List<Scheduler.Engine> out = new ArrayList<>();
         for (long i = 0; i < n; i++) {
             long id = reader.engine();
             int zone = reader.u8();
@@ -183,36 +183,36 @@
             int stateCode = reader.u8();
             double weight = reader.f32();
             double startedAt = reader.f64();
-            Gateway.EngineState state = switch (stateCode) {
-                case 2 -> Gateway.EngineState.READY;
-                case 1 -> Gateway.EngineState.GONE;
-                default -> Gateway.EngineState.DRAINING;
+            Scheduler.EngineState state = switch (stateCode) {
+                case 2 -> Scheduler.EngineState.READY;
+                case 1 -> Scheduler.EngineState.GONE;
+                default -> Scheduler.EngineState.DRAINING;
             };
-            out.add(new Gateway.Engine(id, zone, kind, cell, state, weight, startedAt));
+            out.add(new Scheduler.Engine(id, zone, kind, cell, state, weight, startedAt));
         }
         return out;
     }
 
-    private Gateway.Event event(int code, RecordReader reader) {
+    private Scheduler.Event event(int code, RecordReader reader) {
         return switch (code) {
-            case PEER_MESSAGE -> new Gateway.Told(reader.u32(), reader.raw(reader.u16()));
-            case REQUEST_LEFT -> new Gateway.Left(reader.u64());
+            case PEER_MESSAGE -> new Scheduler.PeerMessage(reader.u32(), reader.raw(reader.u16()));
+            case REQUEST_LEFT -> new Scheduler.ClientLeft(reader.u64());
             case REQUEST -> request(reader);
             case ATTEMPT_STARTED -> started(reader);
             case ATTEMPT_NOTE -> note(reader);
-            case TIMER -> new Gateway.Timer(reader.i32());
+            case TIMER -> new Scheduler.TimerFired(reader.i32());
             case ATTEMPT_ENDED -> ended(reader);
             case ENGINE_PROBED -> {
                 long engine = reader.engine();
                 boolean ok = reader.u16() == 0;
                 double latency = reader.f64();
-                yield new Gateway.Probed(engine, ok, latency, load(reader));
+                yield new Scheduler.ProbeResult(engine, ok, latency, load(reader));
             }
             default -> listed(reader);
         };
     }
 
-    private static Gateway.Event request(RecordReader reader) {
+    private static Scheduler.Event request(RecordReader reader) {
         long id = reader.u64();
         int tenant = reader.i32();
         double tables = reader.f32();
@@ -223,30 +223,30 @@
         int requestClass = reader.u8();
         double patience = reader.f64();
         double work = (flags & 1) != 0 ? workEstimate : Double.NaN;
-        return new Gateway.Request(id, requestClass, tenant, patience, work, memory, tables, key, (flags & 2) != 0,
+        return new Scheduler.Request(id, requestClass, tenant, patience, work, memory, tables, key, (flags & 2) != 0,
                 (flags & 4) != 0);
     }
 
-    private static Gateway.Event started(RecordReader reader) {
+    private static Scheduler.Event started(RecordReader reader) {
         long id = reader.u64();
         double latency = reader.f64();
         long engine = reader.engine();
-        return new Gateway.Started(id, reader.u16(), engine, latency);
+        return new Scheduler.AnswerStarted(id, reader.u16(), engine, latency);
     }
 
-    private static Gateway.Event note(RecordReader reader) {
+    private static Scheduler.Event note(RecordReader reader) {
         long id = reader.u64();
         int attempt = reader.u16();
         long engine = reader.engine();
-        Gateway.NoteKind kind = switch (reader.u8()) {
-            case 1 -> Gateway.NoteKind.PROGRESS;
-            case 2 -> Gateway.NoteKind.SPILL;
-            default -> Gateway.NoteKind.WAIT;
+        Scheduler.NoteKind kind = switch (reader.u8()) {
+            case 1 -> Scheduler.NoteKind.PROGRESS;
+            case 2 -> Scheduler.NoteKind.SPILL;
+            default -> Scheduler.NoteKind.WAIT;
         };
-        return new Gateway.Note(id, attempt, engine, kind, reader.f32());
+        return new Scheduler.AttemptNote(id, attempt, engine, kind, reader.f32());
     }
 
-    private static Gateway.Event ended(RecordReader reader) {
+    private static Scheduler.Event ended(RecordReader reader) {
         long id = reader.u64();
         int attempt = reader.u16();
         long engine = reader.engine();
@@ -254,9 +254,9 @@
         double latency = reader.f64();
         boolean over = reader.u8() != 0;
         long stats = reader.u32();
-        Gateway.Outcome known = code < OUTCOMES_BY_CODE.length ? OUTCOMES_BY_CODE[code] : null;
-        boolean hasStats = known == Gateway.Outcome.OK && stats != 0;
-        return new Gateway.Ended(id, attempt, engine, known == null ? Gateway.Outcome.ERROR : known, latency, over,
+        Scheduler.Outcome known = code < OUTCOMES_BY_CODE.length ? OUTCOMES_BY_CODE[code] : null;
+        boolean hasStats = known == Scheduler.Outcome.OK && stats != 0;
+        return new Scheduler.AttemptEnded(id, attempt, engine, known == null ? Scheduler.Outcome.ERROR : known, latency, over,
                 hasStats ? (double) (stats >>> 12) : Double.NaN, hasStats ? 4.0 * (stats & 4095) : Double.NaN, load(reader));
     }
 
@@ -269,20 +269,20 @@
         return out;
     }
 
-    private Gateway.Event listed(RecordReader reader) {
+    private Scheduler.Event listed(RecordReader reader) {
         int kindCode = reader.u8();
         long version = reader.u64();
         int listNumber = reader.u16();
-        Gateway.ListKind kind = switch (kindCode) {
-            case 0 -> Gateway.ListKind.DELTA;
-            case 1 -> Gateway.ListKind.FULL;
-            case 2 -> Gateway.ListKind.CACHED;
-            default -> Gateway.ListKind.FAILED;
+        Scheduler.ListKind kind = switch (kindCode) {
+            case 0 -> Scheduler.ListKind.DELTA;
+            case 1 -> Scheduler.ListKind.FULL;
+            case 2 -> Scheduler.ListKind.CACHED;
+            default -> Scheduler.ListKind.FAILED;
         };
-        List<Gateway.Engine> engines = kind == Gateway.ListKind.FAILED ? List.of() : engineLists.get(listNumber);
+        List<Scheduler.Engine> engines = kind == Scheduler.ListKind.FAILED ? List.of() : engineLists.get(listNumber);
         if (engines == null) {
             throw new SimulatorProtocolException("TOPOLOGY refers to list " + listNumber + ", which has not been sent");
         }
-        return new Gateway.Listed(kind, version, engines);
+        return new Scheduler.EngineList(kind, version, engines);
     }
 }
--- a/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
@@ -26,7 +26,7 @@
 import quincespar.capture.Entry;
 import quincespar.capture.Replay;
 import quincespar.capture.SegmentName;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.program.captures.CaptureFolder;
 import quincespar.settings.ConfReader;
 import quincespar.settings.Settings;
@@ -112,8 +112,8 @@
         CaptureReader all = new CaptureReader(new CaptureFolder(captures));
         all.forEachEntry(all.segmentNames(), (name, e) -> {
             if (e instanceof Entry.Call c) {
-                c.actions().stream().filter(Gateway.Send.class::isInstance).findFirst()
-                        .ifPresent(a -> id[0] = ((Gateway.Send) a).id());
+                c.actions().stream().filter(Scheduler.SendAttempt.class::isInstance).findFirst()
+                        .ifPresent(a -> id[0] = ((Scheduler.SendAttempt) a).id());
             }
             return id[0] == 0;
         });
@@ -176,7 +176,7 @@
         live(6);
         Path jar = folder.resolve("other.jar"); // of the classes here: another build of the same module
         try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar))) {
-            for (Class<?> part : List.of(Main.class, Replay.class, Gateway.class, quincespar.records.RecordCodec.class,
+            for (Class<?> part : List.of(Main.class, Replay.class, Scheduler.class, quincespar.records.RecordCodec.class,
                     quincespar.fleet.FleetView.class, picocli.CommandLine.class,
                     com.fasterxml.jackson.dataformat.cbor.CBORFactory.class, com.fasterxml.jackson.core.JsonFactory.class,
                     org.objenesis.Objenesis.class, org.slf4j.Logger.class, ch.qos.logback.classic.Logger.class,
--- a/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
+++ b/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.fleet.FleetView;
 import quincespar.fleet.Instance;
 import quincespar.fleet.Participation;
@@ -19,10 +19,10 @@
 class PeerSharesTest {
     private static final double HOLD = 10_000;
 
-    private final List<Gateway.Configured> told = new ArrayList<>();
+    private final List<Scheduler.SettingsChanged> told = new ArrayList<>();
     private final Reducer reducer = new Reducer(SimulatedRouter.site(3, new Spec("a", "safe")), new Bounds(100, 1000, 2000, 2500, 8,
             8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (now, events) -> {
-                events.stream().filter(Gateway.Configured.class::isInstance).map(Gateway.Configured.class::cast)
+                events.stream().filter(Scheduler.SettingsChanged.class::isInstance).map(Scheduler.SettingsChanged.class::cast)
                         .forEach(told::add);
                 return List.of();
             });
@@ -53,7 +53,7 @@
         reducer.start(now, "127.0.0.1:1", List.of());
         news(true, "a", "b", "c");
         assertThat(routers()).isEqualTo(3);
-        assertThat(told.get(0).settings().me()).isEqualTo(1);
+        assertThat(told.get(0).settings().routerIndex()).isEqualTo(1);
         news(true, "a", "b", "c");
         assertThat(told).hasSize(1); // no news to the module
         news(true, "b", "c");
@@ -62,7 +62,7 @@
         now += HOLD;
         step(new Input.TimerFired(new TimerKey.ShareGrowth()));
         assertThat(routers()).isEqualTo(2);
-        assertThat(told.get(told.size() - 1).settings().me()).isZero();
+        assertThat(told.get(told.size() - 1).settings().routerIndex()).isZero();
         step(new Input.ReloadRequested());
         long serial = last.stream().filter(Effect.ReloadConfiguration.class::isInstance).mapToLong(e -> ((Effect.ReloadConfiguration) e).reloadId())
                 .findFirst().orElseThrow();
