--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.membership.PollFailure;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
@@ -21,8 +21,8 @@
 class ReducerTest {
     private static final Caller CALLER = new Caller(1, 1);
 
-    private final List<Gateway.Event> told = new ArrayList<>();
-    private final List<Gateway.Action> plan = new ArrayList<>();
+    private final List<Scheduler.Event> told = new ArrayList<>();
+    private final List<Scheduler.Action> plan = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
     private final Map<String, String> pairs = new HashMap<>();
     private Reducer reducer;
@@ -39,7 +39,7 @@
         reducer = new Reducer(RoutingSettings.of(pairs), new Bounds(3, 5, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, events) -> {
             decisions++;
             told.addAll(events);
-            List<Gateway.Action> out = List.copyOf(plan);
+            List<Scheduler.Action> out = List.copyOf(plan);
             plan.clear();
             return out;
         });
@@ -70,12 +70,12 @@
     }
 
     private long engine(int i) {
-        return of(Gateway.Listed.class, told).get(0).engines().get(i).id();
+        return of(Scheduler.EngineList.class, told).get(0).engines().get(i).id();
     }
 
     /** Has a request of a class taken and sent to an engine, over a link that is up. */
     private Effect.Send sent(int cls) {
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(requestNumber(), engine(0), 0));
         step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", cls, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         if (of(Effect.Send.class, effects).isEmpty()) {
             step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
@@ -88,7 +88,7 @@
     }
 
     private Outcome outcome() {
-        List<Gateway.Ended> ends = of(Gateway.Ended.class, told);
+        List<Scheduler.AttemptEnded> ends = of(Scheduler.AttemptEnded.class, told);
         return ends.isEmpty() ? null : ends.get(ends.size() - 1).outcome();
     }
 
@@ -128,7 +128,7 @@
         assertThat(end.delayMs()).isEqualTo(1000);
         step(new Input.RequestReceived(new Caller(1, 2), new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]),
                 now + 10));
-        assertThat(of(Gateway.Request.class, told).get(1).patience()).isLessThan(1000); // the module knows of it
+        assertThat(of(Scheduler.Request.class, told).get(1).clientTimeout()).isLessThan(1000); // the module knows of it
         step(new Input.TimerFired(end.key()));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
     }
@@ -157,8 +157,8 @@
         begun(s);
         step(new Input.LinkDown(s.link(), "reset"));
         assertThat(outcome()).isEqualTo(Outcome.RESET);
-        plan.add(new Gateway.Send(requestNumber(), engine(1), 0));
-        plan.add(new Gateway.Refuse(requestNumber(), 0));
+        plan.add(new Scheduler.SendAttempt(requestNumber(), engine(1), 0));
+        plan.add(new Scheduler.RefuseRequest(requestNumber(), 0));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.Send.class, effects)).hasSize(1); // a load is never sent twice,
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class); // nor refused
@@ -174,7 +174,7 @@
                 .doesNotContainKeys("a.refused", "b.sent");
         step(new Input.RequestReceived(new Caller(CALLER.connection(), 2),
                 new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        plan.add(new Gateway.Send(of(Gateway.Request.class, told).get(1).id(), engine(1), 0));
+        plan.add(new Scheduler.SendAttempt(of(Scheduler.Request.class, told).get(1).id(), engine(1), 0));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         step(new Input.LinkDown(last(Effect.OpenLink.class).link(), "refused"));
         assertThat(reducer.engineCounters()).containsEntry("b.refused", 1L).containsEntry("b.connect_failed", 1L)
@@ -192,7 +192,7 @@
     void aCancelledAttemptEndsOnlyWhenItsCancelIsWritten() {
         Effect.Send s = sent(0);
         begun(s);
-        plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
+        plan.add(new Scheduler.CancelAttempt(requestNumber(), 0, Scheduler.CancelReason.SLOW_PROGRESS));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.Cancel.class, effects)).hasSize(1);
         assertThat(outcome()).isNull();
@@ -204,9 +204,9 @@
     void aRetryOnTheSameEngineFollowsItsCancelOnTheSameLink() {
         Effect.Send s = sent(0);
         begun(s);
-        plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
+        plan.add(new Scheduler.CancelAttempt(requestNumber(), 0, Scheduler.CancelReason.SLOW_PROGRESS));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(requestNumber(), engine(0), 0));
         step(new Input.CancelWritten(s.key()));
         assertThat(last(Effect.Send.class).key().attempt()).isEqualTo(1);
         assertThat(last(Effect.Send.class).link()).isEqualTo(s.link());
@@ -222,7 +222,7 @@
 
     @Test
     void aConnectIsGivenUpWithItsEngineOrInTime() {
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(requestNumber(), engine(0), 0));
         step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         long link = last(Effect.OpenLink.class).link();
         step(new Input.TimerFired(new TimerKey.ConnectTimeout(link)));
@@ -246,7 +246,7 @@
     void lateBytesOfAnEndedAttemptAreDropped() {
         Effect.Send s = sent(0);
         begun(s);
-        plan.add(new Gateway.Refuse(requestNumber(), 0));
+        plan.add(new Scheduler.RefuseRequest(requestNumber(), 0));
         step(new Input.TimerFired(new TimerKey.AttemptTimeout(s.key())));
         step(new Input.CancelWritten(s.key()));
         step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
@@ -259,7 +259,7 @@
         step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         step(new Input.TimerFired(new TimerKey.RequestDeadline(requestNumber())));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
-        assertThat(of(Gateway.Left.class, told)).hasSize(1);
+        assertThat(of(Scheduler.ClientLeft.class, told)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
@@ -267,7 +267,7 @@
     void clientsThatLeaveAreToldToTheModule() {
         sent(0);
         step(new Input.CallerDisconnected(CALLER.connection()));
-        assertThat(of(Gateway.Left.class, told)).hasSize(1);
+        assertThat(of(Scheduler.ClientLeft.class, told)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
@@ -282,7 +282,7 @@
         assertThat(decisions).isEqualTo(before + 1);
         effects.addAll(reducer.step(now + 15, List.of(new Input.TimerFired(new TimerKey.DecisionTick()))));
         assertThat(decisions).isEqualTo(before + 2);
-        assertThat(of(Gateway.Request.class, told)).hasSize(3);
+        assertThat(of(Scheduler.Request.class, told)).hasSize(3);
     }
 
     private FleetEvent started(long seq, String id, double at) {
@@ -295,11 +295,11 @@
         now += 4_000_000;
         told.clear();
         step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", now + step))));
-        double startedAt = last(Gateway.Listed.class, told).engines().get(0).startedAt();
+        double startedAt = last(Scheduler.EngineList.class, told).engines().get(0).startedAt();
         assertThat(startedAt).isEqualTo(now);
         step(new Input.ChangesReceived(3, 3, List.of(fleet(3, Phase.DRAINING, "a"))));
         step(new Input.ChangesReceived(5, 4, List.of(started(4, "c", now - 30 + step))));
-        assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).as("another start").isEqualTo(now);
+        assertThat(last(Scheduler.EngineList.class, told).engines().get(0).startedAt()).as("another start").isEqualTo(now);
     }
 
     @Test
@@ -307,7 +307,7 @@
         now += 4_000_000;
         double at = now - 2000;
         step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", at))));
-        assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).isEqualTo(at);
+        assertThat(last(Scheduler.EngineList.class, told).engines().get(0).startedAt()).isEqualTo(at);
     }
 
     @Test
@@ -431,11 +431,11 @@
         Effect.Send spoilt = sent(0);
         begun(spoilt);
         step(new Input.EngineMessageReceived(spoilt.link(), new EngineMessage.Malformed(spoilt.txn(), "no sense")));
-        plan.add(new Gateway.Send(load("c"), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(load("c"), engine(0), 0));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         Effect.Send load = last(Effect.Send.class);
-        plan.add(new Gateway.Send(load("b"), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(load("b"), engine(0), 0));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(3);
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
@@ -447,7 +447,7 @@
     @Test
     void whatMayNotRunTwiceSharesALinkWhileNoAnswerHasComeSpoilt() {
         Effect.Send first = sent(1);
-        plan.add(new Gateway.Send(load("b"), engine(0), 0));
+        plan.add(new Scheduler.SendAttempt(load("b"), engine(0), 0));
         step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
         assertThat(last(Effect.Send.class).link()).isEqualTo(first.link());
@@ -456,9 +456,9 @@
 
     /** Has a further load taken and tells its number. */
     private long load(String txn) {
-        step(new Input.RequestReceived(new Caller(1, 2 + of(Gateway.Request.class, told).size()),
+        step(new Input.RequestReceived(new Caller(1, 2 + of(Scheduler.Request.class, told).size()),
                 new Query(txn, 1, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        List<Gateway.Request> all = of(Gateway.Request.class, told);
+        List<Scheduler.Request> all = of(Scheduler.Request.class, told);
         return all.get(all.size() - 1).id();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
+++ b/frontend/src/test/java/quincespar/routing/SettingsChangeTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.routing.SimulatedRouter.Spec;
 
@@ -24,7 +24,7 @@
         assertThat(second.classNumbers()).isEqualTo(Map.of("b", 1, "c", 2));
         assertThat(second.classNames()).containsExactly("a", "b", "c");
         assertThat(second.droppedClasses()).containsExactly(0);
-        assertThat(second.decision().classes().get(1).effect()).isEqualTo(Gateway.Effect.UNSAFE);
+        assertThat(second.decision().classes().get(1).idempotency()).isEqualTo(Scheduler.Idempotency.UNSAFE);
         RoutingSettings third = SimulatedRouter.site(3, new Spec("a", "unsafe"), new Spec("c", "safe")).keepingNumbersOf(second);
         assertThat(third.classNumbers()).isEqualTo(Map.of("a", 0, "c", 2));
         assertThat(third.droppedClasses()).containsExactly(1);
@@ -36,9 +36,9 @@
         Map<String, String> pairs = new java.util.HashMap<>(Map.of("balancers", "3", "tick", "5", "limits.mayTell", "true",
                 "limits.cancelling", "true", "limits.maxAttempts", "3", "requestClasses.count", "1",
                 "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
-        Gateway.Limits limits = RoutingSettings.of(pairs).decision().limits();
-        assertThat(limits.tell()).isFalse();
-        assertThat(limits.cancel()).isTrue();
+        Scheduler.Limits limits = RoutingSettings.of(pairs).decision().limits();
+        assertThat(limits.mayTellPeers()).isFalse();
+        assertThat(limits.mayCancel()).isTrue();
         assertThat(limits.maxAttempts()).isEqualTo(3);
     }
 
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.Recovery;
@@ -36,7 +36,7 @@
     final Map<String, Integer> sends = new HashMap<>();
     final Map<String, Effect.Send> out = new LinkedHashMap<>();
     final List<Effect> all = new ArrayList<>();
-    final Map<Long, Gateway.Engine> told = new HashMap<>();
+    final Map<Long, Scheduler.Engine> told = new HashMap<>();
     final Reducer reducer;
     RoutingSettings site;
     double now = 1000;
@@ -58,11 +58,11 @@
     }
 
     /** A module, and what it was last told of each engine. */
-    private Gateway heard(Gateway module) {
-        return new Gateway() {
+    private Scheduler heard(Scheduler module) {
+        return new Scheduler() {
             @Override
-            public List<Gateway.Action> decide(double time, List<Gateway.Event> events) {
-                events.stream().filter(Gateway.Listed.class::isInstance).flatMap(e -> ((Gateway.Listed) e).engines().stream())
+            public List<Scheduler.Action> decide(double time, List<Scheduler.Event> events) {
+                events.stream().filter(Scheduler.EngineList.class::isInstance).flatMap(e -> ((Scheduler.EngineList) e).engines().stream())
                         .forEach(e -> told.put(e.id(), e));
                 return module.decide(time, events);
             }
@@ -124,7 +124,7 @@
     Caller ask(String cls) {
         Caller c = new Caller(1, ++asked);
         int number = site.classNumbers().get(cls);
-        effects.put(c, site.decision().classes().get(number).effect().name());
+        effects.put(c, site.decision().classes().get(number).idempotency().name());
         step(new Input.RequestReceived(c, new Query(String.format("%016x", asked), number, 0, 4000, false, 10, 0, 0, new byte[0]),
                 now));
         return c;
--- a/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -14,15 +14,15 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import org.junit.jupiter.api.Test;
 
 /** The simulator protocol: decoded and encoded sample frames, and truncated or invalid input. */
 class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
             + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
-    private final List<Gateway.Event> receivedEvents = new ArrayList<>();
-    private List<Gateway.Action> actions = List.of();
+    private final List<Scheduler.Event> receivedEvents = new ArrayList<>();
+    private List<Scheduler.Action> actions = List.of();
     private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
         receivedEvents.addAll(events);
         return actions;
@@ -59,18 +59,18 @@
     @Test
     void aRequestAndAnEngineListAreDecoded() {
         host.processBatch(join(provision(SETTINGS), LIST, REQUEST), 4, 1);
-        Gateway.Listed l = (Gateway.Listed) receivedEvents.get(0);
-        assertEquals(Gateway.ListKind.CACHED, l.kind());
+        Scheduler.EngineList l = (Scheduler.EngineList) receivedEvents.get(0);
+        assertEquals(Scheduler.ListKind.CACHED, l.kind());
         assertEquals(41, l.version());
         assertEquals(1.5, l.engines().get(0).weight());
         assertEquals(6100, l.engines().get(0).startedAt());
         assertEquals(1, l.engines().get(0).zone());
-        Gateway.Request r = (Gateway.Request) receivedEvents.get(1);
+        Scheduler.Request r = (Scheduler.Request) receivedEvents.get(1);
         assertEquals(0x0008b4fd5d3a91c4L, r.id());
-        assertEquals(12, r.work());
-        assertEquals(240, r.patience());
-        assertEquals(384, r.memory());
-        assertEquals(11, r.tables());
+        assertEquals(12, r.estimatedWork());
+        assertEquals(240, r.clientTimeout());
+        assertEquals(384, r.estimatedMemory());
+        assertEquals(11, r.tableGroup());
         assertEquals(0x91f03b7c55d20a64L, r.key());
     }
 
@@ -78,20 +78,20 @@
     void anOutcomeCarriesWorkAndMemory() {
         host.processBatch(join(provision(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
                 + "0000000000803240 01 60100100 02 0000e040 52b81e3f")), 4, 1);
-        Gateway.Ended e = (Gateway.Ended) receivedEvents.get(1);
-        assertEquals(Gateway.Outcome.OK, e.outcome());
+        Scheduler.AttemptEnded e = (Scheduler.AttemptEnded) receivedEvents.get(1);
+        assertEquals(Scheduler.Outcome.OK, e.outcome());
         assertEquals(18.5, e.latency());
-        assertTrue(e.over());
-        assertEquals(17, e.work());
-        assertEquals(0x60 * 4, e.memory());
-        assertEquals(7.0, e.load().get(0));
+        assertTrue(e.requestOver());
+        assertEquals(17, e.reportedWork());
+        assertEquals(0x60 * 4, e.reportedMemory());
+        assertEquals(7.0, e.engineReport().get(0));
     }
 
     @Test
     void actionsAreEncoded() {
         long engine = new RecordReader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
-        actions = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
-                new Gateway.Terms(0x0008b4fd5d3a91c4L, 2, 640));
+        actions = List.of(new Scheduler.SendAttempt(0x0008b4fd5d3a91c4L, engine, 80), new Scheduler.SetTimer(77, 500),
+                new Scheduler.SetTerms(0x0008b4fd5d3a91c4L, 2, 640));
         byte[] out = host.processBatch(join(provision(SETTINGS), LIST), 3, 1);
         assertArrayEquals(hex("44000000 0a 18000000 0300 c4913a5dfdb40800 0a124a07 1b5b 0000000000005440"
                 + "32 0e000000 0300 4d000000 0000000000407f40 82 0f000000 0300 c4913a5dfdb40800 02 00002044"), out);
@@ -108,7 +108,7 @@
     void unknownEventsAndExtraFieldsAreSkipped() {
         byte[] withExtraField = record(20, hex("0300 0100000000000000 ffff"));
         host.processBatch(join(provision(SETTINGS), record(77, new byte[9]), withExtraField), 3, 1);
-        assertEquals(List.of(new Gateway.Left(1)), receivedEvents);
+        assertEquals(List.of(new Scheduler.ClientLeft(1)), receivedEvents);
     }
 
     @Test
@@ -154,8 +154,8 @@
         assertTrue(receivedEvents.isEmpty());
         host.processBatch(join(provision(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
                 + "2a00000000000000 0000")), 5, 2);
-        assertEquals(1, ((Gateway.Listed) receivedEvents.get(0)).engines().size());
-        assertEquals(0, ((Gateway.Listed) receivedEvents.get(1)).engines().size());
+        assertEquals(1, ((Scheduler.EngineList) receivedEvents.get(0)).engines().size());
+        assertEquals(0, ((Scheduler.EngineList) receivedEvents.get(1)).engines().size());
     }
 
     @Test
