--- a/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
@@ -231,7 +231,7 @@
                     message(FrontCodec.read(f), at);
                 });
             } catch (MalformedException e) {
-                end(0, FrontCodec.INVALID_MESSAGE, e.getMessage());
+                end(0, FrontCodec.INVALID_MESSAGE_TYPE, e.getMessage());
             }
             begunAt = began ? at : begunAt;
         }
@@ -295,25 +295,25 @@
             } else if (m instanceof Message.Health) {
                 found.add(new Input.HealthRequested(caller));
             } else if (m instanceof Message.Invalid w) {
-                end(w.seqid(), w.type(), w.why());
+                end(w.seqid(), w.type(), w.reason());
             }
         }
 
         private void call(Caller caller, Message.Call c, double at) {
             if (c.seqid() <= last) { // numbers count up
-                end(c.seqid(), FrontCodec.INVALID_MESSAGE, "number " + c.seqid() + " was used before");
+                end(c.seqid(), FrontCodec.INVALID_MESSAGE_TYPE, "number " + c.seqid() + " was used before");
                 return;
             }
             Query query;
             try {
                 query = query(c);
             } catch (MalformedException e) {
-                end(c.seqid(), FrontCodec.INTERNAL, e.getMessage());
+                end(c.seqid(), FrontCodec.INTERNAL_ERROR, e.getMessage());
                 return;
             }
             last = c.seqid();
             if (open.size() >= MOST_OPEN) {
-                send(c.seqid(), FrontCodec.exception(c.seqid(), FrontCodec.INTERNAL, "too many open requests"));
+                send(c.seqid(), FrontCodec.exception(c.seqid(), FrontCodec.INTERNAL_ERROR, "too many open requests"));
                 return;
             }
             open.add(c.seqid());
--- a/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/FrontCodec.java
@@ -12,11 +12,35 @@
 /** The service {@code Front} in Thrift's strict binary protocol; {@link FrameDecoder} splits the frames. */
 public final class FrontCodec {
     /** Types of application exceptions. */
-    public static final int UNKNOWN_METHOD = 1, INVALID_MESSAGE = 2, INTERNAL = 6, PROTOCOL = 7;
+    public static final int UNKNOWN_METHOD = 1;
+    public static final int INVALID_MESSAGE_TYPE = 2;
+    public static final int INTERNAL_ERROR = 6;
+    public static final int PROTOCOL_ERROR = 7;
+
+    private static final int VERSION = 0x80010000;
+    private static final int VERSION_MASK = 0xffff0000;
+    private static final int MESSAGE_TYPE_MASK = 0xff;
+
+    /* Message types. */
+    private static final int CALL = 1;
+    private static final int REPLY = 2;
+    private static final int EXCEPTION = 3;
+    private static final int ONEWAY = 4;
+
+    /* Field types. */
+    private static final int STOP = 0;
+    private static final int BOOL = 2;
+    private static final int BYTE = 3;
+    private static final int DOUBLE = 4;
+    private static final int I16 = 6;
+    private static final int I32 = 8;
+    private static final int I64 = 10;
+    private static final int STRING = 11;
+    private static final int STRUCT = 12;
+    private static final int MAP = 13;
+    private static final int SET = 14;
+    private static final int LIST = 15;
 
-    private static final int VERSION = 0x80010000, CALL = 1, REPLY = 2, EXCEPTION = 3, ONEWAY = 4;
-    private static final int STOP = 0, BOOL = 2, BYTE = 3, DOUBLE = 4, I16 = 6, I32 = 8, I64 = 10, STRING = 11,
-            STRUCT = 12, MAP = 13, SET = 14, LIST = 15;
     private static final int MAX_NESTING_DEPTH = 8;
 
     private FrontCodec() { }
@@ -31,7 +55,7 @@
         int seqid;
         try {
             header = in.getInt();
-            if ((header & 0xffff0000) != VERSION) {
+            if ((header & VERSION_MASK) != VERSION) {
                 throw new MalformedException("not the strict binary protocol");
             }
             method = text(in);
@@ -39,9 +63,9 @@
         } catch (BufferUnderflowException e) {
             throw new MalformedException("a message that ends in its head");
         }
-        int type = header & 0xff;
+        int type = header & MESSAGE_TYPE_MASK;
         if (type != CALL && type != ONEWAY) {
-            return new Message.Invalid(seqid, INVALID_MESSAGE, "a message of type " + type);
+            return new Message.Invalid(seqid, INVALID_MESSAGE_TYPE, "a message of type " + type);
         }
         try {
             return switch (method) {
@@ -54,9 +78,9 @@
                 default -> new Message.Invalid(seqid, UNKNOWN_METHOD, "no method " + method);
             };
         } catch (BufferUnderflowException e) {
-            return new Message.Invalid(seqid, PROTOCOL, "the message ends too early");
+            return new Message.Invalid(seqid, PROTOCOL_ERROR, "the message ends too early");
         } catch (MalformedException e) {
-            return new Message.Invalid(seqid, PROTOCOL, e.getMessage());
+            return new Message.Invalid(seqid, PROTOCOL_ERROR, e.getMessage());
         }
     }
 
@@ -224,10 +248,10 @@
     }
 
     /** Encodes an application exception. */
-    public static byte[] exception(int seqid, int type, String why) {
+    public static byte[] exception(int seqid, int type, String reason) {
         FrameWriter out = new FrameWriter(EXCEPTION, "call", seqid);
         out.field(STRING, 1);
-        out.bytes(why.getBytes(StandardCharsets.UTF_8));
+        out.bytes(reason.getBytes(StandardCharsets.UTF_8));
         out.field(I32, 2);
         out.int32(type);
         return out.frame();
--- a/frontend/src/main/java/quincespar/protocol/thrift/Message.java
+++ b/frontend/src/main/java/quincespar/protocol/thrift/Message.java
@@ -17,5 +17,5 @@
     record Health(int seqid) implements Message { }
 
     /** A message that must be answered with an application exception of this type. */
-    record Invalid(int seqid, int type, String why) implements Message { }
+    record Invalid(int seqid, int type, String reason) implements Message { }
 }
--- a/frontend/src/main/java/quincespar/transport/Connection.java
+++ b/frontend/src/main/java/quincespar/transport/Connection.java
@@ -59,13 +59,13 @@
         }
 
         /** Writes as much as the channel takes; false if the frame was withdrawn. */
-        boolean write(SocketChannel to) throws IOException {
+        boolean write(SocketChannel channel) throws IOException {
             if (write == null) {
-                to.write(bytes);
+                channel.write(bytes);
                 return true;
             }
             return write.write(() -> {
-                to.write(bytes);
+                channel.write(bytes);
                 return bytes.position() > 0;
             });
         }
@@ -136,14 +136,14 @@
     }
 
     /** Begins to connect; the handler gets {@code opened} or {@code closed}. */
-    public void connect(InetSocketAddress address, Handler to) {
-        handler = to;
+    public void connect(InetSocketAddress address, Handler handler) {
+        this.handler = handler;
         loop.execute(() -> beginConnect(address));
     }
 
     /** Begins to connect, and closes the connection with {@link #CONNECT_TIMEOUT} if it is not established in time. */
-    public void connect(InetSocketAddress address, Handler to, long timeoutMs) {
-        handler = to;
+    public void connect(InetSocketAddress address, Handler handler, long timeoutMs) {
+        this.handler = handler;
         loop.execute(() -> {
             beginConnect(address);
             loop.after(timeoutMs, () -> {
@@ -155,8 +155,8 @@
     }
 
     /** Starts reading and writing an accepted connection. */
-    public void start(Handler to) {
-        handler = to;
+    public void start(Handler handler) {
+        this.handler = handler;
         loop.execute(() -> {
             try {
                 configureChannel();
@@ -254,7 +254,7 @@
                 loop.executeInLoop(this::shutDownOutput);
             }
         } catch (IOException e) {
-            closeByPeer("write: " + e.getMessage());
+            closeBecauseOfPeer("write: " + e.getMessage());
         } catch (OutOfMemoryError e) {
             close("writing: " + e.getMessage());
         }
@@ -295,7 +295,8 @@
         callbacks.forEach(Runnable::run);
     }
 
-    private void closeByPeer(String why) {
+    /** Closes the connection after the peer closed or reset it. */
+    private void closeBecauseOfPeer(String why) {
         synchronized (outbox) {
             endedByPeer |= phase != Phase.CLOSED;
             close(why);
@@ -454,11 +455,11 @@
             try {
                 n = channel.read(loop.buffer());
             } catch (IOException e) {
-                closeByPeer("read: " + e.getMessage());
+                closeBecauseOfPeer("read: " + e.getMessage());
                 return received;
             }
             if (n == END_OF_STREAM) {
-                closeByPeer("closed by the peer");
+                closeBecauseOfPeer("closed by the peer");
                 return received;
             }
             if (n == 0) {
