--- a/decision/src/main/java/quincespar/decision/SchedulerState.java
+++ b/decision/src/main/java/quincespar/decision/SchedulerState.java
@@ -179,6 +179,13 @@
 
     /** A queue: a kind's queries of like prospects, oldest first. */
     static final class QueryQueue {
+        /** Prospect of a query that can still be in time and is within its tenant's share. */
+        static final int IN_TIME = 0;
+        /** Prospect of a query that can still be in time, but is past its tenant's share. */
+        static final int OVER_SHARE = 1;
+        /** Prospect of a query that can only be late. */
+        static final int LATE = 2;
+
         final ClassStats stats;
         final int prospect;
         final TreeSet<Query> queries = new TreeSet<>(ByAge.OLDEST_FIRST);
