--- a/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
@@ -22,10 +22,10 @@
     private static final Map<String, List<Edit>> GUARDS = new LinkedHashMap<>();
 
     static {
-        GUARDS.put("incarnation", List.of(new Edit(STATE, "return i != null && i.incarnation() == incarnation && i.standing()"
-                + " != Standing.GONE ? i : null;", "return i;")));
-        GUARDS.put("old-folder", List.of(new Edit(STATE, "if (!against.isEmpty()) {", "if (false) {"),
-                new Edit(PARTICIPATION, "if (!against.isEmpty() && (phase", "if (false && (phase")));
+        GUARDS.put("incarnation", List.of(new Edit(STATE, "return found != null && found.incarnation() == incarnation"
+                + " && found.standing() != Standing.GONE ? found : null;", "return found;")));
+        GUARDS.put("old-folder", List.of(new Edit(STATE, "if (!rejection.isEmpty()) {", "if (false) {"),
+                new Edit(PARTICIPATION, "if (!rejection.isEmpty() && (phase", "if (false && (phase")));
         // what was never forced out of the system's memory is not there after a loss of power
         GUARDS.put("fsync", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "if (name != null) { return; } Path next = folder.resolve(name + NEXT);")));
--- a/fleet/src/main/java/quincespar/fleet/Agreement.java
+++ b/fleet/src/main/java/quincespar/fleet/Agreement.java
@@ -6,53 +6,54 @@
 import java.util.function.Consumer;
 
 /**
- * How commands come to be agreed: a library's part, found by {@link Provider}. No call waits; what takes time ends its stage,
- * and a stage that ends with an exception leaves open whether the command was agreed.
+ * Access to the replicated log, implemented by a consensus library that {@link Provider} opens. No call blocks unless it says
+ * so: a slow operation completes its stage later. A stage that completes exceptionally leaves open whether the command was
+ * committed.
  */
 public interface Agreement extends AutoCloseable {
 
-    /** Finds the library that is there at run time. */
+    /** Opens the consensus library; implementations are found by {@link java.util.ServiceLoader}. */
     interface Provider {
         /**
-         * For one instance; nothing is started for votes yet.
+         * Opens the library for one instance, as a client; it votes only after {@link #startVoting}.
          *
-         * @param applied hears of each newer state that this instance's own voter has applied, on a thread of the library
+         * @param applied receives each newer state that this instance's own replica has applied, on a thread of the library
          */
-        Agreement open(FleetConfig plan, String self, Consumer<Snapshot> applied) throws IOException;
+        Agreement open(FleetConfig config, String self, Consumer<Snapshot> applied) throws IOException;
     }
 
     /**
-     * What the library knows of itself.
+     * The library's current status.
      *
-     * @param voting whether this instance takes part in votes now
-     * @param leader the leader's name as known here, empty where none is known
-     * @param term of the votes, as known here; 0 where this instance does not vote
-     * @param applied the number of the last command that this instance's voter has applied
+     * @param voting whether this instance is an active voter
+     * @param leader the name of the leader that this instance knows of, empty if it knows of none
+     * @param term the current election term; 0 if this instance does not vote
+     * @param applied the index of the last log entry that this instance's replica has applied
      */
     record Status(boolean voting, String leader, long term, long applied) { }
 
-    /** Has a command agreed; its {@link Result} as bytes. */
+    /** Submits an encoded command to the log; the stage completes with the encoded {@link Result}. */
     CompletionStage<byte[]> submit(byte[] command);
 
-    /** The agreed {@link Snapshot} as bytes: one that holds all that was agreed before this call. */
+    /** Reads the encoded {@link Snapshot} linearizably: it includes everything that was committed before this call. */
     CompletionStage<byte[]> readLinearizable();
 
-    /** The {@link Snapshot} that one voter has, which may be old, as bytes. */
+    /** Reads the encoded {@link Snapshot} of one voter's replica, which may be stale. */
     CompletionStage<byte[]> readStale(String voter);
 
-    /** Takes part in votes from now on, with a log and snapshots below {@code folder}. */
+    /** Starts to vote, with the log and its snapshots below {@code folder}; may wait for the disk. */
     void startVoting(Path folder) throws IOException;
 
-    /** Takes part in votes no more. */
+    /** Stops voting. */
     void stopVoting();
 
-    /** What is agreed is put into a snapshot, and the log before it goes, as far as that is possible now; waits for it. */
+    /** Takes a snapshot of the applied state and truncates the log before it, as far as that is possible; blocks until done. */
     void compactLog() throws IOException;
 
-    /** This instance is about to end: where it leads, another is to lead before that. */
+    /** Transfers leadership to another voter if this instance leads; called before it shuts down. */
     void transferLeadership();
 
-    /** What is known now. */
+    /** The current status. */
     Status status();
 
     @Override
--- a/fleet/src/main/java/quincespar/fleet/Command.java
+++ b/fleet/src/main/java/quincespar/fleet/Command.java
@@ -1,45 +1,45 @@
 package quincespar.fleet;
 
-/** What is agreed on, in one order for all. Time enters as an argument only. */
+/** A command of the replicated log; all replicas apply the same commands in the same order. Time is always an argument. */
 public sealed interface Command {
 
     /**
-     * Agreed time goes on. The leader alone says so, from a clock that can't be set; what a slow or an earlier leader says
-     * later moves nothing back.
+     * Advances the agreed time. Only the leader submits it, from a monotonic clock; an earlier time, as from a slow or a former
+     * leader, has no effect.
      *
-     * @param time milliseconds of agreed time
-     * @param suspectMs a session that has not been renewed for longer is suspected
-     * @param goneMs and for longer than this, over
+     * @param time the agreed time in milliseconds
+     * @param suspectAfterMs an instance whose session has not been renewed for longer is suspected
+     * @param goneAfterMs a session that has not been renewed for longer expires
      */
     record Tick(long time, long suspectAfterMs, long goneAfterMs) implements Command { }
 
     /**
-     * An instance begins a life.
+     * Starts a new incarnation of an instance.
      *
-     * @param folder the identity of its durable folder, which it holds locked; empty where it has none
-     * @param last the incarnation that its folder knows as its last, 0 where it knows none
-     * @param mark the last mark that its folder holds, 0 for none
-     * @param nonce drawn for this life: the same join sent twice is one
+     * @param folder the identity of the durable folder that the instance holds locked; empty if it has none
+     * @param lastIncarnation the last incarnation recorded in that folder, 0 for none
+     * @param mark the last mark recorded in that folder, 0 for none
+     * @param nonce random, drawn for this incarnation: makes a retried join idempotent
      */
-    record Join(String name, String folder, long lastIncarnation, long mark, String address, boolean voter, String build, long nonce)
-            implements Command { }
+    record Join(String name, String folder, long lastIncarnation, long mark, String address, boolean voter, String build,
+            long nonce) implements Command { }
 
     /**
-     * An instance lives and stands so; answered with what it does not know yet.
+     * Renews an instance's session, as its heartbeat, and reports its standing; the result has the state if it has changed.
      *
-     * @param known the version of the state that it has
-     * @param mark the last mark that its folder holds for certain: who comes back with a lower one has an older folder
+     * @param knownVersion the version of the state that the instance has
+     * @param mark the last mark that the folder holds durably: a folder found later with a lower one is an older copy
      */
     record Renew(String name, long incarnation, Standing standing, long knownVersion, long mark) implements Command { }
 
-    /** An instance ends its life in order. */
+    /** Ends an incarnation in an orderly shutdown. */
     record Leave(String name, long incarnation) implements Command { }
 
     /**
-     * A register is to be written.
+     * Writes a register.
      *
-     * @param serial the number of this write within the life, rising by one: a write that is sent again is the same write
-     * @param ifVersion the version that it must have, 0 where it must not exist, negative for any
+     * @param sequence the number of this write within the incarnation, rising by one: makes a retried write idempotent
+     * @param expectedVersion the version that the register must have; 0 if it must not exist, negative for any
      */
     record Write(String name, long incarnation, long sequence, String register, long expectedVersion, String value)
             implements Command { }
--- a/fleet/src/main/java/quincespar/fleet/FleetCodec.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetCodec.java
@@ -8,8 +8,8 @@
 import quincespar.records.StoredNames;
 
 /**
- * Commands, results and the state as bytes and back, behind a CRC32C of them: neither the links between instances nor the
- * library's log in memory tell a turned bit. Used by one thread.
+ * Encodes commands, results and snapshots, each behind a CRC32C: neither the connections between instances nor the consensus
+ * library's log in memory detect a flipped bit. Not thread-safe.
  */
 public final class FleetCodec {
     /** The stored names of commands, results and snapshots, and of all that they hold, where the code has other names. */
@@ -41,24 +41,24 @@
 
     private final RecordCodec records = new RecordCodec(STORED_NAMES, Command.class, Result.class, Snapshot.class);
 
-    /** The schema of the records, for the check that it stays as it is in stored data. */
+    /** The schema of the records; a test checks that it stays as it is in stored data. */
     String schema() {
         return records.schema();
     }
 
-    /** The bytes of a command, a result or a state. */
+    /** Encodes a command, a result or a snapshot. */
     public byte[] write(Record value) {
         byte[] record = records.write(value);
-        return ByteBuffer.allocate(Integer.BYTES + record.length).putInt(sum(record)).put(record).array();
+        return ByteBuffer.allocate(Integer.BYTES + record.length).putInt(checksum(record)).put(record).array();
     }
 
-    /** Whether these are bytes as {@link #write} makes them, whole and unchanged. */
+    /** Whether these bytes match their checksum. */
     public static boolean isIntact(byte[] bytes) {
-        return bytes.length > Integer.BYTES && ByteBuffer.wrap(bytes).getInt() == sum(Arrays.copyOfRange(bytes, Integer.BYTES,
-                bytes.length));
+        return bytes.length > Integer.BYTES && ByteBuffer.wrap(bytes).getInt() == checksum(Arrays.copyOfRange(bytes,
+                Integer.BYTES, bytes.length));
     }
 
-    private static int sum(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
@@ -66,27 +66,27 @@
 
     private <T> T read(byte[] bytes, Class<T> type) throws MalformedRecordException {
         if (!isIntact(bytes)) {
-            throw new MalformedRecordException("bytes that are not what was written", null);
+            throw new MalformedRecordException("the checksum does not match the record", null);
         }
         return records.read(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length), type);
     }
 
-    /** Reads a command; throws {@link MalformedRecordException} at what is none. */
+    /** Decodes a command; throws {@link MalformedRecordException} if the bytes are none. */
     public Command readCommand(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Command.class);
     }
 
-    /** Reads a result; throws {@link MalformedRecordException} at what is none. */
+    /** Decodes a result; throws {@link MalformedRecordException} if the bytes are none. */
     public Result readResult(byte[] bytes) throws MalformedRecordException {
         return read(bytes, Result.class);
     }
 
-    /** Reads a state; throws {@link MalformedRecordException} at what is none, or at one of a form that is not known here. */
+    /** Decodes a snapshot; throws {@link MalformedRecordException} if the bytes are none or of an unknown format version. */
     public Snapshot readSnapshot(byte[] bytes) throws MalformedRecordException {
         Snapshot s = read(bytes, Snapshot.class);
         if (s.format() != Snapshot.FORMAT) {
-            throw new MalformedRecordException("a fleet's state of format " + s.format() + ", and this program reads "
-                    + Snapshot.FORMAT + " only", null);
+            throw new MalformedRecordException("the fleet state has format " + s.format() + ", but this program reads only "
+                    + Snapshot.FORMAT, null);
         }
         return s;
     }
--- a/fleet/src/main/java/quincespar/fleet/FleetConfig.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetConfig.java
@@ -7,36 +7,38 @@
 import java.util.Map;
 
 /**
- * How an installation wants its fleet to be.
+ * The configuration of a fleet, the same for all its instances but for {@code addressOverrides}.
  *
- * @param group the fleet's name: instances of another have nothing to say here
- * @param voters the addresses of those that vote, by name
- * @param via at which address a voter is reached from here, where that is another than its own
- * @param renewMs how often a session is renewed
- * @param suspectMs not renewed for longer, an instance is suspected
- * @param goneMs and for longer than this, gone
- * @param electionMs a voter that has not heard of a leader for so long asks to be one, up to twice as long
- * @param holdMs how long fewer instances must be known before shares grow
+ * @param group the fleet's name: messages between instances of different groups are refused
+ * @param voters the address of each voter, by name
+ * @param addressOverrides the address at which this instance reaches a voter, where it differs from the voter's own
+ * @param renewIntervalMs how often a session is renewed
+ * @param suspectAfterMs an instance is suspected if its session has not been renewed for longer
+ * @param goneAfterMs its session expires if it has not been renewed for longer
+ * @param electionTimeoutMs a voter starts an election if it has not heard from a leader for one to two times as long
+ * @param shareGrowthDelayMs how long fewer instances must be active before shares grow
  */
-public record FleetConfig(String group, Map<String, String> voters, Map<String, String> addressOverrides, double renewIntervalMs, double suspectAfterMs,
-        double goneAfterMs, double electionTimeoutMs, double shareGrowthDelayMs) {
+public record FleetConfig(String group, Map<String, String> voters, Map<String, String> addressOverrides, double renewIntervalMs,
+        double suspectAfterMs, double goneAfterMs, double electionTimeoutMs, double shareGrowthDelayMs) {
 
-    private static final int LEAST_PORT = 1, MOST_PORT = 65_535;
-    private static final List<Integer> VOTERS = List.of(1, 3, 5);
+    private static final int MIN_PORT = 1, MAX_PORT = 65_535;
+    private static final List<Integer> VOTER_COUNTS = List.of(1, 3, 5);
+    /** Missed renewals, or lost elections, that a session must outlast before its instance is suspected. */
+    private static final int MIN_SUSPECT_RATIO = 3;
 
-    /** Names and addresses as {@code n1=10.0.0.1:7000,n2=...}; what is wrong goes to {@code problems}, a line each. */
-    public static Map<String, String> parseAddresses(String text, String what, List<String> problems) {
+    /** Parses names with addresses, as {@code n1=10.0.0.1:7000,n2=...}; adds one line to {@code problems} for each error. */
+    public static Map<String, String> parseAddresses(String text, String setting, List<String> problems) {
         Map<String, String> out = new LinkedHashMap<>();
         for (String part : text.isBlank() ? new String[0] : text.split(",")) {
             int at = part.indexOf('=');
             String name = at < 0 ? "" : part.substring(0, at).strip();
             String address = part.substring(at + 1).strip();
             if (name.isEmpty()) {
-                problems.add(what + ": '" + part.strip() + "' is no NAME=HOST:PORT");
+                problems.add(setting + ": '" + part.strip() + "' is not NAME=HOST:PORT");
             } else if (!isAddress(address)) {
-                problems.add(what + ": '" + address + "' of " + name + " is no HOST:PORT");
+                problems.add(setting + ": '" + address + "' of " + name + " is not HOST:PORT");
             } else if (out.put(name, address) != null) {
-                problems.add(what + ": " + name + " is named twice");
+                problems.add(setting + ": " + name + " is listed twice");
             }
         }
         return out;
@@ -48,14 +50,14 @@
             return false;
         }
         int port = Integer.parseInt(address.substring(colon + 1));
-        return port >= LEAST_PORT && port <= MOST_PORT;
+        return port >= MIN_PORT && port <= MAX_PORT;
     }
 
-    /** What can't work in this plan, a line each; none where all is well. */
+    /** What makes this configuration unusable, one line each; empty if it is valid. */
     public List<String> problems() {
         List<String> out = new ArrayList<>();
-        if (!VOTERS.contains(voters.size())) {
-            out.add("fleet voters are 1, 3 or 5, not " + voters.size() + ": with an even number a majority is no smaller");
+        if (!VOTER_COUNTS.contains(voters.size())) {
+            out.add("fleet voters must be 1, 3 or 5, not " + voters.size() + ": an even number tolerates no more failures");
         }
         Map<String, String> owners = new HashMap<>();
         voters.forEach((name, address) -> {
@@ -65,25 +67,25 @@
             }
         });
         addressOverrides.keySet().stream().filter(n -> !voters.containsKey(n)).forEach(n -> out.add("fleet via names " + n
-                + ", which is no voter"));
-        if (suspectAfterMs < 3 * renewIntervalMs) {
-            out.add("fleet suspect must be three times renew at least, so that one lost renewal moves nobody");
+                + ", which is not a voter"));
+        if (suspectAfterMs < MIN_SUSPECT_RATIO * renewIntervalMs) {
+            out.add("fleet suspect must be at least three times renew, so that one lost renewal changes no standing");
         }
         if (goneAfterMs < suspectAfterMs + renewIntervalMs) {
-            out.add("fleet gone must be suspect and renew together at least");
+            out.add("fleet gone must be at least suspect and renew together");
         }
-        if (suspectAfterMs < 3 * electionTimeoutMs) {
-            out.add("fleet suspect must be three times election at least, or a change of leader makes all suspected");
+        if (suspectAfterMs < MIN_SUSPECT_RATIO * electionTimeoutMs) {
+            out.add("fleet suspect must be at least three times election, or all are suspected at a change of leader");
         }
         return out;
     }
 
-    /** Where a voter is reached from here. */
+    /** The address at which this instance reaches a voter; null if there is no such voter. */
     public String addressOf(String voter) {
         return addressOverrides.getOrDefault(voter, voters.get(voter));
     }
 
-    /** Whether it is one of those that vote. */
+    /** Whether the instance of that name is a voter. */
     public boolean isVoter(String name) {
         return voters.containsKey(name);
     }
--- a/fleet/src/main/java/quincespar/fleet/FleetView.java
+++ b/fleet/src/main/java/quincespar/fleet/FleetView.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What an instance knows of its fleet at a moment; immutable, handed to whoever asks.
+ * What an instance knows of its fleet at one moment.
  *
- * @param phase where this instance stands on its way into the fleet and out of it
- * @param line why it stands there, in one sentence; empty where there is nothing to say
- * @param incarnation this life's number, 0 before it has one
- * @param state the agreed state that was heard last
- * @param heardAt when a majority last answered, in milliseconds of this instance's clock; negative before the first time
- * @param inTouch whether that was lately
+ * @param phase this instance's phase of participation
+ * @param statusLine why it is in this phase, in one sentence; empty if there is nothing to say
+ * @param incarnation this instance's incarnation, 0 before it has one
+ * @param state the last replicated state that was received
+ * @param lastContactAt when a quorum last answered, in milliseconds of this instance's clock; negative before the first time
+ * @param quorumReachable whether a quorum has answered recently
  */
 public record FleetView(Participation.Phase phase, String statusLine, long incarnation, Snapshot state, double lastContactAt,
         boolean quorumReachable) {
 
-    /** Where there is no fleet, or nothing has been heard of it. */
+    /** The view without a fleet, or before anything is known of it. */
     public static final FleetView NONE = new FleetView(Participation.Phase.OFF, "", 0, Snapshot.EMPTY, -1, false);
 
     /** Instances that may still send work to engines. */
@@ -23,7 +23,7 @@
         return state.instances().stream().filter(i -> i.standing().isActive()).toList();
     }
 
-    /** Milliseconds since a majority last answered, by the same clock; infinite before the first time. */
+    /** Milliseconds since a quorum last answered, where {@code now} is of the same clock; infinite before the first time. */
     public double millisSinceContact(double now) {
         return lastContactAt < 0 ? Double.POSITIVE_INFINITY : Math.max(0, now - lastContactAt);
     }
--- a/fleet/src/main/java/quincespar/fleet/Instance.java
+++ b/fleet/src/main/java/quincespar/fleet/Instance.java
@@ -1,36 +1,37 @@
 package quincespar.fleet;
 
 /**
- * One life of an instance as the fleet knows it.
+ * One incarnation of an instance, as the fleet knows it.
  *
- * @param name its name, the same after a restart
- * @param incarnation rises with each start over the whole fleet: no two lives share one, and none is used again
- * @param folder the identity of its durable folder; empty where it has none
- * @param address where operators reach it; empty where it has no second address
+ * @param name its name, the same across restarts
+ * @param incarnation assigned at each start, rising over the whole fleet: never shared and never reused
+ * @param folder the identity of its durable folder; empty if it has none
+ * @param address its second address, for operators; empty if it has none
  * @param voter whether it votes
- * @param build its program's version
- * @param standing how it stands
- * @param claimed what it last said of itself, which a suspected one returns to
+ * @param build the version of its program
+ * @param standing its agreed standing
+ * @param reportedStanding the standing that it reported last, to which it returns after having been suspected
  * @param renewedAt when its session was last renewed, in milliseconds of agreed time
- * @param since when it came to stand so, in milliseconds of agreed time
- * @param serial the number of the last write of this life that was applied
- * @param last what that write was answered, for the same write sent again
+ * @param standingSince when it entered its current standing, in milliseconds of agreed time
+ * @param lastWriteSequence the sequence number of its last write that was applied
+ * @param lastWriteResult the result of that write, returned again if the write is retried
  */
 public record Instance(String name, long incarnation, String folder, String address, boolean voter, String build,
-        Standing standing, Standing reportedStanding, long renewedAt, long standingSince, long lastWriteSequence, Result lastWriteResult) {
+        Standing standing, Standing reportedStanding, long renewedAt, long standingSince, long lastWriteSequence,
+        Result lastWriteResult) {
 
-    Instance standing(Standing next, long now) {
+    Instance withStanding(Standing next, long now) {
         return next == standing ? this : new Instance(name, incarnation, folder, address, voter, build, next, reportedStanding,
                 renewedAt, now, lastWriteSequence, lastWriteResult);
     }
 
-    Instance renewed(Standing says, long now) {
-        return new Instance(name, incarnation, folder, address, voter, build, says, says, now, says == standing ? standingSince : now,
-                lastWriteSequence, lastWriteResult);
+    Instance renewed(Standing reported, long now) {
+        return new Instance(name, incarnation, folder, address, voter, build, reported, reported, now,
+                reported == standing ? standingSince : now, lastWriteSequence, lastWriteResult);
     }
 
-    Instance answered(long number, Result result) {
-        return new Instance(name, incarnation, folder, address, voter, build, standing, reportedStanding, renewedAt, standingSince, number,
-                result);
+    Instance withLastWrite(long sequence, Result result) {
+        return new Instance(name, incarnation, folder, address, voter, build, standing, reportedStanding, renewedAt,
+                standingSince, sequence, result);
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/Participation.java
+++ b/fleet/src/main/java/quincespar/fleet/Participation.java
@@ -4,45 +4,53 @@
 import java.util.List;
 
 /**
- * One instance's way into its fleet and out of it: what it may do there and when. Takes what happened with the time of a
- * clock that can't be set, and answers with what is to be done; it does no reading or writing. One thread calls it.
+ * One instance's participation in its fleet, as a state machine: it joins, renews its session, votes and leaves. Each method
+ * takes an event with the time of a monotonic clock and returns the actions to carry out; it does no I/O itself. Not
+ * thread-safe.
  *
- * A voter takes part in votes only with a folder of its own, locked, that the others do not know more of than itself: one
- * that was copied or restored has forgotten votes and entries that it has promised to keep. It may still follow.
+ * <p>A voter votes only with its own folder, locked, of which the other voters do not know more than the folder itself: a
+ * folder that was copied or restored from a backup has lost votes and log entries that it had acknowledged. Its instance may
+ * still follow.
  */
 public final class Participation {
-    /** Where it stands. */
+    /** The phase of the participation. */
     public enum Phase {
-        /** There is no fleet here. */
+        /** There is no fleet. */
         OFF,
-        /** Waits for its folder, which another process still holds. */
+        /** Waits for the folder, which another process still holds locked. */
         WAITING,
-        /** Asks the others what they know of its folder, before it votes. */
+        /** Asks the other voters what they know of the folder, before it votes. */
         ASKING,
-        /** Asks to be taken into the fleet. */
+        /** Asks to join the fleet. */
         JOINING,
-        /** Takes part, and a majority answers. */
+        /** Has a session, and a quorum answers. */
         IN_TOUCH,
-        /** Takes part, and no majority answers. */
+        /** Has a session, and no quorum answers. */
         OUT_OF_TOUCH,
-        /** Its life is over for the fleet though the process goes on: it was followed by another. */
+        /** The process is still running, but another incarnation of the same name has replaced it. */
         DISPLACED,
-        /** Has left in order. */
+        /** Has left in an orderly shutdown. */
         LEFT
     }
 
-    /** What is known of the folder. */
+    /** The result of opening the folder. */
     public sealed interface FolderResult {
         /**
-         * It is open and locked: its identity, the last incarnation that it knows, 0 for none, and the nonce of a join
-         * that may have been granted since, 0 for none; the last mark; {@code votes} where it was begun as a voter's.
+         * It is open and locked.
+         *
+         * @param identity the identity drawn for the folder
+         * @param lastIncarnation the last incarnation recorded in it, 0 for none
+         * @param pendingNonce the nonce of a join that was submitted since and may have been granted, 0 for none
+         * @param mark the last mark recorded in it
+         * @param initializedForVoting whether it was created as a voter's folder by {@code quincespar fleet init}
          */
-        record Open(String identity, long lastIncarnation, long pendingNonce, long mark, boolean initializedForVoting) implements FolderResult { }
+        record Open(String identity, long lastIncarnation, long pendingNonce, long mark, boolean initializedForVoting)
+                implements FolderResult { }
 
-        /** Another process holds it. */
+        /** Another process holds it locked. */
         record Locked(String message) implements FolderResult { }
 
-        /** It can't be used; the instance goes on without, and votes in nothing. */
+        /** It can't be used; the instance goes on without it and does not vote. */
         record Failed(String message) implements FolderResult { }
     }
 
@@ -51,300 +59,313 @@
         /** Try to open and lock the folder. */
         record OpenFolder() implements Action { }
 
-        /** Ask the other voters whether what they know speaks against this folder: {@link Snapshot#votingRejection}. */
+        /** Ask the other voters whether the folder may vote: {@link Snapshot#votingRejection}. */
         record QueryVoters(String folder, long lastIncarnation, long mark, long nonce) implements Action { }
 
-        /** Take part in votes. */
+        /** Start to vote. */
         record StartVoting() implements Action { }
 
-        /** Take part in votes no more. */
+        /** Stop voting. */
         record StopVoting() implements Action { }
 
-        /** Call {@link Participation#diskRetryDue} after a while. */
+        /** Call {@link Participation#diskRetryDue} after the delay. */
         record RetryDisk(double delayMs) implements Action { }
 
-        /** Have a command agreed; its result, or that there is none, is told with this number. */
+        /**
+         * Submit a command; report its result to {@link Participation#commandCompleted}, or that there is none to
+         * {@link Participation#commandFailed}, with this id.
+         */
         record Submit(long requestId, Command command) implements Action { }
 
-        /** Keep these in the folder, for certain; {@link Participation#persisted} is told. */
+        /** Persist these in the folder durably and call {@link Participation#persisted}. */
         record Persist(long incarnation, long nonce) implements Action { }
 
-        /** Mark the folder, for certain; {@link Participation#markPersisted} is told. */
+        /** Persist the mark in the folder durably and call {@link Participation#markPersisted}. */
         record PersistMark(long mark) implements Action { }
 
-        /** Call {@link Participation#timerFired} with this number after a while. */
+        /** Call {@link Participation#timerFired} with this id after the delay. */
         record StartTimer(long timerId, double delayMs) implements Action { }
 
-        /** Tell operators. */
+        /** Log a message for operators. */
         record Log(String message) implements Action { }
 
-        /** What is known has changed. */
+        /** Publish a changed view. */
         record Publish(FleetView view) implements Action { }
     }
 
-    /** Pauses between tries. */
-    private static final double RETRY_MS = 500, ASK_MS = 1500, DISK_LATER_MS = 3000;
-    /** A voter's folder is marked so often: one restored from within a life is told apart where it is older than that. */
-    private static final double MARK_MS = 1000;
+    private static final double RETRY_DELAY_MS = 500;
+    private static final double QUERY_VOTERS_TIMEOUT_MS = 1500;
+    private static final double DISK_RETRY_DELAY_MS = 3000;
+    /** How often a voter's folder is marked: a copy taken during the current incarnation is detected if it is older than this. */
+    private static final double MARK_INTERVAL_MS = 1000;
 
-    private final FleetConfig plan;
+    private final FleetConfig config;
     private final String name;
     private final String address;
     private final String build;
     private long nonce;
     private boolean mayVote;
     private Phase phase = Phase.OFF;
-    private String line = "";
+    private String statusLine = "";
+    /** The identity of the folder in use, empty if there is none. */
     private String folder = "";
-    /** The folder that the disk has refused to write to, and which is tried again; empty where there is none. */
-    private String aside = "";
-    /** The life without it is being ended, to begin one with it. */
-    private boolean changing;
-    private long last;
+    /** The folder that failed a write, which is retried; empty if there is none. */
+    private String failedFolder = "";
+    /** Whether the incarnation without a folder is being ended, to start one with the folder. */
+    private boolean rejoining;
+    private long lastIncarnation;
     private long mark;
-    private long marking;
-    private double markedAt = Double.NEGATIVE_INFINITY;
+    /** The mark that is being persisted, 0 for none. */
+    private long pendingMark;
+    private double lastMarkAt = Double.NEGATIVE_INFINITY;
     private long incarnation;
     private boolean voting;
     private boolean leaving;
     private Standing standing = Standing.JOINING;
     private Snapshot state = Snapshot.EMPTY;
-    private double heardAt = -1;
-    private long number;
-    private long awaited;
-    private long watched;
-    private long submitted;
+    private double lastContactAt = -1;
+    private long lastId;
+    /** The timer whose end makes the current phase go on. */
+    private long phaseTimer;
+    /** The timer that detects that no quorum answers. */
+    private long quorumTimer;
+    /** The request whose outcome is awaited, 0 for none. */
+    private long pendingRequest;
     private FleetView published = FleetView.NONE;
-    private List<Action> acts = new ArrayList<>();
+    private List<Action> actions = new ArrayList<>();
 
     /**
-     * For one process.
+     * Creates the participation of one process.
      *
-     * @param address where operators reach it, empty for nowhere
-     * @param nonce drawn for this process
+     * @param address its second address, for operators; empty if it has none
+     * @param nonce random, drawn for this process
      */
-    public Participation(FleetConfig plan, String name, String address, String build, long nonce) {
-        this.plan = plan;
+    public Participation(FleetConfig config, String name, String address, String build, long nonce) {
+        this.config = config;
         this.name = name;
         this.address = address;
         this.build = build;
         this.nonce = nonce;
-        mayVote = plan.isVoter(name);
+        mayVote = config.isVoter(name);
     }
 
-    /** The first step. */
+    /** Starts the participation. */
     public List<Action> start(double now) {
         phase = Phase.WAITING;
-        acts.add(new Action.OpenFolder());
-        return done(now);
+        actions.add(new Action.OpenFolder());
+        return takeActions(now);
     }
 
-    /** What came of opening the folder. */
-    public List<Action> folderOpened(double now, FolderResult f) {
+    /** The folder was opened, or could not be. */
+    public List<Action> folderOpened(double now, FolderResult result) {
         if (phase != Phase.WAITING) {
-            return done(now);
+            return takeActions(now);
         }
-        if (f instanceof FolderResult.Locked h) {
-            say("waits for its folder: " + h.message());
-            await(RETRY_MS);
-        } else if (f instanceof FolderResult.Failed x) {
-            say("has no folder and votes in nothing: " + x.message());
+        if (result instanceof FolderResult.Locked locked) {
+            setStatus("waits for its folder: " + locked.message());
+            startPhaseTimer(RETRY_DELAY_MS);
+        } else if (result instanceof FolderResult.Failed failed) {
+            setStatus("has no folder and votes in nothing: " + failed.message());
             join();
-        } else if (f instanceof FolderResult.Open o) {
-            folder = o.identity();
-            last = o.lastIncarnation();
-            mark = o.mark();
-            nonce = o.pendingNonce() == 0 ? nonce : o.pendingNonce(); // killed before the answer was kept, it asks for the same life
-            if (mayVote && o.initializedForVoting()) {
+        } else if (result instanceof FolderResult.Open open) {
+            folder = open.identity();
+            lastIncarnation = open.lastIncarnation();
+            mark = open.mark();
+            // a process that was killed before it stored the result retries the same join
+            nonce = open.pendingNonce() == 0 ? nonce : open.pendingNonce();
+            if (mayVote && open.initializedForVoting()) {
                 phase = Phase.ASKING;
-                acts.add(new Action.QueryVoters(folder, last, mark, nonce));
-                await(ASK_MS);
+                actions.add(new Action.QueryVoters(folder, lastIncarnation, mark, nonce));
+                startPhaseTimer(QUERY_VOTERS_TIMEOUT_MS);
             } else {
                 if (mayVote) {
                     mayVote = false;
-                    acts.add(new Action.Log("does not vote: its folder was not begun by 'quincespar fleet init', so what the one"
-                            + " before it has promised may be lost"));
+                    actions.add(new Action.Log("does not vote: its folder was not created by 'quincespar fleet init', so votes"
+                            + " acknowledged with an earlier folder may be lost"));
                 }
                 join();
             }
         }
-        return done(now);
+        return takeActions(now);
     }
 
     /**
-     * What any of the others knows against this folder, empty where nothing. Where one answered, a majority may stand without
-     * this one: it joins first, and votes once what is agreed does not speak against its folder. Where nobody is there, its
-     * vote may be needed for that.
+     * The other voters have answered what they know of the folder, or have not. If any has answered there may be a quorum
+     * without this one: it joins first, and votes once the replicated state does not reject its folder. If none has, its vote
+     * may be needed to form a quorum.
+     *
+     * @param rejection why the folder must not vote according to any of them, empty if none rejects it
+     * @param answered whether any has answered
      */
-    public List<Action> votersAnswered(double now, String against, boolean answered) {
+    public List<Action> votersAnswered(double now, String rejection, boolean answered) {
         boolean late = phase == Phase.JOINING && incarnation == 0 && !folder.isEmpty();
-        if (!against.isEmpty() && (phase == Phase.ASKING || late)) {
-            oldFolder(against);
+        if (!rejection.isEmpty() && (phase == Phase.ASKING || late)) {
+            rejectFolder(rejection);
         } else if (phase == Phase.ASKING && !answered) {
-            vote();
+            startVoting();
         }
         if (phase == Phase.ASKING) {
             join();
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    private void oldFolder(String why) {
-        say("does not vote: its folder is a copy, or was restored from before: " + why);
-        withoutFolder(); // it follows as one without
+    private void rejectFolder(String why) {
+        setStatus("does not vote: its folder is a copy, or was restored from before: " + why);
+        dropFolder(); // it follows, as an instance without a folder does
     }
 
-    private void vote() {
+    private void startVoting() {
         if (mayVote && !voting) {
             voting = true;
-            acts.add(new Action.StartVoting());
+            actions.add(new Action.StartVoting());
         }
     }
 
-    /** With a folder it is kept first that a life is asked for: a kill before the answer would make the folder look old. */
+    /** Persists the nonce before it submits the join: if killed before the result arrives, the folder would look outdated. */
     private void join() {
         phase = Phase.JOINING;
         if (folder.isEmpty()) {
-            ask();
+            submitJoin();
         } else {
-            acts.add(new Action.Persist(last, nonce));
+            actions.add(new Action.Persist(lastIncarnation, nonce));
         }
     }
 
-    private void ask() {
-        submit(new Command.Join(name, folder, last, mark, address, mayVote && !folder.isEmpty(), build, nonce));
+    private void submitJoin() {
+        submit(new Command.Join(name, folder, lastIncarnation, mark, address, mayVote && !folder.isEmpty(), build, nonce));
     }
 
-    /** What came of keeping: {@code why} is null where it is certain. */
-    public List<Action> persisted(double now, String why) {
-        if (!aside.isEmpty()) {
-            return triedAgain(now, why);
+    /** The incarnation and nonce were persisted; {@code error} is null if they are durable. */
+    public List<Action> persisted(double now, String error) {
+        if (!failedFolder.isEmpty()) {
+            return retriedDisk(now, error);
         }
-        if (why != null) {
-            say("goes on without its folder and votes in nothing for now: " + why);
-            aside = folder;
-            withoutFolder();
-            acts.add(new Action.RetryDisk(DISK_LATER_MS));
+        if (error != null) {
+            setStatus("goes on without its folder and votes in nothing for now: " + error);
+            failedFolder = folder;
+            dropFolder();
+            actions.add(new Action.RetryDisk(DISK_RETRY_DELAY_MS));
         }
         if (phase == Phase.JOINING && incarnation == 0) {
-            ask();
-        } else if (phase == Phase.JOINING) { // an incarnation is used once it is kept, or there is no folder to keep it
+            submitJoin();
+        } else if (phase == Phase.JOINING) { // an incarnation is used only once it is durable, or if there is no folder
             phase = Phase.IN_TOUCH;
             renew();
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    /** The folder was locked all the time, so nothing that it promised is forgotten: a life with it follows the one without. */
-    private List<Action> triedAgain(double now, String why) {
-        if (why != null) {
-            acts.add(new Action.RetryDisk(DISK_LATER_MS));
+    /** The folder stayed locked and has lost nothing: a new incarnation with the folder replaces the one without it. */
+    private List<Action> retriedDisk(double now, String error) {
+        if (error != null) {
+            actions.add(new Action.RetryDisk(DISK_RETRY_DELAY_MS));
         } else if (phase == Phase.IN_TOUCH) {
-            say("can write to its folder again");
-            folder = aside;
-            aside = "";
-            changing = true;
+            setStatus("can write to its folder again");
+            folder = failedFolder;
+            failedFolder = "";
+            rejoining = true;
             submit(new Command.Leave(name, incarnation));
-        } else { // not now: the life without it has to be ended first
-            acts.add(new Action.RetryDisk(DISK_LATER_MS));
+        } else { // later: the incarnation without the folder has to be ended first
+            actions.add(new Action.RetryDisk(DISK_RETRY_DELAY_MS));
         }
-        return done(now);
+        return takeActions(now);
     }
 
     private void rejoin() {
-        changing = false;
+        rejoining = false;
         incarnation = 0;
-        nonce++; // another life
+        nonce++; // for a new incarnation
         join();
     }
 
-    /** What came of a mark: {@code why} is null where it is certain. The fleet hears of it with the next renewal, not before. */
-    public List<Action> markPersisted(double now, long of, String why) {
-        if (of == marking) {
-            marking = 0;
-            mark = why == null ? of : mark;
-            if (why == null && !voting && !folder.isEmpty() && !leaving && phase != Phase.DISPLACED) {
-                vote();
-            } else if (why != null) {
-                return diskFailed(now, why);
+    /** The mark was persisted; {@code error} is null if it is durable. Only then does the next renewal report it. */
+    public List<Action> markPersisted(double now, long persistedMark, String error) {
+        if (persistedMark == pendingMark) {
+            pendingMark = 0;
+            mark = error == null ? persistedMark : mark;
+            if (error == null && !voting && !folder.isEmpty() && !leaving && phase != Phase.DISPLACED) {
+                startVoting();
+            } else if (error != null) {
+                return diskFailed(now, error);
             }
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    private void mark(double now) {
-        markedAt = now;
-        marking = mark + 1;
-        acts.add(new Action.PersistMark(marking));
+    private void persistNextMark(double now) {
+        lastMarkAt = now;
+        pendingMark = mark + 1;
+        actions.add(new Action.PersistMark(pendingMark));
     }
 
-    /** The library could not begin to take part in votes, or has ended that by itself, as on a disk that refuses. */
-    public List<Action> votingFailed(double now, String why) {
-        return voting ? diskFailed(now, why) : done(now);
+    /** The consensus library could not start to vote, or has stopped by itself, for example after a failed write. */
+    public List<Action> votingFailed(double now, String error) {
+        return voting ? diskFailed(now, error) : takeActions(now);
     }
 
-    private List<Action> diskFailed(double now, String why) {
-        say("votes in nothing for now: " + why);
+    private List<Action> diskFailed(double now, String error) {
+        setStatus("votes in nothing for now: " + error);
         if (voting) {
             voting = false;
-            acts.add(new Action.StopVoting());
+            actions.add(new Action.StopVoting());
         }
-        acts.add(new Action.RetryDisk(DISK_LATER_MS));
-        return done(now);
+        actions.add(new Action.RetryDisk(DISK_RETRY_DELAY_MS));
+        return takeActions(now);
     }
 
     /**
-     * It may be possible again: the folder is this process's own all the time, so nothing that it promised is forgotten. Votes
-     * begin once the disk has taken something.
+     * The disk may work again. The folder stayed locked by this process and has lost nothing; voting starts again after the
+     * first write that succeeds.
      */
     public List<Action> diskRetryDue(double now) {
-        if (!aside.isEmpty()) {
-            acts.add(new Action.Persist(last, nonce));
-        } else if (!folder.isEmpty() && mayVote && !voting && marking == 0) {
-            mark(now);
+        if (!failedFolder.isEmpty()) {
+            actions.add(new Action.Persist(lastIncarnation, nonce));
+        } else if (!folder.isEmpty() && mayVote && !voting && pendingMark == 0) {
+            persistNextMark(now);
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    /** Whether it takes part in votes, as far as it has asked for that. */
+    /** Whether this instance votes, as far as this state machine has requested it. */
     public boolean isVoting() {
         return voting;
     }
 
-    /** This life's number as the fleet gave it, 0 where it has none that may be used. */
+    /** The incarnation in use, 0 if there is none. */
     public long incarnation() {
         return phase == Phase.IN_TOUCH || phase == Phase.OUT_OF_TOUCH ? incarnation : 0;
     }
 
-    private void withoutFolder() {
+    private void dropFolder() {
         folder = "";
         if (voting) {
             voting = false;
-            acts.add(new Action.StopVoting());
+            actions.add(new Action.StopVoting());
         }
     }
 
-    private void submit(Command c) {
-        submitted = ++number;
-        acts.add(new Action.Submit(submitted, c));
+    private void submit(Command command) {
+        pendingRequest = ++lastId;
+        actions.add(new Action.Submit(pendingRequest, command));
     }
 
-    private void await(double ms) {
-        awaited = ++number;
-        acts.add(new Action.StartTimer(awaited, ms));
+    private void startPhaseTimer(double delayMs) {
+        phaseTimer = ++lastId;
+        actions.add(new Action.StartTimer(phaseTimer, delayMs));
     }
 
-    /** This instance stands so from now on, as it says itself. */
-    public List<Action> setStanding(double now, Standing s) {
-        boolean news = s != standing && !leaving;
-        standing = leaving ? standing : s;
-        if (news && !changing && (phase == Phase.IN_TOUCH || phase == Phase.OUT_OF_TOUCH)) {
+    /** This instance's own standing has changed. */
+    public List<Action> setStanding(double now, Standing next) {
+        boolean changed = next != standing && !leaving;
+        standing = leaving ? standing : next;
+        if (changed && !rejoining && (phase == Phase.IN_TOUCH || phase == Phase.OUT_OF_TOUCH)) {
             renew();
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    /** The process ends: the fleet is told, if it can be. */
+    /** The process shuts down: leaves the fleet if it has joined. */
     public List<Action> leave(double now) {
         if (!leaving && incarnation > 0 && phase != Phase.DISPLACED) {
             leaving = true;
@@ -353,151 +374,153 @@
             leaving = true;
             phase = Phase.LEFT;
         }
-        return done(now);
+        return takeActions(now);
     }
 
     private void renew() {
         submit(new Command.Renew(name, incarnation, standing, state.version(), folder.isEmpty() ? 0 : mark));
     }
 
-    /** What became of a command; of one that was followed by another it is no news. */
-    public List<Action> commandCompleted(double now, long of, Result r) {
-        if (of != submitted) {
-            return done(now);
+    /** A submitted command has completed; ignored if another was submitted since. */
+    public List<Action> commandCompleted(double now, long requestId, Result result) {
+        if (requestId != pendingRequest) {
+            return takeActions(now);
         }
-        submitted = 0;
-        heardAt = now; // a majority answered, whatever it said
-        watched = ++number;
-        acts.add(new Action.StartTimer(watched, plan.suspectAfterMs() + 1));
-        if (r instanceof Result.Joined j) {
-            joined(j.incarnation());
-        } else if (r instanceof Result.Renewed) {
+        pendingRequest = 0;
+        lastContactAt = now; // any result shows that a quorum answers
+        quorumTimer = ++lastId;
+        actions.add(new Action.StartTimer(quorumTimer, config.suspectAfterMs() + 1));
+        if (result instanceof Result.Joined joined) {
+            joined(joined.incarnation());
+        } else if (result instanceof Result.Renewed) {
             if (phase == Phase.OUT_OF_TOUCH) {
-                acts.add(new Action.Log("hears a majority again"));
+                actions.add(new Action.Log("is in contact with a quorum again"));
             }
             phase = Phase.IN_TOUCH;
-            line = voting || !mayVote || folder.isEmpty() ? "" : line;
-            if (voting && marking == 0 && now >= markedAt + MARK_MS) {
-                mark(now);
+            statusLine = voting || !mayVote || folder.isEmpty() ? "" : statusLine;
+            if (voting && pendingMark == 0 && now >= lastMarkAt + MARK_INTERVAL_MS) {
+                persistNextMark(now);
             }
-            await(plan.renewIntervalMs());
-        } else if (r instanceof Result.Refused x) {
-            refused(x);
+            startPhaseTimer(config.renewIntervalMs());
+        } else if (result instanceof Result.Refused refused) {
+            refused(refused);
         } else if (leaving) {
             phase = Phase.LEFT;
-        } else if (changing) {
+        } else if (rejoining) {
             rejoin();
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    private void joined(long given) {
-        incarnation = given;
+    private void joined(long assigned) {
+        incarnation = assigned;
         if (!folder.isEmpty()) {
-            last = given;
-            vote(); // what is agreed knows no later life of this folder
+            lastIncarnation = assigned;
+            startVoting(); // the replicated state knows no later incarnation of this folder
         }
-        acts.add(new Action.Log("is incarnation " + given + " of " + name + (voting ? " and votes" : " and follows")));
-        line = "";
+        actions.add(new Action.Log("has joined as incarnation " + assigned + (voting ? ", as a voter" : ", as a follower")));
+        statusLine = "";
         if (folder.isEmpty()) {
             phase = Phase.IN_TOUCH;
             renew();
         } else {
-            acts.add(new Action.Persist(given, 0));
+            actions.add(new Action.Persist(assigned, 0));
         }
     }
 
-    private void refused(Result.Refused x) {
+    private void refused(Result.Refused refusal) {
         if (leaving) {
             phase = Phase.LEFT;
-        } else if (x.reason() == Result.Reason.FOLDER_OUTDATED) {
-            oldFolder(x.message());
+        } else if (refusal.reason() == Result.Reason.FOLDER_OUTDATED) {
+            rejectFolder(refusal.message());
             join();
         } else if (phase == Phase.JOINING) {
-            say("is not taken in: " + x.message());
-            await(RETRY_MS);
-        } else if (x.reason() == Result.Reason.INCARNATION_ENDED) {
-            say("was given up by the fleet and joins again: " + x.message());
+            setStatus("is not taken in: " + refusal.message());
+            startPhaseTimer(RETRY_DELAY_MS);
+        } else if (refusal.reason() == Result.Reason.INCARNATION_ENDED) {
+            setStatus("was given up by the fleet and joins again: " + refusal.message());
             rejoin();
         } else {
             phase = Phase.DISPLACED;
-            say("is no part of the fleet any more: " + x.message());
+            setStatus("is no part of the fleet any more: " + refusal.message());
             if (voting) {
                 voting = false;
-                acts.add(new Action.StopVoting());
+                actions.add(new Action.StopVoting());
             }
         }
     }
 
-    /** A state that came with an answer, or that this instance's own voter has applied. */
-    public List<Action> stateReceived(double now, Snapshot s) {
-        if (s.version() > state.version()) {
-            state = s;
+    /** A snapshot of the state came with a result, or was applied by this instance's own replica. */
+    public List<Action> stateReceived(double now, Snapshot snapshot) {
+        if (snapshot.version() > state.version()) {
+            state = snapshot;
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    /** A command has come to nothing within its time, or can't be sent: whether it was agreed is not known. */
-    public List<Action> commandFailed(double now, long of, String why) {
-        if (of == submitted) {
-            submitted = 0;
+    /** A submitted command timed out or could not be sent; whether it was committed is unknown. */
+    public List<Action> commandFailed(double now, long requestId, String error) {
+        if (requestId == pendingRequest) {
+            pendingRequest = 0;
             if (leaving) {
                 phase = Phase.LEFT;
             } else {
-                if (phase == Phase.IN_TOUCH && now - heardAt > plan.suspectAfterMs()) {
+                if (phase == Phase.IN_TOUCH && now - lastContactAt > config.suspectAfterMs()) {
                     phase = Phase.OUT_OF_TOUCH;
-                    say("hears of no majority: " + why);
+                    setStatus("hears of no majority: " + error);
                 }
                 if (phase == Phase.JOINING && incarnation == 0 && !folder.isEmpty()) {
-                    vote(); // there may be no majority without this one
+                    startVoting(); // there may be no quorum without this one
                 }
-                await(RETRY_MS);
+                startPhaseTimer(RETRY_DELAY_MS);
             }
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    /** A wait is over. */
-    public List<Action> timerFired(double now, long of) {
-        if (of == watched && phase == Phase.IN_TOUCH && now - heardAt > plan.suspectAfterMs()) {
-            phase = Phase.OUT_OF_TOUCH; // a renewal that goes on trying tells nothing by itself
-            say("hears of no majority");
+    /** A timer has fired. */
+    public List<Action> timerFired(double now, long timerId) {
+        if (timerId == quorumTimer && phase == Phase.IN_TOUCH && now - lastContactAt > config.suspectAfterMs()) {
+            phase = Phase.OUT_OF_TOUCH; // a renewal that is still pending has not failed yet
+            setStatus("hears of no majority");
         }
-        if (of != awaited || leaving) {
-            return done(now);
+        if (timerId != phaseTimer || leaving) {
+            return takeActions(now);
         }
         if (phase == Phase.WAITING) {
-            acts.add(new Action.OpenFolder());
-        } else if (phase == Phase.ASKING) { // some say nothing, neither yes nor no
+            actions.add(new Action.OpenFolder());
+        } else if (phase == Phase.ASKING) { // some voters have not answered
             return votersAnswered(now, "", true);
         } else if (phase == Phase.JOINING) {
             join();
-        } else if (changing) {
+        } else if (rejoining) {
             submit(new Command.Leave(name, incarnation));
         } else if (phase == Phase.IN_TOUCH || phase == Phase.OUT_OF_TOUCH) {
             renew();
         }
-        return done(now);
+        return takeActions(now);
     }
 
-    private void say(String what) {
-        if (!what.equals(line)) {
-            line = what;
-            acts.add(new Action.Log(what));
+    /** Sets the status line, and logs it if it has changed. */
+    private void setStatus(String status) {
+        if (!status.equals(statusLine)) {
+            statusLine = status;
+            actions.add(new Action.Log(status));
         }
     }
 
-    private List<Action> done(double now) {
-        boolean inTouch = phase == Phase.IN_TOUCH && now - heardAt <= plan.suspectAfterMs();
-        FleetView view = new FleetView(phase, line, incarnation, state, heardAt, inTouch);
-        if (view.phase() != published.phase() || !view.statusLine().equals(published.statusLine()) || view.quorumReachable() != published.quorumReachable()
-                || view.state() != published.state() || view.incarnation() != published.incarnation()
-                || view.lastContactAt() != published.lastContactAt()) {
+    /** Publishes the view if it has changed, and returns the actions of this step. */
+    private List<Action> takeActions(double now) {
+        boolean quorumReachable = phase == Phase.IN_TOUCH && now - lastContactAt <= config.suspectAfterMs();
+        FleetView view = new FleetView(phase, statusLine, incarnation, state, lastContactAt, quorumReachable);
+        if (view.phase() != published.phase() || !view.statusLine().equals(published.statusLine())
+                || view.quorumReachable() != published.quorumReachable() || view.state() != published.state()
+                || view.incarnation() != published.incarnation() || view.lastContactAt() != published.lastContactAt()) {
             published = view;
-            acts.add(new Action.Publish(view));
+            actions.add(new Action.Publish(view));
         }
-        List<Action> out = acts;
-        acts = new ArrayList<>();
+        List<Action> out = actions;
+        actions = new ArrayList<>();
         return out;
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/Register.java
+++ b/fleet/src/main/java/quincespar/fleet/Register.java
@@ -1,11 +1,10 @@
 package quincespar.fleet;
 
 /**
- * A named value on which all agree.
+ * A replicated named value.
  *
  * @param version how often it has been written, from 1
- * @param value its text
- * @param by the name of the instance that wrote it
- * @param incarnation that instance's life
+ * @param writer the name of the instance that wrote it last
+ * @param writerIncarnation that instance's incarnation at the time
  */
 public record Register(String name, long version, String value, String writer, long writerIncarnation) { }
--- a/fleet/src/main/java/quincespar/fleet/Result.java
+++ b/fleet/src/main/java/quincespar/fleet/Result.java
@@ -1,39 +1,39 @@
 package quincespar.fleet;
 
-/** What became of a command. */
+/** The result of a {@link Command}. */
 public sealed interface Result {
 
-    /** The life has begun, under this incarnation. */
+    /** The instance has joined under this incarnation. */
     record Joined(long incarnation) implements Result { }
 
-    /** The session is renewed; {@code state} is the whole agreed state where the asker's version is old, else empty. */
+    /** The session is renewed; {@code state} is the encoded {@link Snapshot} if the instance's version is old, else empty. */
     record Renewed(long version, long time, byte[] state) implements Result { }
 
-    /** The register has this version now. */
+    /** The register was written and has this version now. */
     record Written(long version) implements Result { }
 
-    /** It has another version than was asked for, and nothing was written. */
+    /** The register has another version than expected, with this value; nothing was written. */
     record Conflict(long version, String value) implements Result { }
 
-    /** Done, with nothing to tell. */
+    /** The command was applied and returns nothing. */
     record Done() implements Result { }
 
-    /** Not done. */
+    /** The command was refused and had no effect. */
     record Refused(Reason reason, String message) implements Result { }
 
     /** Why a command was refused. */
     enum Reason {
-        /** Another life of this name is under way: it may be over in a while. */
+        /** Another incarnation of this name has a session, which may expire later. */
         NAME_TAKEN,
-        /** The folder is older than what the fleet knows of it: a copy, or one restored from before. */
+        /** The folder is older than what the fleet knows of it: it is a copy or was restored from a backup. */
         FOLDER_OUTDATED,
-        /** This life is over: it was not heard of for too long, or has left. */
+        /** The incarnation has ended: its session expired, or it has left. */
         INCARNATION_ENDED,
-        /** Another life of this name has followed this one. */
+        /** A later incarnation of this name has replaced this one. */
         SUPERSEDED,
-        /** A bound of the state is reached. */
+        /** A size limit of the state is reached. */
         LIMIT_REACHED,
-        /** The write's number is not the next one. */
+        /** The write's sequence number is not the next one. */
         OUT_OF_ORDER
     }
 }
--- a/fleet/src/main/java/quincespar/fleet/ShareTracker.java
+++ b/fleet/src/main/java/quincespar/fleet/ShareTracker.java
@@ -3,81 +3,82 @@
 import java.util.List;
 
 /**
- * Among how many front ends the engines are shared, from what is known of the fleet. Shares shrink at once, as an instance
- * that has joined may send from that moment on; they grow only after one has certainly been gone for a while, and one step
- * in that while: an instance that comes and goes faster moves nobody's share. Out of touch they shrink to what was configured.
+ * Tracks the number of front ends that share the engines' capacity. Shares shrink at once, because an instance may send as soon
+ * as it has joined. They grow only after an instance has been gone for the growth delay, and once in each such delay, so that
+ * an instance that flaps faster changes nobody's share. Without a quorum they shrink to what is configured.
  */
 public final class ShareTracker {
     private final int configured;
-    private final double holdMs;
-    private int inForce;
-    private int place;
+    private final double growthDelayMs;
+    private int count;
+    private int index;
     private double fewerSince = Double.POSITIVE_INFINITY;
-    private double grownAt = Double.NEGATIVE_INFINITY;
-    private int fewest;
+    private double lastGrowthAt = Double.NEGATIVE_INFINITY;
+    /** The most instances seen active at once since {@link #fewerSince}: the count that shares may grow to. */
+    private int mostSeen;
 
-    /** Among how many, and this instance's place among them from 0. */
+    /** The number of front ends that share the engines, and this instance's index among them from 0. */
     public record Share(int frontEnds, int index) { }
 
     /**
-     * Shares for an instance.
+     * Starts with the configured shares.
      *
-     * @param configured how many front ends the configuration names: what holds while nothing else is known
-     * @param place this one's place among them
-     * @param holdMs how long fewer must be known before shares grow, in milliseconds
+     * @param configured the configured number of front ends, used while nothing else is known
+     * @param index this instance's configured index among them
+     * @param growthDelayMs how long fewer instances must be active before shares grow, in milliseconds
      */
-    public ShareTracker(int configured, int place, double holdMs) {
+    public ShareTracker(int configured, int index, double growthDelayMs) {
         this.configured = configured;
-        this.place = place;
-        this.holdMs = holdMs;
-        inForce = configured;
+        this.index = index;
+        this.growthDelayMs = growthDelayMs;
+        count = configured;
     }
 
-    /** How long fewer must be known before shares grow, in milliseconds. */
+    /** How long fewer instances must be active before shares grow, in milliseconds. */
     public double growthDelayMs() {
-        return holdMs;
+        return growthDelayMs;
     }
 
-    /** What holds now. */
+    /** The current share. */
     public Share current() {
-        return new Share(inForce, Math.floorMod(place, inForce));
+        return new Share(count, Math.floorMod(index, count));
     }
 
     /**
-     * Takes what is known at {@code now} (milliseconds, never running backwards); to be called with each news and again
-     * {@link #nextUpdateMs} later.
+     * Updates the share from a view at {@code now} (milliseconds, monotonic); to be called with each new view and again after
+     * {@link #nextUpdateMs}.
      */
     public Share update(double now, FleetView view, String self) {
-        List<String> acting = view.activeInstances().stream().map(Instance::name).toList();
-        int wanted = acting.contains(self) ? acting.size() : 0;
-        if (!view.quorumReachable() || wanted == 0) { // whoever has joined meanwhile is not known here
+        List<String> active = view.activeInstances().stream().map(Instance::name).toList();
+        int wanted = active.contains(self) ? active.size() : 0;
+        if (!view.quorumReachable() || wanted == 0) { // instances may have joined that are not known here
             fewerSince = Double.POSITIVE_INFINITY;
-            inForce = Math.max(inForce, configured);
+            count = Math.max(count, configured);
             return current();
         }
-        place = acting.indexOf(self);
-        if (wanted >= inForce) {
+        index = active.indexOf(self);
+        if (wanted >= count) {
             fewerSince = Double.POSITIVE_INFINITY;
-            inForce = wanted;
+            count = wanted;
             return current();
         }
         if (fewerSince == Double.POSITIVE_INFINITY) {
             fewerSince = now;
-            fewest = wanted;
+            mostSeen = wanted;
         }
-        fewest = Math.max(fewest, wanted); // whoever was seen in the meantime counts
-        if (now >= fewerSince + holdMs && now >= grownAt + holdMs) {
-            inForce = fewest;
-            grownAt = now;
-            fewerSince = wanted < inForce ? now : Double.POSITIVE_INFINITY;
-            fewest = wanted;
+        mostSeen = Math.max(mostSeen, wanted); // an instance seen at any time during the delay counts
+        if (now >= fewerSince + growthDelayMs && now >= lastGrowthAt + growthDelayMs) {
+            count = mostSeen;
+            lastGrowthAt = now;
+            fewerSince = wanted < count ? now : Double.POSITIVE_INFINITY;
+            mostSeen = wanted;
         }
         return current();
     }
 
-    /** When {@link #update} is to be called again though nothing was heard, in milliseconds from {@code now}; infinite where not. */
+    /** Milliseconds from {@code now} until {@link #update} is due even without a new view; infinite if it is not. */
     public double nextUpdateMs(double now) {
         return fewerSince == Double.POSITIVE_INFINITY ? Double.POSITIVE_INFINITY
-                : Math.max(0, Math.max(fewerSince, grownAt) + holdMs - now);
+                : Math.max(0, Math.max(fewerSince, lastGrowthAt) + growthDelayMs - now);
     }
 }
--- a/fleet/src/test/java/quincespar/fleet/FleetConfigTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetConfigTest.java
@@ -15,8 +15,8 @@
                 "h:2"));
         assertThat(problems).isEmpty();
         FleetConfig.parseAddresses("x,=h:1,a=h:0,a=h,b=h:1,b=h:2", "voters", problems);
-        assertThat(problems).containsExactly("voters: 'x' is no NAME=HOST:PORT", "voters: '=h:1' is no NAME=HOST:PORT",
-                "voters: 'h:0' of a is no HOST:PORT", "voters: 'h' of a is no HOST:PORT", "voters: b is named twice");
+        assertThat(problems).containsExactly("voters: 'x' is not NAME=HOST:PORT", "voters: '=h:1' is not NAME=HOST:PORT",
+                "voters: 'h:0' of a is not HOST:PORT", "voters: 'h' of a is not HOST:PORT", "voters: b is listed twice");
     }
 
     @Test
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -185,7 +185,7 @@
     void aStateOfAnotherFormatIsRefusedInOneSentence() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
         assertThatThrownBy(() -> codec.readSnapshot(next)).isInstanceOf(MalformedRecordException.class)
-                .hasMessage("a fleet's state of format 3, and this program reads 2 only");
+                .hasMessage("the fleet state has format 3, but this program reads only 2");
     }
 
     /** One bit of a command or an answer, each in turn: never read as another. */
--- a/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
+++ b/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
@@ -170,7 +170,7 @@
         assertThat(view().quorumReachable()).isFalse();
         result(new Result.Renewed(9, 9, new byte[0]));
         assertThat(view().quorumReachable()).isTrue();
-        assertThat(acts).contains(new Action.Log("hears a majority again"));
+        assertThat(acts).contains(new Action.Log("is in contact with a quorum again"));
     }
 
     @Test
--- a/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
+++ b/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
@@ -26,7 +26,7 @@
         assertThat(f.folder()).isEqualTo(Path.of("/x"));
         assertThat(f.writes()).isFalse();
         assertThatThrownBy(() -> FleetSettings.of(read("fleet {\n voters \"n1=h:1,n2=h\"\n renew 1s\n}\n"), "f"))
-                .isInstanceOf(ConfException.class).hasMessage("f: fleet voters: 'h' of n2 is no HOST:PORT\n"
-                + "f: fleet suspect must be three times renew at least, so that one lost renewal moves nobody");
+                .isInstanceOf(ConfException.class).hasMessage("f: fleet voters: 'h' of n2 is not HOST:PORT\n"
+                + "f: fleet suspect must be at least three times renew, so that one lost renewal changes no standing");
     }
 }
