--- a/capture/src/main/java/quincespar/capture/CaptureReader.java
+++ b/capture/src/main/java/quincespar/capture/CaptureReader.java
@@ -9,62 +9,72 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads the captures in a store: which there are, and their entries in order, with gaps where something is missing. */
+/** Reads the captures in a store: lists the segments, and reads their entries in order, with gaps where data is missing. */
 public final class CaptureReader {
-    /** One segment, read to its end; {@code damage} tells what was lost there, null where it is whole. */
+    private static final int READ_BUFFER_BYTES = 1 << 16;
+
+    /**
+     * One segment, read to its end.
+     *
+     * @param from the time of the first call, NaN if there is none
+     * @param to the time of the last call, NaN if there is none
+     * @param hasState whether it holds a snapshot of the module's state
+     * @param damage where and why its tail is lost; null if it is intact
+     */
     public record SegmentSummary(SegmentName name, long bytes, Entry.Opening opening, long records, long calls, double from,
-            double to, boolean state, String damage) { }
+            double to, boolean hasState, String damage) { }
 
-    /** Takes entries; false ends the reading. */
+    /** Receives entries in order. */
     public interface EntryVisitor {
+        /** Receives one entry; returns false to stop reading. */
         boolean visit(SegmentName segment, Entry entry) throws IOException;
     }
 
     private final SegmentStore store;
     private final EntryCodec codec = new EntryCodec();
 
-    /** Reads from that store. */
+    /** Reads from this store. */
     public CaptureReader(SegmentStore store) {
         this.store = store;
     }
 
-    /** The names of all segments, by name, start and number. */
+    /** The names of all segments, ordered by instance, process start and number. */
     public List<SegmentName> segmentNames() throws IOException {
-        return store.list().stream().map(h -> SegmentName.parse(h.name())).flatMap(Optional::stream).sorted().toList();
+        return store.list().stream().map(s -> SegmentName.parse(s.name())).flatMap(Optional::stream).sorted().toList();
     }
 
-    /** Reads one segment to its end; throws {@link MalformedCaptureException} where it is none, or of another schema. */
+    /** Reads one segment to its end; throws {@link MalformedCaptureException} if it is not one, or of another schema. */
     public SegmentSummary summarize(SegmentName name) throws IOException {
-        Look look = new Look();
-        End end = each(name, e -> {
-            look.at(e);
+        SummaryBuilder summary = new SummaryBuilder();
+        ReadEnd end = readSegment(name, e -> {
+            summary.add(e);
             return true;
         });
-        return new SegmentSummary(name, end.offset(), look.opening, end.records(), look.calls, look.from, look.to, look.state,
-                end.damage());
+        return new SegmentSummary(name, end.offset(), summary.opening, end.records(), summary.calls, summary.from, summary.to,
+                summary.hasState, end.damage());
     }
 
-    /** Entries of these segments in their order; a gap stands where a segment is missing or lost its tail. */
+    /** Reads the entries of these segments in order, with a gap for each segment that is missing or damaged. */
     public void forEachEntry(List<SegmentName> names, EntryVisitor visitor) throws IOException {
         SegmentName before = null;
         boolean[] more = {true};
         double[] time = {0};
         for (SegmentName name : names) {
-            if (before != null && before.instance().equals(name.instance()) && before.processStart() == name.processStart() && !before.isFollowedBy(name)) {
+            if (before != null && isSameProcess(before, name) && !before.isFollowedBy(name)) {
                 more[0] = visitor.visit(name, new Entry.Gap(time[0], 0, "segments before " + name.fileName() + " are missing"));
             }
             if (!more[0]) {
                 return;
             }
-            End end;
+            ReadEnd end;
             try {
-                end = each(name, e -> {
+                end = readSegment(name, e -> {
                     time[0] = e instanceof Entry.Call c ? c.time() : time[0];
                     more[0] = visitor.visit(name, e);
                     return more[0];
                 });
-            } catch (NoSuchFileException e) { // its writer goes on, and drops what is old while this one reads
-                end = new End(0, 0, "it has gone");
+            } catch (NoSuchFileException e) { // the writer is still running, and has deleted it as the oldest segment
+                end = new ReadEnd(0, 0, "deleted while reading");
             }
             if (more[0] && end.damage() != null) {
                 more[0] = visitor.visit(name, new Entry.Gap(time[0], 0, name.fileName() + ": " + end.damage()));
@@ -73,38 +83,42 @@
         }
     }
 
-    private interface Each {
-        boolean take(Entry e) throws IOException;
+    private static boolean isSameProcess(SegmentName a, SegmentName b) {
+        return a.instance().equals(b.instance()) && a.processStart() == b.processStart();
+    }
+
+    private interface EntryConsumer {
+        boolean accept(Entry e) throws IOException;
     }
 
-    private record End(long offset, long records, String damage) { }
+    private record ReadEnd(long offset, long records, String damage) { }
 
-    private End each(SegmentName name, Each taker) throws IOException {
-        try (InputStream from = new BufferedInputStream(store.open(name.fileName()), 1 << 16)) {
-            byte[] head = Frames.header(codec.schema());
-            from.mark(head.length);
-            byte[] found = from.readNBytes(head.length);
-            if (found.length < head.length && Arrays.equals(found, Arrays.copyOf(head, found.length))) {
-                return new End(0, 0, "it is cut off within its head"); // its writer was killed or could not go on
+    private ReadEnd readSegment(SegmentName name, EntryConsumer consumer) throws IOException {
+        try (InputStream in = new BufferedInputStream(store.open(name.fileName()), READ_BUFFER_BYTES)) {
+            byte[] header = Frames.header(codec.schema());
+            in.mark(header.length);
+            byte[] found = in.readNBytes(header.length);
+            if (found.length < header.length && Arrays.equals(found, Arrays.copyOf(header, found.length))) {
+                return new ReadEnd(0, 0, "cut off within the file header"); // the writer was killed, or its write failed
             }
-            from.reset();
-            Frames.Reader in = new Frames.Reader(from, codec.schema());
-            for (byte[] r = in.next(); r != null; r = in.next()) {
-                if (!taker.take(codec.read(r))) {
+            in.reset();
+            Frames.Reader frames = new Frames.Reader(in, codec.schema());
+            for (byte[] record = frames.next(); record != null; record = frames.next()) {
+                if (!consumer.accept(codec.read(record))) {
                     break;
                 }
             }
-            return new End(in.offset(), in.records(), in.damage());
+            return new ReadEnd(frames.offset(), frames.records(), frames.damage());
         }
     }
 
-    /** The entries of some segments whose calls lie within a time, from the last state before it on, as a list. */
+    /** The entries whose calls lie between two times, preceded by the entries back to the start of their first segment. */
     public List<Entry> cut(List<SegmentName> names, double from, double to) throws IOException {
-        List<Entry> out = new ArrayList<>();
+        List<Entry> entries = new ArrayList<>();
         boolean[] within = {false};
         forEachEntry(names, (name, e) -> {
             if (e instanceof Entry.Opening && !within[0]) {
-                out.clear(); // nothing of the segments before was asked for
+                entries.clear(); // the segments before are not needed
             }
             if (e instanceof Entry.Call c) {
                 within[0] |= c.time() >= from && c.time() <= to;
@@ -112,25 +126,24 @@
                     return false;
                 }
             }
-            out.add(e);
+            entries.add(e);
             return true;
         });
-        return within[0] ? out : List.of();
+        return within[0] ? entries : List.of();
     }
 
-    /** What is told of a segment, gathered on the way through it. */
-    private static final class Look {
+    private static final class SummaryBuilder {
         private Entry.Opening opening;
         private long calls;
         private double from = Double.NaN;
         private double to = Double.NaN;
-        private boolean state;
+        private boolean hasState;
 
-        void at(Entry e) {
+        void add(Entry e) {
             if (e instanceof Entry.Opening o) {
                 opening = o;
             } else if (e instanceof Entry.State) {
-                state = true;
+                hasState = true;
             } else if (e instanceof Entry.Call c) {
                 calls++;
                 from = Double.isNaN(from) ? c.time() : from;
--- a/capture/src/main/java/quincespar/capture/Replay.java
+++ b/capture/src/main/java/quincespar/capture/Replay.java
@@ -11,57 +11,67 @@
 import quincespar.decision.Gateway;
 
 /**
- * Feeds a module what another was told, and compares what it decides. It stops where they part: from there on the events
- * are answers to decisions that this module did not make, and prove nothing about it.
+ * Feeds the captured events to another instance of the module and compares its actions with the captured ones. Stops at the
+ * first difference: later events answer actions that this instance did not take, and prove nothing about it.
  */
 public final class Replay {
-    /** Makes the modules that are played on. */
+    /** Creates the module instances for a replay. */
     public interface ModuleFactory {
-        /** A new one. */
+        /** Creates a new module. */
         Gateway create(Entry.Opening opening);
 
-        /** One in that state; throws {@link MalformedCaptureException} where it is of another text, or none. */
+        /** Creates a module in a captured state; throws {@link MalformedCaptureException} if its code differs. */
         Gateway restore(Entry.State state) throws IOException;
 
-        /** A module's state, as bytes that are the same where the state is. */
+        /** Encodes a module's state; equal states give equal bytes. */
         byte[] stateOf(Gateway module);
     }
 
     /**
-     * What came of it; {@code divergence} is null where all decisions are the same. Of the snapshots that were reached by
-     * playing on, so many were {@code states} that the module was in, and so many {@code otherStates}. {@code lost}: calls
-     * that were not captured, or could not be played for want of a state.
+     * The result of a replay.
+     *
+     * @param decisions the number of actions that the replayed module returned
+     * @param matchingStates captured states that the replayed module was in when it reached them
+     * @param differingStates captured states that it was not in
+     * @param lostCalls calls that were not captured, or could not be replayed for lack of a state
+     * @param digest over all decisions, in hex
+     * @param divergence null if all decisions were the same
      */
-    public record Result(long calls, long events, long decisions, long matchingStates, long differingStates, long lostCalls, String digest,
-            Divergence divergence) { }
+    public record Result(long calls, long events, long decisions, long matchingStates, long differingStates, long lostCalls,
+            String digest, Divergence divergence) { }
 
-    /** The first call whose decisions differ, by number from 1, with the calls before it, the last one last. */
+    /**
+     * The first call whose decisions differ.
+     *
+     * @param call its number, from 1
+     * @param before the calls before it, oldest first
+     */
     public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Gateway.Action> got) { }
 
-    /** Calls shown before a divergence. */
-    private static final int BEFORE = 10;
+    /** Calls kept to be shown before a divergence. */
+    private static final int CALLS_BEFORE = 10;
 
     private final EntryCodec codec = new EntryCodec();
     private final MessageDigest digest = Digests.sha256();
     private final Deque<Entry.Call> before = new ArrayDeque<>();
     private final ModuleFactory modules;
-    /** Of the segment that begins: whether a state comes with it is known with the next entry. */
+    /** The opening of a segment until the next entry tells whether a state follows it; null otherwise. */
     private Entry.Opening opening;
     private Gateway module;
-    private long states;
-    private long otherStates;
-    private long lost;
+    private long matchingStates;
+    private long differingStates;
+    private long lostCalls;
     private Divergence divergence;
     private long calls;
     private long events;
     private long decisions;
 
-    /** Plays on what {@code modules} makes. */
+    /** Replays on modules from this factory. */
     public Replay(ModuleFactory modules) {
         this.modules = modules;
     }
 
-    /** Plays one entry; false once the decisions have parted. Calls after a gap are counted as lost up to the next state. */
+    /** Replays one entry; false after a divergence. Calls after a gap count as lost until the next state or opening. */
     public boolean play(Entry entry) throws IOException {
         if (divergence != null) {
             return false;
@@ -69,61 +79,62 @@
         if (entry instanceof Entry.Opening o) {
             opening = o;
         } else if (entry instanceof Entry.State s) {
-            state(s);
+            playState(s);
         } else if (entry instanceof Entry.Gap g) {
-            lost += g.lostCalls();
-            opening = null; // what follows is played from the next state
+            lostCalls += g.lostCalls();
+            opening = null; // what follows is replayed from the next state
             module = null;
         } else if (entry instanceof Entry.Call c) {
             if (opening != null) {
                 module = modules.create(opening);
                 opening = null;
             }
-            lost += module == null ? 1 : 0;
-            return module == null || call(c);
+            lostCalls += module == null ? 1 : 0;
+            return module == null || playCall(c);
         }
         return true;
     }
 
-    private void state(Entry.State s) throws IOException {
+    private void playState(Entry.State state) throws IOException {
         opening = null;
         if (module == null) {
-            module = modules.restore(s);
-        } else if (Arrays.equals(modules.stateOf(module), s.bytes())) {
-            states++;
+            module = modules.restore(state);
+        } else if (Arrays.equals(modules.stateOf(module), state.bytes())) {
+            matchingStates++;
         } else {
-            otherStates++;
+            differingStates++;
         }
     }
 
-    private boolean call(Entry.Call c) {
-        List<Gateway.Action> got = List.copyOf(module.decide(c.time(), c.events()));
+    private boolean playCall(Entry.Call expected) {
+        List<Gateway.Action> got = List.copyOf(module.decide(expected.time(), expected.events()));
         calls++;
-        events += c.events().size();
+        events += expected.events().size();
         decisions += got.size();
-        Entry.Call played = new Entry.Call(c.time(), c.events(), got);
+        Entry.Call played = new Entry.Call(expected.time(), expected.events(), got);
         codec.digest(digest, played);
-        if (!Arrays.equals(codec.write(c), codec.write(played))) { // bytes: NaN and -0.0 count as they are
-            divergence = new Divergence(calls, c.time(), new ArrayList<>(before), c, got);
+        if (!Arrays.equals(codec.write(expected), codec.write(played))) { // compares bytes, so that NaN and -0.0 count
+            divergence = new Divergence(calls, expected.time(), new ArrayList<>(before), expected, got);
             return false;
         }
-        if (before.size() == BEFORE) {
+        if (before.size() == CALLS_BEFORE) {
             before.removeFirst();
         }
-        before.addLast(c);
+        before.addLast(expected);
         return true;
     }
 
-    /** The module as it stands, null where nothing can be played before the next state. */
+    /** The module in its current state; null if nothing can be replayed before the next state. */
     Gateway module() {
         return module;
     }
 
-    /** What has come of it so far; the digest is over all decisions, as hex. */
+    /** The result so far. */
     public Result result() {
         try {
             MessageDigest soFar = (MessageDigest) digest.clone();
-            return new Result(calls, events, decisions, states, otherStates, lost, HexFormat.of().formatHex(soFar.digest()), divergence);
+            return new Result(calls, events, decisions, matchingStates, differingStates, lostCalls,
+                    HexFormat.of().formatHex(soFar.digest()), divergence);
         } catch (CloneNotSupportedException e) {
             throw new IllegalStateException(e);
         }
--- a/capture/src/main/java/quincespar/capture/RuleChecker.java
+++ b/capture/src/main/java/quincespar/capture/RuleChecker.java
@@ -15,29 +15,37 @@
 import quincespar.decision.Gateway.Event;
 
 /**
- * Holds captured calls against the rules that can be seen in them: what may not run twice is sent once unless it is proven
- * never to have run, and not refused after it may have; one attempt of a request is out at a time; nothing new goes to an
- * engine that drains, once the grace is over; a request has one final answer. It knows requests and engines from where it
- * begins; of what was open before it says nothing. The cold rule is the fleet's, and is not seen in one front end's calls.
+ * Checks captured calls against the rules that they show:
+ * <ul>
+ * <li>a request that must not run twice is sent again only if the earlier attempts are proven never to have run, and is not
+ * refused once an attempt may have run;
+ * <li>a request has one attempt in flight at a time, unless second copies are allowed;
+ * <li>no request is sent to a draining engine once the grace period is over;
+ * <li>a request has one final answer.
+ * </ul>
+ * Requests that were open before the first checked call are ignored. The limit on work for cold engines applies to the whole
+ * fleet and cannot be checked from the calls of one front end.
  */
 public final class RuleChecker {
-    /** Of so many requests that are over it is still known that they are. */
-    private static final int REMEMBERED = 10_000;
-    /** So many violations are kept in words; all are counted. */
-    private static final int MOST = 20;
+    /** The number of finished requests that are remembered as finished. */
+    private static final int MAX_FINISHED = 10_000;
+    /** The number of violations that are described; all are counted. */
+    private static final int MAX_DESCRIBED = 20;
+    private static final double MS_PER_S = 1000;
 
-    private static final class Open {
+    private static final class OpenRequest {
         private final ClassSpec spec;
+        /** The outcome of each attempt, by its number; null while it is in flight. */
         private final List<Gateway.Outcome> attempts = new ArrayList<>();
-        private boolean over;
-        /** Its client has left: nothing is owed, and nothing new may be sent. */
-        private boolean left;
+        private boolean answered;
+        /** The client has left: no answer is due, and no attempt may be sent. */
+        private boolean clientLeft;
 
-        Open(ClassSpec spec) {
+        OpenRequest(ClassSpec spec) {
             this.spec = spec;
         }
 
-        long out() {
+        long inFlight() {
             return attempts.stream().filter(o -> o == null).count();
         }
 
@@ -46,41 +54,41 @@
         }
     }
 
-    private final Map<Long, Open> requests = new LinkedHashMap<>();
-    private final Set<Long> ended = new LinkedHashSet<>();
+    private final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
+    private final Set<Long> finished = new LinkedHashSet<>();
     private final Map<Long, Double> notReadySince = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private Entry.Opening opening;
     private Gateway.Settings settings;
-    private long count;
+    private long violationCount;
 
-    /** Takes one entry. */
+    /** Checks the next entry. */
     public void check(Entry e) {
         if (e instanceof Entry.Opening o) {
             boolean same = opening != null && o.name().equals(opening.name()) && o.time() == opening.time();
-            if (!same) { // another process: its numbers are its own
+            if (!same) { // another process, which numbers its requests from 1 again
                 forgetAll();
                 opening = o;
                 settings = o.settings();
             }
         } else if (e instanceof Entry.Gap) {
-            forgetAll(); // what became of them is not known
+            forgetAll(); // their state after the gap is unknown
         } else if (e instanceof Entry.Call c && settings != null) {
-            c.events().forEach(x -> happened(c.time(), x));
-            c.actions().forEach(x -> decided(c.time(), x));
-            c.events().forEach(this::left); // who leaves in a call may have been given up in it just before
+            c.events().forEach(x -> checkEvent(c.time(), x));
+            c.actions().forEach(x -> checkAction(c.time(), x));
+            c.events().forEach(this::clientLeft); // last, as this call may also answer the request of a client that leaves
         }
     }
 
     private void forgetAll() {
-        ended.clear();
+        finished.clear();
         requests.clear();
         notReadySince.clear();
     }
 
-    private void happened(double now, Event e) {
+    private void checkEvent(double now, Event e) {
         if (e instanceof Gateway.Request r && r.cls() >= 0 && r.cls() < settings.classes().size()) {
-            requests.putIfAbsent(r.id(), new Open(settings.classes().get(r.cls())));
+            requests.putIfAbsent(r.id(), new OpenRequest(settings.classes().get(r.cls())));
         } else if (e instanceof Gateway.Configured c) {
             settings = c.settings();
         } else if (e instanceof Gateway.Listed l) {
@@ -92,86 +100,86 @@
                 }
             });
         } else if (e instanceof Gateway.Ended x) {
-            ended(x, requests.get(x.id()));
+            attemptEnded(x, requests.get(x.id()));
         } else if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
-            requests.get(l.id()).left = true;
+            requests.get(l.id()).clientLeft = true;
         }
     }
 
-    private void ended(Gateway.Ended x, Open r) {
+    private void attemptEnded(Gateway.Ended x, OpenRequest r) {
         if (r != null && x.attempt() >= 0 && x.attempt() < r.attempts.size() && r.attempts.get(x.attempt()) == null) {
-            r.attempts.set(x.attempt(), x.outcome()); // an end that is told again says nothing
-            r.over |= x.over();
-            forget(x.id(), r);
+            r.attempts.set(x.attempt(), x.outcome()); // a repeated report is ignored
+            r.answered |= x.over();
+            removeIfFinished(x.id(), r);
         }
     }
 
-    private void left(Event e) {
+    private void clientLeft(Event e) {
         if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
-            requests.get(l.id()).over = true;
-            forget(l.id(), requests.get(l.id()));
+            requests.get(l.id()).answered = true;
+            removeIfFinished(l.id(), requests.get(l.id()));
         }
     }
 
-    private void decided(double now, Action a) {
+    private void checkAction(double now, Action a) {
         if (a instanceof Gateway.Send x) {
-            send(now, x, requests.get(x.id()));
+            checkSend(now, x, requests.get(x.id()));
         } else if (a instanceof Gateway.Refuse x) {
-            answered(now, x.id(), requests.get(x.id()), true);
+            checkAnswer(now, x.id(), requests.get(x.id()), true);
         } else if (a instanceof Gateway.Fail x) {
-            answered(now, x.id(), requests.get(x.id()), false);
+            checkAnswer(now, x.id(), requests.get(x.id()), false);
         }
     }
 
-    private void send(double now, Gateway.Send s, Open r) {
-        require(!ended.contains(s.id()), now, s.id(), "is sent after its end");
+    private void checkSend(double now, Gateway.Send s, OpenRequest r) {
+        require(!finished.contains(s.id()), now, s.id(), "is sent after it ended");
         if (r == null) {
-            return; // over, or open since before the first call that is known
+            return; // finished, or open since before the first checked call
         }
-        require(!r.over && !r.left, now, s.id(), "is sent after its end");
+        require(!r.answered && !r.clientLeft, now, s.id(), "is sent after it ended");
         require(r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, s.id(),
-                "is sent again though it may have run, and may not run twice");
-        require(r.out() == 0 || settings.limits().secondCopies(), now, s.id(), "has two attempts out");
+                "is sent again although it may have run and must not run twice");
+        require(r.inFlight() == 0 || settings.limits().secondCopies(), now, s.id(), "has two attempts in flight");
         Double since = notReadySince.get(s.engine());
         require(since == null || now - since <= settings.rules().drainGrace(), now, s.id(),
-                "is sent to engine " + s.engine() + ", which takes nothing new");
+                "is sent to engine " + s.engine() + ", which accepts no new requests");
         r.attempts.add(null);
     }
 
-    private void answered(double now, long id, Open r, boolean refused) {
-        require(!ended.contains(id), now, id, "has two final answers");
+    private void checkAnswer(double now, long id, OpenRequest r, boolean refused) {
+        require(!finished.contains(id), now, id, "has two final answers");
         if (r == null) {
             return;
         }
         require(!refused || r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, id,
                 "is refused after it may have run");
-        require(!r.over, now, id, "has two final answers");
-        r.over = true;
-        forget(id, r);
+        require(!r.answered, now, id, "has two final answers");
+        r.answered = true;
+        removeIfFinished(id, r);
     }
 
-    private void forget(long id, Open r) {
-        if (r.over && r.out() == 0) {
+    private void removeIfFinished(long id, OpenRequest r) {
+        if (r.answered && r.inFlight() == 0) {
             requests.remove(id);
-            ended.add(id);
-            if (ended.size() > REMEMBERED) {
-                ended.remove(ended.iterator().next());
+            finished.add(id);
+            if (finished.size() > MAX_FINISHED) {
+                finished.remove(finished.iterator().next());
             }
         }
     }
 
-    private void require(boolean kept, double now, long id, String breach) {
-        if (!kept && count++ < MOST) {
-            violations.add(String.format(Locale.ROOT, "%.3f request %d %s", now / 1000, id, breach));
+    private void require(boolean condition, double now, long id, String violation) {
+        if (!condition && violationCount++ < MAX_DESCRIBED) {
+            violations.add(String.format(Locale.ROOT, "%.3f request %d %s", now / MS_PER_S, id, violation));
         }
     }
 
-    /** How often a rule was broken. */
+    /** The number of violations. */
     public long violationCount() {
-        return count;
+        return violationCount;
     }
 
-    /** The first violations, in words. */
+    /** The first violations, one line each. */
     public List<String> violations() {
         return List.copyOf(violations);
     }
--- a/capture/src/main/java/quincespar/capture/StateCodec.java
+++ b/capture/src/main/java/quincespar/capture/StateCodec.java
@@ -29,34 +29,35 @@
 import org.objenesis.ObjenesisStd;
 
 /**
- * A module's state as bytes and back: all objects that it reaches, with who refers to whom, its source of chance
- * included. The same state gives the same bytes, whatever it was read from, so that two modules can be compared by them.
+ * Encodes and decodes the state of a decision module: the whole object graph that it reaches, references and random generator
+ * included. Equal states give equal bytes, whether or not they were decoded from bytes, so that two modules can be compared.
  *
- * <p>What never changes (numbers, texts, constants, records and the lists in them) is a value: equal ones are written
- * once, those before that a later one is made of. All else is an object with a number of its own. Objects are written one
- * after another and not one within another: open requests refer to each other through engines in chains as long as there
- * are requests, which a walk that calls itself would not survive. Used by one thread.
+ * <p>Immutable things (numbers, strings, enum constants, records and the lists in them) are values: equal ones are written
+ * once, after the values of which they consist. Everything else is an object with an identity, written by number. Objects are
+ * written one after another from a queue instead of recursively: open requests refer to each other through engines in chains
+ * as long as the number of requests, and recursion would overflow the stack. Not thread-safe.
  */
 public final class StateCodec {
-    /** The forms of objects; a plain one is of a class of the module's own. */
-    private enum Form { PLAIN, LIST, MAP, SET, QUEUE, SORTED, DOUBLES, INTS, OBJECTS }
+    /** The kinds of objects, stored by ordinal; a plain one is an instance of one of the module's own classes. */
+    private enum ObjectKind { PLAIN, LIST, MAP, SET, QUEUE, SORTED_SET, DOUBLES, INTS, OBJECTS }
 
-    private enum Value { INTEGER, LONG, DOUBLE, BOOLEAN, TEXT, CONSTANT, RECORD, FIXED_LIST }
+    /** The kinds of values, stored by ordinal. */
+    private enum ValueKind { INTEGER, LONG, DOUBLE, BOOLEAN, STRING, ENUM_CONSTANT, RECORD, FIXED_LIST }
 
     private final Class<?> root;
-    /** All classes that may appear, by name: a class's number is its place. */
+    /** All classes that may occur, sorted by name: a class's number is its index. */
     private final List<Class<?>> classes;
     private final Map<Class<?>, Integer> numbers = new HashMap<>();
     private final Map<Class<?>, Field[]> fields = new HashMap<>();
     private final Map<Class<?>, Constructor<?>> constructors = new HashMap<>();
-    private final Objenesis instances = new ObjenesisStd();
+    private final Objenesis instantiator = new ObjenesisStd();
     private final String schema;
 
-    /** Knows the module {@code root} and all classes of its package that its state can reach. */
+    /** Creates a codec for modules of class {@code root} and all classes of its package that its state can reach. */
     public StateCodec(Class<?> root) {
         this.root = root;
         Set<Class<?>> reached = new LinkedHashSet<>();
-        reach(root, reached);
+        collectClasses(root, reached);
         classes = reached.stream().filter(c -> !c.isInterface()).sorted(Comparator.comparing(Class::getName)).toList();
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < classes.size(); i++) {
@@ -78,39 +79,39 @@
         schema = Digests.shortHex(text.toString());
     }
 
-    /** Sixteen hex digits that change where what the module remembers does. */
+    /** Sixteen hex digits that identify the classes and fields of the state. */
     public String schema() {
         return schema;
     }
 
-    /** With a class all that is nested beside it, as actions and their kind are; fields tell of further classes. */
-    private static void reach(Class<?> c, Set<Class<?>> reached) {
+    /** Collects a class with all its nest members, such as the records of a sealed interface, and the classes of its fields. */
+    private static void collectClasses(Class<?> c, Set<Class<?>> reached) {
         for (Class<?> member : c.getNestMembers()) {
             if (!member.isAnonymousClass() && !member.isSynthetic() && reached.add(member)) {
                 for (Field f : member.getDeclaredFields()) {
-                    reach(f.getGenericType(), member.getPackage(), reached);
+                    collectClasses(f.getGenericType(), member.getPackage(), reached);
                 }
             }
         }
     }
 
-    private static void reach(Type type, Package in, Set<Class<?>> reached) {
+    private static void collectClasses(Type type, Package modulePackage, Set<Class<?>> reached) {
         if (type instanceof ParameterizedType p) {
-            Arrays.stream(p.getActualTypeArguments()).forEach(a -> reach(a, in, reached));
+            Arrays.stream(p.getActualTypeArguments()).forEach(a -> collectClasses(a, modulePackage, reached));
         } else if (type instanceof Class<?> c && c.isArray()) {
-            reach(c.getComponentType(), in, reached);
-        } else if (type instanceof Class<?> c && in.equals(c.getPackage())) {
-            reach(c, reached);
+            collectClasses(c.getComponentType(), modulePackage, reached);
+        } else if (type instanceof Class<?> c && modulePackage.equals(c.getPackage())) {
+            collectClasses(c, reached);
         }
     }
 
-    /** A record's components in their order, else all fields by name. */
+    /** The components of a record as declared, or the instance fields of any other class sorted by name. */
     private static Field[] fieldsOf(Class<?> c) {
         if (c.isRecord()) {
             return Arrays.stream(c.getRecordComponents()).map(r -> field(c, r)).toArray(Field[]::new);
         }
         if (c.getSuperclass() != Object.class) {
-            throw new IllegalArgumentException(c + " has state in what it extends");
+            throw new IllegalArgumentException(c + " may have state in its superclass, which is not encoded");
         }
         Field[] all = Arrays.stream(c.getDeclaredFields()).filter(f -> !Modifier.isStatic(f.getModifiers()))
                 .sorted(Comparator.comparing(Field::getName)).toArray(Field[]::new);
@@ -130,16 +131,16 @@
 
     private static Constructor<?> constructorOf(Class<?> c) {
         try {
-            Constructor<?> made = c.getDeclaredConstructor(Arrays.stream(c.getRecordComponents())
+            Constructor<?> constructor = c.getDeclaredConstructor(Arrays.stream(c.getRecordComponents())
                     .map(RecordComponent::getType).toArray(Class<?>[]::new));
-            made.setAccessible(true);
-            return made;
+            constructor.setAccessible(true);
+            return constructor;
         } catch (NoSuchMethodException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** The state's bytes; throws {@link IllegalStateException} where the module holds what a snapshot does not know. */
+    /** Encodes a module's state; throws {@link IllegalStateException} if it holds an object of an unsupported class. */
     public byte[] write(Object module) {
         try {
             return new Writer().write(module);
@@ -148,152 +149,159 @@
         }
     }
 
-    /** A module of its own in that state; throws {@link MalformedCaptureException} at what is none. */
+    /** Decodes a state into a new module; throws {@link MalformedCaptureException} for any other bytes. */
     public <T> T read(byte[] bytes, Class<T> type) throws IOException {
         Reader in = new Reader(bytes);
         try {
             Object module = in.read();
             if (module.getClass() != root) {
-                throw new MalformedCaptureException("a state of " + module.getClass().getSimpleName(), null);
+                throw new MalformedCaptureException("the state is that of a " + module.getClass().getSimpleName(), null);
             }
             return type.cast(module);
         } catch (MalformedCaptureException e) {
             throw e;
-        } catch (IOException | RuntimeException | ReflectiveOperationException e) { // of whatever the bytes claim
-            throw new MalformedCaptureException("a state that can't be read: " + e, e);
+        } catch (IOException | RuntimeException | ReflectiveOperationException e) { // damaged bytes can fail anywhere
+            throw new MalformedCaptureException("unreadable state: " + e, e);
         }
     }
 
     /**
-     * Bytes that grow. Values are kept in it once: what was written last and stands there already is taken back. Found by
-     * their bytes, as records would each be hashed over all that they hold.
+     * A growing buffer that holds equal values only once: a value that was just appended and occurs earlier is removed again.
+     * Values are compared by their encoded bytes, as hashing a record would visit everything that it holds.
      */
-    private static final class Bytes {
-        private static final int FIRST = 1 << 12;
-        private byte[] bytes = new byte[FIRST];
+    private static final class Buffer {
+        private static final int INITIAL_SIZE = 1 << 12;
+        /** A slot of the hash table holds four ints: the offset of a value, its length, its hash, and its number plus one. */
+        private static final int SLOT = 4;
+        private static final int LENGTH = 1;
+        private static final int HASH = 2;
+        /** 0 in an empty slot. */
+        private static final int NUMBER = 3;
+        private byte[] bytes = new byte[INITIAL_SIZE];
         private int size;
-        /** Of the values, by place in an open table: where each begins, its length, its hash, and its number plus one. */
-        private int[] table = new int[FIRST];
+        private int[] table = new int[INITIAL_SIZE];
         private int values;
 
-        private void room(int more) {
-            if (size + more > bytes.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
+        private void ensureCapacity(int moreBytes) {
+            if (size + moreBytes > bytes.length) {
+                bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + moreBytes));
             }
         }
 
-        void put(int b) {
-            room(1);
+        void putByte(int b) {
+            ensureCapacity(1);
             bytes[size++] = (byte) b;
         }
 
-        void count(int n) {
+        /** Appends a non-negative number in seven bits a byte, lowest first. */
+        void putVarint(int n) {
             int rest = n;
             while (rest > 127) {
-                put(rest & 127 | 128);
+                putByte(rest & 127 | 128);
                 rest >>>= 7;
             }
-            put(rest);
+            putByte(rest);
         }
 
-        void number(int n) {
-            room(Integer.BYTES);
+        void putInt(int n) {
+            ensureCapacity(Integer.BYTES);
             for (int shift = 24; shift >= 0; shift -= 8) {
                 bytes[size++] = (byte) (n >>> shift);
             }
         }
 
-        void number(long n) {
-            number((int) (n >>> 32));
-            number((int) n);
+        void putLong(long n) {
+            putInt((int) (n >>> 32));
+            putInt((int) n);
         }
 
-        void number(double x) {
-            number(Double.doubleToRawLongBits(x));
+        void putDouble(double x) {
+            putLong(Double.doubleToRawLongBits(x));
         }
 
-        void all(byte[] some) {
-            room(some.length);
-            System.arraycopy(some, 0, bytes, size, some.length);
-            size += some.length;
+        void putBytes(byte[] more) {
+            ensureCapacity(more.length);
+            System.arraycopy(more, 0, bytes, size, more.length);
+            size += more.length;
         }
 
-        /** The number of the value that was written from there on, which is taken back where it stood there before. */
-        int value(int from) {
+        /** Ends the value that starts at an offset, and returns its number; an equal value before it takes its place. */
+        int endValue(int from) {
             int length = size - from;
             int hash = 1;
             for (int i = from; i < size; i++) {
                 hash = 31 * hash + bytes[i];
             }
-            if (4 * 4 * values >= 2 * table.length) {
-                rehash();
+            if (4 * SLOT * values >= 2 * table.length) { // at most half full
+                growTable();
             }
-            int at = place(hash);
-            while (table[at + 3] != 0) {
-                if (table[at + 2] == hash && table[at + 1] == length
-                        && Arrays.equals(bytes, table[at], table[at] + length, bytes, from, size)) {
+            int slot = slotOf(hash);
+            while (table[slot + NUMBER] != 0) {
+                if (table[slot + HASH] == hash && table[slot + LENGTH] == length
+                        && Arrays.equals(bytes, table[slot], table[slot] + length, bytes, from, size)) {
                     size = from;
-                    return table[at + 3] - 1;
+                    return table[slot + NUMBER] - 1;
                 }
-                at = (at + 4) % table.length;
+                slot = (slot + SLOT) % table.length;
             }
-            enter(at, from, length, hash, ++values);
+            setSlot(slot, from, length, hash, ++values);
             return values - 1;
         }
 
-        private int place(int hash) {
-            int mixed = hash * 0x9E3779B9; // numbers in a row would lie in a row, and each be looked for along all of them
-            return 4 * Math.floorMod(mixed ^ mixed >>> 15, table.length / 4);
+        /** Mixes the hash, as consecutive hashes would fill consecutive slots, and each search would walk along all of them. */
+        private int slotOf(int hash) {
+            int mixed = hash * 0x9E3779B9;
+            return SLOT * Math.floorMod(mixed ^ mixed >>> 15, table.length / SLOT);
         }
 
-        private void enter(int at, int from, int length, int hash, int number) {
-            table[at] = from;
-            table[at + 1] = length;
-            table[at + 2] = hash;
-            table[at + 3] = number;
+        private void setSlot(int slot, int from, int length, int hash, int number) {
+            table[slot] = from;
+            table[slot + LENGTH] = length;
+            table[slot + HASH] = hash;
+            table[slot + NUMBER] = number;
         }
 
-        private void rehash() {
+        private void growTable() {
             int[] old = table;
             table = new int[2 * old.length];
-            for (int i = 0; i < old.length; i += 4) {
-                if (old[i + 3] != 0) {
-                    int at = place(old[i + 2]);
-                    while (table[at + 3] != 0) {
-                        at = (at + 4) % table.length;
+            for (int i = 0; i < old.length; i += SLOT) {
+                if (old[i + NUMBER] != 0) {
+                    int slot = slotOf(old[i + HASH]);
+                    while (table[slot + NUMBER] != 0) {
+                        slot = (slot + SLOT) % table.length;
                     }
-                    enter(at, old[i], old[i + 1], old[i + 2], old[i + 3]);
+                    setSlot(slot, old[i], old[i + LENGTH], old[i + HASH], old[i + NUMBER]);
                 }
             }
         }
     }
 
-    /** Writes one state: values, then the forms of all objects, then what each holds. */
+    /** Writes one state: the values, then the kinds of all objects, then their contents. */
     private final class Writer {
-        /** Composed values that were met, by who they are: to write them again only to find them costs more. */
-        private final Map<Object, Integer> met = new IdentityHashMap<>();
+        /** Numbers of the records and lists written so far, by identity: encoding them again only to find them costs more. */
+        private final Map<Object, Integer> compositeValues = new IdentityHashMap<>();
         private final Map<Object, Integer> objects = new IdentityHashMap<>();
-        private final ArrayDeque<Object> next = new ArrayDeque<>();
-        private final Bytes value = new Bytes();
-        private final Bytes form = new Bytes();
-        private final Bytes content = new Bytes();
+        private final ArrayDeque<Object> unwritten = new ArrayDeque<>();
+        private final Buffer values = new Buffer();
+        private final Buffer kinds = new Buffer();
+        private final Buffer contents = new Buffer();
 
         byte[] write(Object module) throws IllegalAccessException {
             reference(module);
-            for (Object o = next.poll(); o != null; o = next.poll()) {
-                content(o);
-            }
-            Bytes out = new Bytes();
-            out.all(schema.getBytes(StandardCharsets.US_ASCII));
-            out.count(value.values);
-            out.all(Arrays.copyOf(value.bytes, value.size));
-            out.count(objects.size());
-            out.all(Arrays.copyOf(form.bytes, form.size));
-            out.all(Arrays.copyOf(content.bytes, content.size));
+            for (Object o = unwritten.poll(); o != null; o = unwritten.poll()) {
+                writeContent(o);
+            }
+            Buffer out = new Buffer();
+            out.putBytes(schema.getBytes(StandardCharsets.US_ASCII));
+            out.putVarint(values.values);
+            out.putBytes(Arrays.copyOf(values.bytes, values.size));
+            out.putVarint(objects.size());
+            out.putBytes(Arrays.copyOf(kinds.bytes, kinds.size));
+            out.putBytes(Arrays.copyOf(contents.bytes, contents.size));
             return Arrays.copyOf(out.bytes, out.size);
         }
 
-        /** 0 for none, odd for a value, even for an object. */
+        /** 0 for null, odd for a value, even for an object. */
         private int reference(Object o) throws IllegalAccessException {
             if (o == null) {
                 return 0;
@@ -301,14 +309,14 @@
             if (isValue(o)) {
                 return 2 * value(o) + 1;
             }
-            Integer known = objects.get(o);
-            if (known == null) {
-                known = objects.size();
-                objects.put(o, known);
-                form(o);
-                next.add(o);
+            Integer number = objects.get(o);
+            if (number == null) {
+                number = objects.size();
+                objects.put(o, number);
+                writeKind(o);
+                unwritten.add(o);
             }
-            return 2 * known + 2;
+            return 2 * number + 2;
         }
 
         private boolean isValue(Object o) {
@@ -316,159 +324,160 @@
                     || o instanceof Boolean || o instanceof List<?> && !(o instanceof ArrayList<?>);
         }
 
-        /** A value's number; it is written the first time, after those that it is made of. */
+        /** Returns a value's number; a new value is written after the values of which it consists. */
         private int value(Object o) throws IllegalAccessException {
             if (!(o instanceof Record || o instanceof List<?>)) {
-                return simple(o);
+                return simpleValue(o);
             }
-            Integer known = met.get(o);
-            if (known == null) {
-                known = o instanceof List<?> l ? list(l) : record(o);
-                met.put(o, known);
+            Integer number = compositeValues.get(o);
+            if (number == null) {
+                number = o instanceof List<?> l ? listValue(l) : recordValue(o);
+                compositeValues.put(o, number);
             }
-            return known;
+            return number;
         }
 
-        private int simple(Object o) {
-            int from = value.size;
+        private int simpleValue(Object o) {
+            int from = values.size;
             if (o instanceof Integer n) {
-                value.put(Value.INTEGER.ordinal());
-                value.number(n.intValue());
+                values.putByte(ValueKind.INTEGER.ordinal());
+                values.putInt(n);
             } else if (o instanceof Long n) {
-                value.put(Value.LONG.ordinal());
-                value.number(n.longValue());
+                values.putByte(ValueKind.LONG.ordinal());
+                values.putLong(n);
             } else if (o instanceof Double n) {
-                value.put(Value.DOUBLE.ordinal());
-                value.number(n.doubleValue());
+                values.putByte(ValueKind.DOUBLE.ordinal());
+                values.putDouble(n);
             } else if (o instanceof Boolean b) {
-                value.put(Value.BOOLEAN.ordinal());
-                value.put(b ? 1 : 0);
+                values.putByte(ValueKind.BOOLEAN.ordinal());
+                values.putByte(b ? 1 : 0);
             } else if (o instanceof String s) {
                 byte[] bytes = s.getBytes(StandardCharsets.UTF_8);
-                value.put(Value.TEXT.ordinal());
-                value.count(bytes.length);
-                value.all(bytes);
+                values.putByte(ValueKind.STRING.ordinal());
+                values.putVarint(bytes.length);
+                values.putBytes(bytes);
             } else if (o instanceof Enum<?> e) {
-                value.put(Value.CONSTANT.ordinal());
-                value.count(number(e.getDeclaringClass()));
-                value.count(e.ordinal());
+                values.putByte(ValueKind.ENUM_CONSTANT.ordinal());
+                values.putVarint(classNumber(e.getDeclaringClass()));
+                values.putVarint(e.ordinal());
             } else {
-                throw new IllegalStateException("a snapshot does not know " + o.getClass());
+                throw new IllegalStateException("unsupported class in a module's state: " + o.getClass().getName());
             }
-            return value.value(from);
+            return values.endValue(from);
         }
 
-        private int list(List<?> l) throws IllegalAccessException {
+        private int listValue(List<?> l) throws IllegalAccessException {
             int[] parts = new int[l.size()];
             int i = 0;
             for (Object x : l) {
                 parts[i++] = part(x);
             }
-            int from = value.size;
-            value.put(Value.FIXED_LIST.ordinal());
-            value.count(parts.length);
+            int from = values.size;
+            values.putByte(ValueKind.FIXED_LIST.ordinal());
+            values.putVarint(parts.length);
             for (int p : parts) {
-                value.count(p);
+                values.putVarint(p);
             }
-            return value.value(from);
+            return values.endValue(from);
         }
 
-        private int record(Object o) throws IllegalAccessException {
-            int number = number(o.getClass());
-            Field[] all = fields.get(o.getClass());
-            int[] parts = new int[all.length];
-            for (int i = 0; i < all.length; i++) {
-                parts[i] = all[i].getType().isPrimitive() ? 0 : part(all[i].get(o));
+        private int recordValue(Object o) throws IllegalAccessException {
+            int number = classNumber(o.getClass());
+            Field[] components = fields.get(o.getClass());
+            int[] parts = new int[components.length];
+            for (int i = 0; i < components.length; i++) {
+                parts[i] = components[i].getType().isPrimitive() ? 0 : part(components[i].get(o));
             }
-            int from = value.size;
-            value.put(Value.RECORD.ordinal());
-            value.count(number);
-            for (int i = 0; i < all.length; i++) {
-                if (!primitive(all[i], o, value)) {
-                    value.count(parts[i]);
+            int from = values.size;
+            values.putByte(ValueKind.RECORD.ordinal());
+            values.putVarint(number);
+            for (int i = 0; i < components.length; i++) {
+                if (!writePrimitive(components[i], o, values)) {
+                    values.putVarint(parts[i]);
                 }
             }
-            return value.value(from);
+            return values.endValue(from);
         }
 
-        /** What a value is made of is a value, a list of any kind included, or none: 0. */
+        /** A part of a value is a value too, including a list of any class; 0 for null. */
         private int part(Object o) throws IllegalAccessException {
             return o == null ? 0 : 1 + value(o);
         }
 
-        private int number(Class<?> c) {
+        private int classNumber(Class<?> c) {
             Integer n = numbers.get(c);
             if (n == null) {
-                throw new IllegalStateException("a snapshot does not know " + c);
+                throw new IllegalStateException("unsupported class in a module's state: " + c.getName());
             }
             return n;
         }
 
-        private void form(Object o) {
-            Form f = o instanceof double[] ? Form.DOUBLES : o instanceof int[] ? Form.INTS
-                    : o instanceof Object[] ? Form.OBJECTS : o.getClass() == ArrayList.class ? Form.LIST
-                    : o.getClass() == LinkedHashMap.class ? Form.MAP : o.getClass() == LinkedHashSet.class ? Form.SET
-                    : o.getClass() == ArrayDeque.class ? Form.QUEUE : o.getClass() == TreeSet.class ? Form.SORTED
-                    : Form.PLAIN;
-            form.put(f.ordinal());
-            if (f == Form.PLAIN) {
-                form.count(number(o.getClass()));
+        private void writeKind(Object o) {
+            ObjectKind kind = o instanceof double[] ? ObjectKind.DOUBLES : o instanceof int[] ? ObjectKind.INTS
+                    : o instanceof Object[] ? ObjectKind.OBJECTS : o.getClass() == ArrayList.class ? ObjectKind.LIST
+                    : o.getClass() == LinkedHashMap.class ? ObjectKind.MAP
+                    : o.getClass() == LinkedHashSet.class ? ObjectKind.SET
+                    : o.getClass() == ArrayDeque.class ? ObjectKind.QUEUE
+                    : o.getClass() == TreeSet.class ? ObjectKind.SORTED_SET : ObjectKind.PLAIN;
+            kinds.putByte(kind.ordinal());
+            if (kind == ObjectKind.PLAIN) {
+                kinds.putVarint(classNumber(o.getClass()));
             } else if (o.getClass().isArray()) {
-                form.count(Array.getLength(o));
-                if (f == Form.OBJECTS) {
-                    form.count(number(o.getClass().getComponentType()));
+                kinds.putVarint(Array.getLength(o));
+                if (kind == ObjectKind.OBJECTS) {
+                    kinds.putVarint(classNumber(o.getClass().getComponentType()));
                 }
             } else if (o instanceof TreeSet<?> t) {
                 Enum<?> order = (Enum<?>) t.comparator();
-                form.count(number(order.getDeclaringClass()));
-                form.count(order.ordinal());
+                kinds.putVarint(classNumber(order.getDeclaringClass()));
+                kinds.putVarint(order.ordinal());
             }
         }
 
-        private void content(Object o) throws IllegalAccessException {
+        private void writeContent(Object o) throws IllegalAccessException {
             if (o instanceof double[] d) {
                 for (double x : d) {
-                    content.number(x);
+                    contents.putDouble(x);
                 }
             } else if (o instanceof int[] n) {
                 for (int x : n) {
-                    content.number(x);
+                    contents.putInt(x);
                 }
             } else if (o instanceof Object[] a) {
                 for (Object x : a) {
-                    content.count(reference(x));
+                    contents.putVarint(reference(x));
                 }
             } else if (o instanceof Collection<?> c) {
-                content.count(c.size());
+                contents.putVarint(c.size());
                 for (Object x : c) {
-                    content.count(reference(x));
+                    contents.putVarint(reference(x));
                 }
             } else if (o instanceof Map<?, ?> m) {
-                content.count(m.size());
+                contents.putVarint(m.size());
                 for (Map.Entry<?, ?> e : m.entrySet()) {
-                    content.count(reference(e.getKey()));
-                    content.count(reference(e.getValue()));
+                    contents.putVarint(reference(e.getKey()));
+                    contents.putVarint(reference(e.getValue()));
                 }
             } else {
                 for (Field f : fields.get(o.getClass())) {
-                    if (!primitive(f, o, content)) {
-                        content.count(reference(f.get(o)));
+                    if (!writePrimitive(f, o, contents)) {
+                        contents.putVarint(reference(f.get(o)));
                     }
                 }
             }
         }
 
-        /** Writes a field of a primitive type; false where it is of another. */
-        private boolean primitive(Field f, Object of, Bytes to) throws IllegalAccessException {
+        /** Writes a field of a primitive type; false if it is of another type. */
+        private boolean writePrimitive(Field f, Object holder, Buffer out) throws IllegalAccessException {
             Class<?> type = f.getType();
             if (type == double.class) {
-                to.number(f.getDouble(of));
+                out.putDouble(f.getDouble(holder));
             } else if (type == int.class) {
-                to.number(f.getInt(of));
+                out.putInt(f.getInt(holder));
             } else if (type == long.class) {
-                to.number(f.getLong(of));
+                out.putLong(f.getLong(holder));
             } else if (type == boolean.class) {
-                to.put(f.getBoolean(of) ? 1 : 0);
+                out.putByte(f.getBoolean(holder) ? 1 : 0);
             } else {
                 return false;
             }
@@ -476,7 +485,10 @@
         }
     }
 
-    /** Reads one state: makes all objects empty, then fills the plain ones, then the others, which may look into those. */
+    /**
+     * Reads one state: creates all objects empty, fills the plain ones and arrays, and then the collections, whose comparators
+     * and hash codes may use the fields of plain objects.
+     */
     private final class Reader {
         private final ByteArrayInputStream bytes;
         private final DataInputStream in;
@@ -491,37 +503,39 @@
         Object read() throws IOException, ReflectiveOperationException {
             String found = new String(in.readNBytes(schema.length()), StandardCharsets.US_ASCII);
             if (!found.equals(schema)) {
-                throw new MalformedCaptureException("a state of schema " + found + ", and this module's is " + schema, null);
+                throw new MalformedCaptureException("the state has schema " + found + ", and this module reads only " + schema,
+                        null);
             }
-            values = new Object[count()];
+            values = new Object[readCount()];
             for (int i = 0; i < values.length; i++) {
-                values[i] = value();
+                values[i] = readValue();
             }
-            objects = new Object[count()];
+            objects = new Object[readCount()];
             for (int i = 0; i < objects.length; i++) {
-                objects[i] = empty();
+                objects[i] = createEmpty();
             }
-            List<Runnable> later = new ArrayList<>();
+            List<Runnable> fillCollections = new ArrayList<>();
             for (Object o : objects) {
-                fill(o, later);
+                fill(o, fillCollections);
             }
             if (bytes.available() > 0) {
-                throw new MalformedCaptureException("bytes after the end of a state", null);
+                throw new MalformedCaptureException("bytes after the end of the state", null);
             }
-            later.forEach(Runnable::run);
+            fillCollections.forEach(Runnable::run);
             return objects[0];
         }
 
-        /** A count of things of a byte or more each: no more than there are bytes. */
-        private int count() throws IOException {
-            int n = number();
+        /** Reads the count of elements that take a byte or more each, and so cannot exceed the number of bytes left. */
+        private int readCount() throws IOException {
+            int n = readVarint();
             if (n > bytes.available()) {
-                throw new MalformedCaptureException("a state claims " + n + " things in " + bytes.available() + " bytes", null);
+                throw new MalformedCaptureException("a count of " + n + " in the state exceeds the " + bytes.available()
+                        + " bytes left", null);
             }
             return n;
         }
 
-        private int number() throws IOException {
+        private int readVarint() throws IOException {
             int n = 0;
             for (int shift = 0; shift < 32; shift += 7) {
                 int b = in.readUnsignedByte();
@@ -533,39 +547,39 @@
                     return n;
                 }
             }
-            throw new MalformedCaptureException("a number out of range in a state", null);
+            throw new MalformedCaptureException("a number out of range in the state", null);
         }
 
-        private Object value() throws IOException, ReflectiveOperationException {
-            return switch (Value.values()[in.readUnsignedByte()]) {
+        private Object readValue() throws IOException, ReflectiveOperationException {
+            return switch (ValueKind.values()[in.readUnsignedByte()]) {
                 case INTEGER -> in.readInt();
                 case LONG -> in.readLong();
                 case DOUBLE -> in.readDouble();
                 case BOOLEAN -> in.readBoolean();
-                case TEXT -> new String(in.readNBytes(count()), StandardCharsets.UTF_8);
-                case CONSTANT -> classes.get(number()).getEnumConstants()[number()];
+                case STRING -> new String(in.readNBytes(readCount()), StandardCharsets.UTF_8);
+                case ENUM_CONSTANT -> classes.get(readVarint()).getEnumConstants()[readVarint()];
                 case RECORD -> {
-                    Class<?> c = classes.get(number());
-                    Constructor<?> made = constructors.get(c);
-                    Object[] parts = new Object[made.getParameterCount()];
+                    Class<?> c = classes.get(readVarint());
+                    Constructor<?> constructor = constructors.get(c);
+                    Object[] parts = new Object[constructor.getParameterCount()];
                     for (int i = 0; i < parts.length; i++) {
-                        Object primitive = primitive(fields.get(c)[i].getType());
-                        parts[i] = primitive != null ? primitive : part();
+                        Object primitive = readPrimitive(fields.get(c)[i].getType());
+                        parts[i] = primitive != null ? primitive : readPart();
                     }
-                    yield made.newInstance(parts);
+                    yield constructor.newInstance(parts);
                 }
                 case FIXED_LIST -> {
-                    Object[] parts = new Object[count()];
+                    Object[] parts = new Object[readCount()];
                     for (int i = 0; i < parts.length; i++) {
-                        parts[i] = part();
+                        parts[i] = readPart();
                     }
                     yield Collections.unmodifiableList(Arrays.asList(parts));
                 }
             };
         }
 
-        /** A value of a primitive type; null where it is of another. */
-        private Object primitive(Class<?> type) throws IOException {
+        /** Reads a value of a primitive type; null for any other type. */
+        private Object readPrimitive(Class<?> type) throws IOException {
             if (type == double.class) {
                 return in.readDouble();
             } else if (type == int.class) {
@@ -576,46 +590,47 @@
             return type == boolean.class ? in.readBoolean() : null;
         }
 
-        private Object part() throws IOException {
-            int n = number();
+        private Object readPart() throws IOException {
+            int n = readVarint();
             return n == 0 ? null : values[n - 1];
         }
 
-        private Object empty() throws IOException {
-            return switch (Form.values()[in.readUnsignedByte()]) {
-                case PLAIN -> instances.newInstance(plain(classes.get(number())));
+        private Object createEmpty() throws IOException {
+            return switch (ObjectKind.values()[in.readUnsignedByte()]) {
+                case PLAIN -> instantiator.newInstance(requirePlain(classes.get(readVarint())));
                 case LIST -> new ArrayList<>();
                 case MAP -> new LinkedHashMap<>();
                 case SET -> new LinkedHashSet<>();
                 case QUEUE -> new ArrayDeque<>();
-                case SORTED -> new TreeSet<>(order((Comparator<?>) classes.get(number()).getEnumConstants()[number()]));
-                case DOUBLES -> new double[count()];
-                case INTS -> new int[count()];
+                case SORTED_SET -> new TreeSet<>(
+                        comparator((Comparator<?>) classes.get(readVarint()).getEnumConstants()[readVarint()]));
+                case DOUBLES -> new double[readCount()];
+                case INTS -> new int[readCount()];
                 case OBJECTS -> {
-                    int length = count();
-                    yield Array.newInstance(classes.get(number()), length);
+                    int length = readCount();
+                    yield Array.newInstance(classes.get(readVarint()), length);
                 }
             };
         }
 
         @SuppressWarnings("unchecked")
-        private Comparator<Object> order(Comparator<?> c) {
+        private Comparator<Object> comparator(Comparator<?> c) {
             return (Comparator<Object>) c;
         }
 
-        private Class<?> plain(Class<?> c) throws MalformedCaptureException {
+        private Class<?> requirePlain(Class<?> c) throws MalformedCaptureException {
             if (c.isEnum() || c.isRecord()) {
-                throw new MalformedCaptureException("a state holds a " + c.getSimpleName() + " that is no object", null);
+                throw new MalformedCaptureException("the state holds a " + c.getSimpleName() + " as a plain object", null);
             }
             return c;
         }
 
-        private Object reference() throws IOException {
-            int n = number();
+        private Object readReference() throws IOException {
+            int n = readVarint();
             return n == 0 ? null : n % 2 == 1 ? values[n / 2] : objects[n / 2 - 1];
         }
 
-        private void fill(Object o, List<Runnable> later) throws IOException, ReflectiveOperationException {
+        private void fill(Object o, List<Runnable> fillCollections) throws IOException, ReflectiveOperationException {
             if (o instanceof double[] d) {
                 for (int i = 0; i < d.length; i++) {
                     d[i] = in.readDouble();
@@ -626,37 +641,37 @@
                 }
             } else if (o instanceof Object[] a) {
                 for (int i = 0; i < a.length; i++) {
-                    a[i] = reference();
+                    a[i] = readReference();
                 }
             } else if (o instanceof Collection<?> c) {
-                Object[] parts = new Object[count()];
+                Object[] parts = new Object[readCount()];
                 for (int i = 0; i < parts.length; i++) {
-                    parts[i] = reference();
+                    parts[i] = readReference();
                 }
-                later.add(() -> addAll(c, parts));
+                fillCollections.add(() -> addAll(c, parts));
             } else if (o instanceof Map<?, ?> m) {
-                Object[] parts = new Object[2 * count()];
+                Object[] parts = new Object[2 * readCount()];
                 for (int i = 0; i < parts.length; i++) {
-                    parts[i] = reference();
+                    parts[i] = readReference();
                 }
-                later.add(() -> putAll(m, parts));
+                fillCollections.add(() -> putAll(m, parts));
             } else {
                 for (Field f : fields.get(o.getClass())) {
-                    Object primitive = primitive(f.getType());
-                    f.set(o, primitive != null ? primitive : reference());
+                    Object primitive = readPrimitive(f.getType());
+                    f.set(o, primitive != null ? primitive : readReference());
                 }
             }
         }
 
         @SuppressWarnings("unchecked")
-        private static void addAll(Collection<?> to, Object[] parts) {
-            ((Collection<Object>) to).addAll(Arrays.asList(parts));
+        private static void addAll(Collection<?> collection, Object[] parts) {
+            ((Collection<Object>) collection).addAll(Arrays.asList(parts));
         }
 
         @SuppressWarnings("unchecked")
-        private static void putAll(Map<?, ?> to, Object[] parts) {
+        private static void putAll(Map<?, ?> map, Object[] parts) {
             for (int i = 0; i < parts.length; i += 2) {
-                ((Map<Object, Object>) to).put(parts[i], parts[i + 1]);
+                ((Map<Object, Object>) map).put(parts[i], parts[i + 1]);
             }
         }
     }
--- a/capture/src/test/java/quincespar/capture/RecordingTest.java
+++ b/capture/src/test/java/quincespar/capture/RecordingTest.java
@@ -180,7 +180,7 @@
         store.files.get(all.get(3).fileName()).write(tail, 0, tail.length - 3);
         CaptureReader captures = new CaptureReader(store);
         assertThat(captures.summarize(all.get(3)).damage()).contains("cut off");
-        assertThat(captures.summarize(all.get(3)).state()).isTrue();
+        assertThat(captures.summarize(all.get(3)).hasState()).isTrue();
         Replay.Result r = replay(captures.segmentNames());
         assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isLessThan(counts.calls());
@@ -205,7 +205,7 @@
             return replay.play(e);
         });
         assertThat(gaps).hasSize(1);
-        assertThat(gaps.get(0).reason()).isEqualTo(all.get(1).fileName() + ": it has gone");
+        assertThat(gaps.get(0).reason()).isEqualTo(all.get(1).fileName() + ": deleted while reading");
         assertThat(replay.result().divergence()).isNull();
         assertThat(replay.result().lostCalls()).isZero();
         assertThat(replay.result().matchingStates()).isEqualTo(all.size() - 3);
--- a/capture/src/test/java/quincespar/capture/ScenesTest.java
+++ b/capture/src/test/java/quincespar/capture/ScenesTest.java
@@ -123,11 +123,11 @@
         r.check(call(2000, List.of(lookup), new Gateway.Send(2, 1, 0), new Gateway.Send(2, 1, 0)));
         r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Gateway.Send(2, 2, 0)));
         assertThat(r.violations()).containsExactly(
-                "0.400 request 1 is sent again though it may have run, and may not run twice",
+                "0.400 request 1 is sent again although it may have run and must not run twice",
                 "0.500 request 1 is refused after it may have run", "0.600 request 1 has two final answers",
-                "0.700 request 1 is sent after its end", "2.000 request 2 has two attempts out",
-                "2.100 request 2 is sent to engine 2, which takes nothing new");
-        r.check(new Entry.Gap(2200, 5, "the ring was full"));
+                "0.700 request 1 is sent after it ended", "2.000 request 2 has two attempts in flight",
+                "2.100 request 2 is sent to engine 2, which accepts no new requests");
+        r.check(new Entry.Gap(2200, 5, "the queue was full"));
         r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // nothing is known of it any more
         assertThat(r.violationCount()).isEqualTo(6);
     }
@@ -144,7 +144,7 @@
         assertThat(r.violations()).isEmpty();
         r.check(World.opening(8));
         r.check(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
-        assertThat(r.violations()).containsExactly("99.000 request 3 is sent after its end");
+        assertThat(r.violations()).containsExactly("99.000 request 3 is sent after it ended");
     }
 
     /** Seen in service: an attempt ends, the request is given up for it, and its client leaves, all in one call. */
@@ -160,7 +160,7 @@
         r.check(call(30, List.of(new Gateway.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
         r.check(call(40, List.of(new Gateway.Left(3)), new Gateway.Send(3, 1, 0)));
         assertThat(r.violations()).containsExactly("0.020 request 2 has two final answers",
-                "0.040 request 3 is sent after its end");
+                "0.040 request 3 is sent after it ended");
     }
 
     private static Gateway.Event ended(long id, int attempt, Outcome how) {
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -85,15 +85,15 @@
         }
         assertThat(refused).isGreaterThan(2000);
         assertThatThrownBy(() -> codec.read(new byte[40], Brain.class)).isInstanceOf(MalformedCaptureException.class)
-                .hasMessageContaining("and this module's is " + codec.schema());
+                .hasMessageContaining("and this module reads only " + codec.schema());
     }
 
     /** State that a snapshot would leave out must not go unnoticed: a module that has some is refused before it runs. */
     @Test
     void whatASnapshotDoesNotKnowIsToldAndNotLeftOut() {
-        assertThatThrownBy(() -> new StateCodec(WithParent.class)).hasMessageContaining("has state in what it extends");
+        assertThatThrownBy(() -> new StateCodec(WithParent.class)).hasMessageContaining("may have state in its superclass");
         assertThatThrownBy(() -> new StateCodec(WithRandom.class).write(new WithRandom()))
-                .isInstanceOf(IllegalStateException.class).hasMessage("a snapshot does not know class java.util.Random");
+                .isInstanceOf(IllegalStateException.class).hasMessage("unsupported class in a module's state: java.util.Random");
     }
 }
 
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -45,7 +45,7 @@
         for (SegmentName name : captures.segmentNames()) {
             SegmentSummary s = captures.summarize(name);
             System.out.printf(Locale.ROOT, "%s bytes=%d calls=%d from=%s to=%s state=%s%s%n", name.fileName(), s.bytes(),
-                    s.calls(), time(s.from()), time(s.to()), s.state() ? "yes" : "no",
+                    s.calls(), time(s.from()), time(s.to()), s.hasState() ? "yes" : "no",
                     s.damage() == null ? "" : " damage=\"" + s.damage() + "\"");
         }
         return 0;
