--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -10,7 +10,7 @@
 
 /**
  * The facts that an instance keeps for itself: who its folder is, and the last incarnation that it was given. A fact counts
- * as kept only once {@link #keep} has returned. One thread uses it.
+ * as kept only once {@link #persist} has returned. One thread uses it.
  */
 public final class StateFolder implements AutoCloseable {
     /** The file that holds the facts. */
@@ -30,10 +30,12 @@
      * @param nonce of the join under way since, which may have been granted; 0 where there is none
      * @param votes whether it was begun as a voter's, before the fleet's first start; one that is found empty later is not
      */
-    public record Facts(int format, String identity, String name, long incarnation, long nonce, boolean votes) { }
+    public record Facts(int format, String identity, String name, long incarnation, long pendingNonce, boolean initializedForVoting) { }
 
     /** The stored names of {@link Facts} and its components, where the code has other names. */
-    private static final StoredNames STORED_NAMES = StoredNames.none();
+    private static final StoredNames STORED_NAMES = StoredNames.none()
+            .component(Facts.class, "pendingNonce", "nonce")
+            .component(Facts.class, "initializedForVoting", "votes");
 
     private final RecordCodec codec = new RecordCodec(STORED_NAMES, Facts.class);
     private final Disk disk;
@@ -118,7 +120,7 @@
     }
 
     /** Marks the folder; once this has returned, a copy from before can be told by its lower mark. */
-    public void mark(long number) throws IOException {
+    public void persistMark(long number) throws IOException {
         disk.replace(MARK, frame(ByteBuffer.allocate(Long.BYTES).putLong(number).array()));
         mark = number;
     }
@@ -129,9 +131,9 @@
     }
 
     /** Keeps these; after it throws, what was kept before may still be found at the next start, or these. */
-    public void keep(long incarnation, long nonce) throws IOException {
+    public void persist(long incarnation, long nonce) throws IOException {
         Facts before = facts;
-        facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.votes());
+        facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.initializedForVoting());
         try {
             disk.replace(FACTS, frame());
         } catch (IOException e) {
