--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -15,7 +15,7 @@
 import quincespar.capture.SegmentPolicy;
 import quincespar.capture.StateCodec;
 import quincespar.capture.SegmentStore;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Version;
@@ -55,11 +55,11 @@
                 .anyMatch(n -> n.instance().equals(before.instance()))).toList(); // others may write to the same folder
         SegmentPolicy segments = new SegmentPolicy(limits, before, own, clock.now());
         Entry.Opening opening = new Entry.Opening(name, now, seed, Version.text(),
-                ModuleDigest.of(Brain.class), settings);
+                ModuleDigest.of(GcMuScheduler.class), settings);
         Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
                 s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
-        return new Capturing(recorder, new CapturedGateway(new Brain(settings, seed), recorder,
-                new StateCodec(Brain.class)::write));
+        return new Capturing(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
+                new StateCodec(GcMuScheduler.class)::write));
     }
 
     /** The module, captured. */
--- a/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.decision.SettingsParser;
 
@@ -59,7 +59,7 @@
 
     /** Creates a host of instances of {@link Brain}. */
     public SimulatorHost() {
-        this(Brain::new);
+        this(GcMuScheduler::new);
     }
 
     /** Creates a host of instances that the factory creates. */
