--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -29,7 +29,7 @@
 import quincespar.capture.RuleChecker;
 import quincespar.capture.SegmentName;
 import quincespar.capture.SegmentStore;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 import quincespar.routing.EngineNumber;
 
@@ -45,7 +45,7 @@
         for (SegmentName name : captures.segmentNames()) {
             SegmentSummary s = captures.summarize(name);
             System.out.printf(Locale.ROOT, "%s bytes=%d calls=%d from=%s to=%s state=%s%s%n", name.fileName(), s.bytes(),
-                    s.calls(), time(s.from()), time(s.to()), s.state() ? "yes" : "no",
+                    s.calls(), time(s.from()), time(s.to()), s.hasState() ? "yes" : "no",
                     s.damage() == null ? "" : " damage=\"" + s.damage() + "\"");
         }
         return 0;
@@ -59,7 +59,7 @@
             lives.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()), n -> new ArrayList<>())
                     .add(captures.summarize(name));
         }
-        String own = ModuleDigest.of(Brain.class);
+        String own = ModuleDigest.of(GcMuScheduler.class);
         lives.forEach((life, all) -> {
             System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
                     + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -104,7 +104,7 @@
 
     /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
-        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.avoided(), cluster.changeLogStatus());
+        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.ejectedEngineCount(), cluster.changeLogStatus());
     }
 
     /** Whether the change log has answered completely since the start: until then the list of engines may be outdated. */
