--- a/frontend/src/test/java/quincespar/membership/DrainGraceTest.java
+++ b/frontend/src/test/java/quincespar/membership/DrainGraceTest.java
@@ -8,74 +8,77 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When nothing new may be sent for lack of a list that can be trusted. Virtual time: each question fails at once. */
+/** When sends are on hold because the list of engines may be outdated. In virtual time; each poll fails at once. */
 class DrainGraceTest {
-    private static final double GRACE = 1000, HOLD = 5000, LOST_AT = 10_000;
-    private static final PollTiming PACE = new PollTiming(1000, 1000, 50, 1000, 250, 400, HOLD, 60_000);
+    private static final double GRACE_MS = 1000;
+    private static final double MAX_HOLD_MS = 5000;
+    private static final double LOST_AT = 10_000;
+    private static final PollTiming TIMING = new PollTiming(1000, 1000, 50, 1000, 250, 400, MAX_HOLD_MS, 60_000);
 
-    private record Change(double at, boolean on) { }
+    private record HoldChange(double at, boolean held) { }
 
-    private final Membership membership = new Membership(PACE);
-    private final List<Change> changes = new ArrayList<>();
-    private long question;
-    private long wait;
-    private double waitEnds;
+    private final Membership membership = new Membership(TIMING);
+    private final List<HoldChange> changes = new ArrayList<>();
+    private long openPoll;
+    private long timer;
+    private double timerEnds;
 
-    /** Follows a change log that answers until {@link #LOST_AT}. */
-    private void lose(PollFailure how) {
-        membership.drainGraceMs(GRACE);
+    /** Follows a change log that answers until {@link #LOST_AT}, when a poll fails. */
+    private void loseChangeLog(PollFailure failure) {
+        membership.drainGraceMs(GRACE_MS);
         perform(0, membership.start(0, "a:1", List.of()));
-        perform(0, membership.answered(0, question, 0, List.of()));
-        perform(LOST_AT, membership.failed(LOST_AT, question, how, "lost"));
+        perform(0, membership.answered(0, openPoll, 0, List.of()));
+        perform(LOST_AT, membership.failed(LOST_AT, openPoll, failure, "lost"));
     }
 
-    private void perform(double at, List<Membership.Action> acts) {
-        for (Membership.Action act : acts) {
-            if (act instanceof Membership.Poll a) {
-                question = a.pollId();
-            } else if (act instanceof Membership.StartTimer a) {
-                wait = a.timerId();
-                waitEnds = at + a.delayMs();
-            } else if (act instanceof Membership.HoldSends h) {
-                changes.add(new Change(at, h.held()));
+    private void perform(double now, List<Membership.Action> actions) {
+        for (Membership.Action action : actions) {
+            if (action instanceof Membership.Poll poll) {
+                openPoll = poll.pollId();
+            } else if (action instanceof Membership.StartTimer started) {
+                timer = started.timerId();
+                timerEnds = now + started.delayMs();
+            } else if (action instanceof Membership.HoldSends hold) {
+                changes.add(new HoldChange(now, hold.held()));
             }
         }
     }
 
-    private void failUntil(double end, PollFailure how) {
-        while (waitEnds < end) {
-            double at = waitEnds;
-            perform(at, membership.timerFired(at, wait));
-            perform(at, membership.failed(at, question, how, "fails"));
+    private void failUntil(double end, PollFailure failure) {
+        while (timerEnds < end) {
+            double now = timerEnds;
+            perform(now, membership.timerFired(now, timer));
+            perform(now, membership.failed(now, openPoll, failure, "fails"));
         }
     }
 
     @Test
-    void nothingIsSentPastTheGraceOfWhatThisMachineCouldNotHear() {
-        lose(PollFailure.NO_ANSWER);
+    void sendsAreHeldBeforeTheGraceEndsAndResumeWithAnAnswer() {
+        loseChangeLog(PollFailure.NO_ANSWER);
         failUntil(LOST_AT + 2000, PollFailure.LOCAL_ERROR);
         assertThat(changes).hasSize(1);
-        assertThat(changes.get(0).on()).isTrue();
-        assertThat(changes.get(0).at()).isBetween(LOST_AT + GRACE / 2, LOST_AT + GRACE - 100);
-        perform(waitEnds, membership.timerFired(waitEnds, wait));
-        perform(waitEnds, membership.answered(waitEnds, question, 0, List.of()));
+        assertThat(changes.get(0).held()).isTrue();
+        assertThat(changes.get(0).at()).isBetween(LOST_AT + GRACE_MS / 2, LOST_AT + GRACE_MS - 100);
+        perform(timerEnds, membership.timerFired(timerEnds, timer));
+        perform(timerEnds, membership.answered(timerEnds, openPoll, 0, List.of()));
         assertThat(changes).hasSize(2);
-        assertThat(changes.get(1).on()).isFalse();
+        assertThat(changes.get(1).held()).isFalse();
     }
 
     @Test
-    void aHoldEndsThoughTheCallsGoOnFailing() {
-        lose(PollFailure.LOCAL_ERROR);
+    void aHoldEndsInTimeThoughPollsGoOnFailing() {
+        loseChangeLog(PollFailure.LOCAL_ERROR);
         failUntil(LOST_AT + 60_000, PollFailure.LOCAL_ERROR);
-        assertThat(changes).extracting(Change::on).containsExactly(true, false);
-        assertThat(changes.get(1).at()).isBetween(LOST_AT + GRACE + HOLD, LOST_AT + GRACE + HOLD + 500);
+        assertThat(changes).extracting(HoldChange::held).containsExactly(true, false);
+        assertThat(changes.get(1).at())
+                .isBetween(LOST_AT + GRACE_MS + MAX_HOLD_MS, LOST_AT + GRACE_MS + MAX_HOLD_MS + 500);
     }
 
     @ParameterizedTest
     @EnumSource(names = "LOCAL_ERROR", mode = EnumSource.Mode.EXCLUDE)
-    void aChangeLogThatIsAwayHoldsNothing(PollFailure how) {
-        lose(how);
-        failUntil(LOST_AT + 60_000, how);
+    void sendsAreNotHeldWhereTheChangeLogIsAway(PollFailure failure) {
+        loseChangeLog(failure);
+        failUntil(LOST_AT + 60_000, failure);
         assertThat(changes).isEmpty();
     }
 }
--- a/frontend/src/test/java/quincespar/membership/MembershipModelTest.java
+++ b/frontend/src/test/java/quincespar/membership/MembershipModelTest.java
@@ -20,71 +20,71 @@
 import quincespar.protocol.FleetEvent.Phase;
 
 /**
- * Plays orders of what can happen between a change log and its follower, in virtual time, against a model that knows
- * the whole history: whatever the order, what is held is what was told, and once the change log is well again all of
- * it is known in time.
+ * Plays sequences of what can happen between a change log and its follower, in virtual time, against a model that knows the
+ * whole history. Whatever the sequence, the list of engines is what the received events make it, and once the change log
+ * works again all events are received in time.
  */
 class MembershipModelTest {
-    /** What the change log has to tell counts as told no later than this afterwards. */
-    private static final double TOLD = 7000;
-    private static final PollTiming PACE = new PollTiming(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
+    /** An event must be received at most this long after the change log works again. */
+    private static final double MAX_DELAY_MS = 7000;
+    private static final PollTiming TIMING = new PollTiming(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
 
-    /** What may happen; the number beside it in a step chooses which engine, question or timer. */
+    /** What may happen; the number beside it in a step chooses an engine, a poll or a timer. */
     private enum Op {
-        EVENT, COMPLETE_LIST, OTHER_NEWS, ANSWER, HALF_ANSWER, SILENCE, RESET, MOVE, MOVE_TWICE, LATE_ANSWER,
-        STALE_TIMER, SEQ_AHEAD, REPEATED_EVENTS, TIME, RESTART
+        EVENT, COMPLETE_LIST, UNRELATED_EVENT, ANSWER, TRUNCATED_ANSWER, TIMER, RESET, ADDRESS_CHANGED, ADDRESS_CHANGED_TWICE,
+        LATE_ANSWER, STALE_TIMER, EVENTS_MISSING, REPEATED_EVENTS, TIME_PASSES, RESTART
     }
 
     private record Step(Op op, int pick) { }
 
-    private record Question(long number, String address, long since) { }
+    private record OpenPoll(long pollId, String address, long afterEvent) { }
 
     /** A change log, its network and its clock. */
     private static final class World {
         final List<FleetEvent> history = new ArrayList<>();
-        final List<Question> open = new ArrayList<>();
-        final List<Question> old = new ArrayList<>();
+        final List<OpenPoll> openPolls = new ArrayList<>();
+        final List<OpenPoll> cancelledPolls = new ArrayList<>();
         final Map<Long, Double> timers = new TreeMap<>();
-        final List<Long> stopped = new ArrayList<>();
-        final Set<Long> learned = new HashSet<>();
-        Membership membership = new Membership(PACE);
+        final List<Long> stoppedTimers = new ArrayList<>();
+        final Set<Long> received = new HashSet<>();
+        Membership membership = new Membership(TIMING);
         String address = "a:1";
         double now = 5000;
         long seq;
 
         World() {
-            event(true, 0);
+            addEvent(true, 0);
             perform(membership.start(now, address, List.copyOf(history)));
         }
 
-        void event(boolean complete, int pick) {
-            List<Member> some = new ArrayList<>();
+        void addEvent(boolean complete, int pick) {
+            List<Member> changed = new ArrayList<>();
             for (int i = 0; i < (complete ? 3 : 1); i++) {
-                some.add(new Member("s-" + (pick + i) % 5, "127.0.0.1:" + (1 + pick % 7), "", "", 0,
+                changed.add(new Member("s-" + (pick + i) % 5, "127.0.0.1:" + (1 + pick % 7), "", "", 0,
                         complete ? Phase.UP : Phase.values()[pick / 5 % 3], 1, 0));
             }
             seq++;
-            history.add(new FleetEvent(seq, seq, complete, some));
+            history.add(new FleetEvent(seq, seq, complete, changed));
         }
 
-        List<FleetEvent> since(long from) {
-            return history.stream().filter(e -> e.seq() > from).toList();
+        List<FleetEvent> eventsAfter(long number) {
+            return history.stream().filter(e -> e.seq() > number).toList();
         }
 
-        void perform(List<Membership.Action> acts) {
-            for (Membership.Action act : acts) {
-                if (act instanceof Membership.Poll a) {
-                    open.add(new Question(a.pollId(), a.address(), a.afterEvent()));
-                } else if (act instanceof Membership.CancelPoll) {
-                    old.addAll(open);
-                    open.clear();
-                } else if (act instanceof Membership.StartTimer a) {
+        void perform(List<Membership.Action> actions) {
+            for (Membership.Action action : actions) {
+                if (action instanceof Membership.Poll a) {
+                    openPolls.add(new OpenPoll(a.pollId(), a.address(), a.afterEvent()));
+                } else if (action instanceof Membership.CancelPoll) {
+                    cancelledPolls.addAll(openPolls);
+                    openPolls.clear();
+                } else if (action instanceof Membership.StartTimer a) {
                     timers.put(a.timerId(), now + a.delayMs());
-                } else if (act instanceof Membership.StopTimer a) {
+                } else if (action instanceof Membership.StopTimer a) {
                     timers.remove(a.timerId());
-                    stopped.add(a.timerId());
-                } else if (act instanceof Membership.EventReceived a) {
-                    assertThat(learned.add(a.event().seq())).as("event " + a.event().seq() + " told twice").isTrue();
+                    stoppedTimers.add(a.timerId());
+                } else if (action instanceof Membership.EventReceived a) {
+                    assertThat(received.add(a.event().seq())).as("event " + a.event().seq() + " received twice").isTrue();
                 }
             }
         }
@@ -97,124 +97,127 @@
             perform(membership.timerFired(now, first.getKey()));
         }
 
-        /** Takes the question that is out, which is then answered or fails; its number may be an old one's. */
-        Question take() {
-            return open.isEmpty() ? new Question(-1, address, 0) : open.remove(open.size() - 1);
+        /** Removes the open poll, which is then answered or fails; without one, a poll whose number was never used. */
+        OpenPoll takePoll() {
+            return openPolls.isEmpty() ? new OpenPoll(-1, address, 0) : openPolls.remove(openPolls.size() - 1);
         }
 
-        void answer(Question q, long claimed, List<FleetEvent> events) {
-            perform(membership.answered(now, q.number(), claimed, events));
+        void answer(OpenPoll poll, long lastEvent, List<FleetEvent> events) {
+            perform(membership.answered(now, poll.pollId(), lastEvent, events));
         }
 
-        void play(Step s) {
-            switch (s.op()) {
-                case EVENT -> event(false, s.pick());
-                case COMPLETE_LIST -> event(true, s.pick());
-                case OTHER_NEWS -> history.add(new FleetEvent(++seq, 0, false, List.of()));
+        void play(Step step) {
+            switch (step.op()) {
+                case EVENT -> addEvent(false, step.pick());
+                case COMPLETE_LIST -> addEvent(true, step.pick());
+                case UNRELATED_EVENT -> history.add(new FleetEvent(++seq, 0, false, List.of()));
                 case ANSWER -> {
-                    Question q = take();
-                    answer(q, seq, since(q.since()));
+                    OpenPoll poll = takePoll();
+                    answer(poll, seq, eventsAfter(poll.afterEvent()));
                 }
-                case REPEATED_EVENTS -> answer(take(), seq, List.copyOf(history));
-                case SEQ_AHEAD -> {
-                    Question q = take();
-                    List<FleetEvent> all = since(q.since());
-                    answer(q, seq, all.subList(0, Math.min(all.size(), s.pick() % 3)));
+                case REPEATED_EVENTS -> answer(takePoll(), seq, List.copyOf(history));
+                case EVENTS_MISSING -> {
+                    OpenPoll poll = takePoll();
+                    List<FleetEvent> all = eventsAfter(poll.afterEvent());
+                    answer(poll, seq, all.subList(0, Math.min(all.size(), step.pick() % 3)));
                 }
-                case HALF_ANSWER -> perform(membership.failed(now, take().number(), PollFailure.NO_ANSWER, "half an answer"));
+                case TRUNCATED_ANSWER ->
+                        perform(membership.failed(now, takePoll().pollId(), PollFailure.NO_ANSWER, "truncated answer"));
                 case RESET -> {
-                    Question q = take();
-                    perform(membership.failed(now, q.number(), PollFailure.values()[s.pick() % 4], "reset"));
-                    perform(membership.failed(now, q.number(), PollFailure.NO_ANSWER, "closed")); // and the end of the connection besides
+                    OpenPoll poll = takePoll();
+                    perform(membership.failed(now, poll.pollId(), PollFailure.values()[step.pick() % 4], "reset"));
+                    // the end of the connection is reported besides
+                    perform(membership.failed(now, poll.pollId(), PollFailure.NO_ANSWER, "closed"));
                 }
-                case SILENCE -> nextTimer();
-                case MOVE -> move(s.pick());
-                case MOVE_TWICE -> {
-                    move(s.pick());
-                    move(s.pick() + 1);
+                case TIMER -> nextTimer();
+                case ADDRESS_CHANGED -> changeAddress(step.pick());
+                case ADDRESS_CHANGED_TWICE -> {
+                    changeAddress(step.pick());
+                    changeAddress(step.pick() + 1);
                 }
                 case LATE_ANSWER -> {
-                    if (!old.isEmpty()) { // what the old address knew then, which may be less
-                        Question q = old.get(s.pick() % old.size());
-                        noNews(membership.answered(now, q.number(), seq, since(q.since()).stream().limit(1).toList()));
-                        noNews(membership.failed(now, q.number(), PollFailure.NO_ANSWER, "closed by the peer"));
+                    if (!cancelledPolls.isEmpty()) { // the old address may know fewer events
+                        OpenPoll poll = cancelledPolls.get(step.pick() % cancelledPolls.size());
+                        List<FleetEvent> firstEvent = eventsAfter(poll.afterEvent()).stream().limit(1).toList();
+                        assertIgnored(membership.answered(now, poll.pollId(), seq, firstEvent));
+                        assertIgnored(membership.failed(now, poll.pollId(), PollFailure.NO_ANSWER, "closed by the peer"));
                     }
                 }
                 case STALE_TIMER -> {
-                    if (!stopped.isEmpty()) { // it had fired when it was stopped
-                        noNews(membership.timerFired(now, stopped.get(s.pick() % stopped.size())));
+                    if (!stoppedTimers.isEmpty()) { // it had fired when it was stopped
+                        assertIgnored(membership.timerFired(now, stoppedTimers.get(step.pick() % stoppedTimers.size())));
                     }
                 }
-                case TIME -> now += s.pick();
-                case RESTART -> restart(s.pick());
-                default -> throw new AssertionError(s);
+                case TIME_PASSES -> now += step.pick();
+                case RESTART -> restart(step.pick());
+                default -> throw new AssertionError(step);
             }
         }
 
-        /** What comes late of an earlier question or wait changes nothing. */
-        private static void noNews(List<Membership.Action> acts) {
-            assertThat(acts).isEmpty();
+        /** What arrives late from an earlier poll or timer must change nothing. */
+        private static void assertIgnored(List<Membership.Action> actions) {
+            assertThat(actions).isEmpty();
         }
 
-        void move(int pick) {
+        void changeAddress(int pick) {
             address = "a:" + (1 + pick % 3);
             perform(membership.addressChanged(now, address));
         }
 
-        /** The program starts anew, with what the configuration's file knew: perhaps not the latest. */
+        /** The program restarts with the events that its configuration file holds, which may not be the latest. */
         void restart(int pick) {
             List<FleetEvent> known = history.subList(0, 1 + pick % history.size());
-            membership = new Membership(PACE);
-            open.clear();
-            old.clear();
+            membership = new Membership(TIMING);
+            openPolls.clear();
+            cancelledPolls.clear();
             timers.clear();
-            stopped.clear();
-            learned.clear();
+            stoppedTimers.clear();
+            received.clear();
             perform(membership.start(now, address, known));
         }
 
-        /** What all events up to one make of the list. */
-        Map<String, Member> told(long upTo) {
-            Map<String, Member> out = new LinkedHashMap<>();
+        /** The list that results from all events up to a number. */
+        Map<String, Member> expectedMembers(long lastEvent) {
+            Map<String, Member> expected = new LinkedHashMap<>();
             for (FleetEvent e : history) {
-                if (e.seq() <= upTo) {
+                if (e.seq() <= lastEvent) {
                     if (e.complete()) {
-                        out.clear();
+                        expected.clear();
                     }
-                    e.members().forEach(m -> out.put(m.id(), m));
+                    e.members().forEach(m -> expected.put(m.id(), m));
                 }
             }
-            out.values().removeIf(m -> m.phase() == Phase.REMOVED);
-            return out;
+            expected.values().removeIf(m -> m.phase() == Phase.REMOVED);
+            return expected;
         }
 
         void check(String after) {
             assertThat(membership.members()).as(after).containsExactlyInAnyOrderElementsOf(
-                    told(membership.lastEvent()).values());
-            assertThat(timers).as("one wait runs after " + after).hasSize(1);
-            assertThat(open.size()).as("no two questions are out after " + after).isLessThanOrEqualTo(1);
+                    expectedMembers(membership.lastEvent()).values());
+            assertThat(timers).as("one timer runs after " + after).hasSize(1);
+            assertThat(openPolls.size()).as("no two polls are open after " + after).isLessThanOrEqualTo(1);
             if (membership.phase() == Membership.Phase.POLLING) {
                 assertThat(membership.ageMs(now)).as(after).isNotNegative();
             }
         }
 
-        /** From now on every question that is asked is answered; those asked before were lost. */
-        void wellAgain() {
+        /** From now on every new poll is answered; those open before are lost. */
+        void assertRecovers() {
             long last = history.get(history.size() - 1).seq();
-            double until = now + TOLD;
-            open.clear();
+            double deadline = now + MAX_DELAY_MS;
+            openPolls.clear();
             while (membership.lastEvent() < last) {
-                if (open.isEmpty()) {
+                if (openPolls.isEmpty()) {
                     nextTimer();
                 } else {
-                    Question q = take();
-                    assertThat(q.address()).isEqualTo(address);
-                    answer(q, seq, since(q.since()));
+                    OpenPoll poll = takePoll();
+                    assertThat(poll.address()).isEqualTo(address);
+                    answer(poll, seq, eventsAfter(poll.afterEvent()));
                 }
-                assertThat(now).as("what was to be told is known in time").isLessThanOrEqualTo(until);
+                assertThat(now).as("all events are received in time").isLessThanOrEqualTo(deadline);
             }
-            check("all is well again");
-            assertThat(membership.members()).containsExactlyInAnyOrderElementsOf(told(last).values());
+            check("the change log works again");
+            assertThat(membership.members()).containsExactlyInAnyOrderElementsOf(expectedMembers(last).values());
         }
     }
 
@@ -226,29 +229,29 @@
     }
 
     @Property(tries = 4000, seed = "20261201", shrinking = ShrinkingMode.BOUNDED)
-    void whateverTheOrderTheListIsWhatWasTold(@ForAll("steps") List<Step> steps) {
-        World w = new World();
-        for (Step s : steps) {
-            w.play(s);
-            w.check(s.toString());
+    void theListMatchesTheEventsAfterAnySequence(@ForAll("steps") List<Step> steps) {
+        World world = new World();
+        for (Step step : steps) {
+            world.play(step);
+            world.check(step.toString());
         }
-        w.wellAgain();
+        world.assertRecovers();
     }
 
-    /** Every order of four of these, as chance may miss the one that matters. */
+    /** Plays every sequence of four operations, as random ones may miss the one that matters. */
     @Property(tries = 1, seed = "20261201")
-    void everyOrderOfFourEndsWell() {
+    void everySequenceOfFourRecovers() {
         Op[] ops = Op.values();
-        int orders = (int) Math.pow(ops.length, 4);
-        for (int n = 0; n < orders; n++) {
-            World w = new World();
-            w.event(false, n);
+        int sequences = (int) Math.pow(ops.length, 4);
+        for (int n = 0; n < sequences; n++) {
+            World world = new World();
+            world.addEvent(false, n);
             for (int i = 0, rest = n; i < 4; i++, rest /= ops.length) {
-                Step s = new Step(ops[rest % ops.length], n / 7 + i);
-                w.play(s);
-                w.check(s.toString());
+                Step step = new Step(ops[rest % ops.length], n / 7 + i);
+                world.play(step);
+                world.check(step.toString());
             }
-            w.wellAgain();
+            world.assertRecovers();
         }
     }
 }
--- a/frontend/src/test/java/quincespar/membership/PollRateTest.java
+++ b/frontend/src/test/java/quincespar/membership/PollRateTest.java
@@ -13,65 +13,78 @@
 import quincespar.protocol.FleetEvent.Phase;
 
 /**
- * What a hundred front ends ask of one change log in a minute, whatever is wrong with it: at most one call a second each,
- * and four more while the pauses grow. Virtual time in steps of 10 ms.
+ * Bounds the polls that a hundred front ends send to one faulty change log in a minute: at most one a second each, and four
+ * more while the pauses grow. Runs in virtual time, in steps of 10 ms.
  */
 class PollRateTest {
-    private static final int FRONTS = 100, MINUTE = 60_000;
-    private static final PollTiming PACE = new PollTiming(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
+    private static final int FRONT_ENDS = 100;
+    private static final int MINUTE_MS = 60_000;
+    private static final int STEP_MS = 10;
+    private static final int SLOW_ANSWER_MS = 1900;
+    private static final PollTiming TIMING = new PollTiming(1000, 1000, 50, 1000, 250, 400, 5000, 10_000);
 
-    /** Takes calls and says nothing; breaks them off at once; answers late with no news, or at once, or with an old number. */
-    private enum Trouble { STALLED, BROKEN_OFF, SLOW, EMPTY_AT_ONCE, OLD_NUMBER }
+    private enum Fault {
+        /** Accepts polls and never answers. */
+        STALLED,
+        /** Closes the connection at once. */
+        CONNECTION_CLOSED,
+        /** Answers late, without news. */
+        SLOW,
+        /** Answers at once, without news. */
+        EMPTY_AT_ONCE,
+        /** Answers at once, with an old event number. */
+        OLD_NUMBER
+    }
 
     @ParameterizedTest
-    @EnumSource(Trouble.class)
-    void callsForTheListStayWithinTheirBound(Trouble trouble) {
+    @EnumSource(Fault.class)
+    void pollsOfAFaultyChangeLogAreBounded(Fault fault) {
         List<FleetEvent> known = List.of(new FleetEvent(1, 1, true,
                 List.of(new Member("s-1", "127.0.0.1:1", "", "", 0, Phase.UP, 1, 0))));
-        int calls = 0;
-        for (int front = 0; front < FRONTS; front++) {
-            Membership m = new Membership(PACE);
+        int polls = 0;
+        for (int frontEnd = 0; frontEnd < FRONT_ENDS; frontEnd++) {
+            Membership membership = new Membership(TIMING);
             Map<Long, Double> timers = new TreeMap<>();
-            long asked = 0;
-            double askedAt = 0;
-            List<Membership.Action> acts = new ArrayList<>(m.start(0, "a:1", known));
-            int mine = 0;
-            for (double now = 0; now <= MINUTE; now += 10) {
-                double at = now;
-                for (Map.Entry<Long, Double> t : List.copyOf(timers.entrySet())) {
-                    if (t.getValue() <= at) {
-                        timers.remove(t.getKey());
-                        acts.addAll(m.timerFired(at, t.getKey()));
+            long openPoll = 0;
+            double polledAt = 0;
+            List<Membership.Action> actions = new ArrayList<>(membership.start(0, "a:1", known));
+            int ownPolls = 0;
+            for (double time = 0; time <= MINUTE_MS; time += STEP_MS) {
+                double now = time;
+                for (Map.Entry<Long, Double> timer : List.copyOf(timers.entrySet())) {
+                    if (timer.getValue() <= now) {
+                        timers.remove(timer.getKey());
+                        actions.addAll(membership.timerFired(now, timer.getKey()));
                     }
                 }
-                if (asked > 0 && trouble == Trouble.BROKEN_OFF) {
-                    acts.addAll(m.failed(at, asked, PollFailure.NO_ANSWER, "broken off"));
-                    asked = 0;
-                } else if (asked > 0 && (trouble == Trouble.EMPTY_AT_ONCE || trouble == Trouble.OLD_NUMBER)) {
-                    acts.addAll(m.answered(at, asked, trouble == Trouble.OLD_NUMBER ? 0 : 1, List.of()));
-                    asked = 0;
-                } else if (asked > 0 && trouble == Trouble.SLOW && at >= askedAt + 1900) {
-                    acts.addAll(m.answered(at, asked, 1, List.of()));
-                    asked = 0;
+                if (openPoll > 0 && fault == Fault.CONNECTION_CLOSED) {
+                    actions.addAll(membership.failed(now, openPoll, PollFailure.NO_ANSWER, "connection closed"));
+                    openPoll = 0;
+                } else if (openPoll > 0 && (fault == Fault.EMPTY_AT_ONCE || fault == Fault.OLD_NUMBER)) {
+                    actions.addAll(membership.answered(now, openPoll, fault == Fault.OLD_NUMBER ? 0 : 1, List.of()));
+                    openPoll = 0;
+                } else if (openPoll > 0 && fault == Fault.SLOW && now >= polledAt + SLOW_ANSWER_MS) {
+                    actions.addAll(membership.answered(now, openPoll, 1, List.of()));
+                    openPoll = 0;
                 }
-                for (Membership.Action act : acts) {
-                    if (act instanceof Membership.Poll a) {
-                        mine++;
-                        asked = a.pollId();
-                        askedAt = at;
-                    } else if (act instanceof Membership.CancelPoll) {
-                        asked = 0;
-                    } else if (act instanceof Membership.StartTimer w) {
-                        timers.put(w.timerId(), at + w.delayMs());
-                    } else if (act instanceof Membership.StopTimer w) {
-                        timers.remove(w.timerId());
+                for (Membership.Action action : actions) {
+                    if (action instanceof Membership.Poll poll) {
+                        ownPolls++;
+                        openPoll = poll.pollId();
+                        polledAt = now;
+                    } else if (action instanceof Membership.CancelPoll) {
+                        openPoll = 0;
+                    } else if (action instanceof Membership.StartTimer timer) {
+                        timers.put(timer.timerId(), now + timer.delayMs());
+                    } else if (action instanceof Membership.StopTimer timer) {
+                        timers.remove(timer.timerId());
                     }
                 }
-                acts.clear();
+                actions.clear();
             }
-            assertThat(mine).as("goes on asking").isGreaterThan(10);
-            calls += mine;
+            assertThat(ownPolls).as("polls of one front end").isGreaterThan(10);
+            polls += ownPolls;
         }
-        assertThat(calls).as("calls of the fleet in a minute").isLessThanOrEqualTo(FRONTS * (MINUTE / 1000 + 4));
+        assertThat(polls).as("polls of all front ends in a minute").isLessThanOrEqualTo(FRONT_ENDS * (MINUTE_MS / 1000 + 4));
     }
 }
--- a/frontend/src/test/java/quincespar/metrics/MetricsTest.java
+++ b/frontend/src/test/java/quincespar/metrics/MetricsTest.java
@@ -6,41 +6,43 @@
 import org.junit.jupiter.api.Test;
 
 class MetricsTest {
-    private static final MetricsSnapshot.ChangeLogStatus WATCH = new MetricsSnapshot.ChangeLogStatus(7, 350, 3);
+    private static final MetricsSnapshot.ChangeLogStatus CHANGE_LOG = new MetricsSnapshot.ChangeLogStatus(7, 350, 3);
 
-    private final MetricsRecorder ledger = new MetricsRecorder();
+    private final MetricsRecorder recorder = new MetricsRecorder();
 
     @Test
-    void everyClassHasItsRowsFromZeroOnAndADroppedOneKeepsThem() {
-        ledger.setClasses(List.of("lookup", "load"));
-        assertThat(ledger.snapshot(0, 0, 0, WATCH).answersByClass()).containsOnlyKeys("lookup", "load");
-        ledger.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
-        ledger.answered(1, MetricsRecorder.FinalAnswer.DEFERRED);
-        ledger.setClasses(List.of("lookup", "load", "report"));
-        ledger.answered(1, MetricsRecorder.FinalAnswer.ERRORED);
-        assertThat(ledger.snapshot(0, 0, 0, WATCH).answersByClass()).containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
-                .containsEntry("load", new MetricsSnapshot.AnswerCounts(0, 1, 1)).containsEntry("report", new MetricsSnapshot.AnswerCounts(0, 0, 0));
+    void everyClassIsReportedFromZeroAndKeepsItsCountsWhenNewOnesAreAdded() {
+        recorder.setClasses(List.of("lookup", "load"));
+        assertThat(recorder.snapshot(0, 0, 0, CHANGE_LOG).answersByClass()).containsOnlyKeys("lookup", "load");
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        recorder.answered(1, MetricsRecorder.FinalAnswer.DEFERRED);
+        recorder.setClasses(List.of("lookup", "load", "report"));
+        recorder.answered(1, MetricsRecorder.FinalAnswer.ERRORED);
+        assertThat(recorder.snapshot(0, 0, 0, CHANGE_LOG).answersByClass())
+                .containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
+                .containsEntry("load", new MetricsSnapshot.AnswerCounts(0, 1, 1))
+                .containsEntry("report", new MetricsSnapshot.AnswerCounts(0, 0, 0));
     }
 
     @Test
-    void aViewDoesNotChangeWithWhatIsCountedLater() {
-        ledger.setClasses(List.of("lookup"));
-        MetricsSnapshot before = ledger.snapshot(1, 2, 1, WATCH);
-        ledger.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
-        ledger.attemptSent();
+    void aSnapshotDoesNotChangeWithLaterCounts() {
+        recorder.setClasses(List.of("lookup"));
+        MetricsSnapshot before = recorder.snapshot(1, 2, 1, CHANGE_LOG);
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        recorder.attemptSent();
         assertThat(before.answersByClass().get("lookup")).isEqualTo(new MetricsSnapshot.AnswerCounts(0, 0, 0));
         assertThat(before.attemptsSent()).isZero();
     }
 
     @Test
     void theTextHasEachMetricWithHelpAndTypeAndEscapedLabels() {
-        ledger.setClasses(List.of("a\"b\\c\nd"));
-        ledger.answered(0, MetricsRecorder.FinalAnswer.ERRORED);
-        ledger.attemptSent();
-        ledger.configurationLoaded();
-        ledger.configurationRejected();
-        ledger.configurationRejected();
-        assertThat(PrometheusText.text(ledger.snapshot(14, 6, 2, WATCH)).lines()).containsExactly(
+        recorder.setClasses(List.of("a\"b\\c\nd"));
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ERRORED);
+        recorder.attemptSent();
+        recorder.configurationLoaded();
+        recorder.configurationRejected();
+        recorder.configurationRejected();
+        assertThat(PrometheusText.text(recorder.snapshot(14, 6, 2, CHANGE_LOG)).lines()).containsExactly(
                 "# HELP gw_transactions_total Requests that got their final answer, by class: served, refused, failed.",
                 "# TYPE gw_transactions_total counter",
                 "gw_transactions_total{group=\"a\\\"b\\\\c\\nd\",state=\"answered\"} 0",
--- a/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
+++ b/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
@@ -4,6 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import quincespar.decision.Gateway;
 import quincespar.fleet.FleetView;
@@ -15,60 +16,64 @@
 import quincespar.membership.PollTiming;
 import quincespar.routing.SimulatedRouter.Spec;
 
-/** The module hears of the number of front ends by one event, and a file taken at SIGHUP does not undo what the fleet knows. */
+/**
+ * The decision module is told of the number of front ends in one event, and a configuration that is loaded at SIGHUP does not
+ * override what the fleet knows.
+ */
 class PeerSharesTest {
-    private static final double HOLD = 10_000;
+    private static final double SHARE_HOLD_MS = 10_000;
 
-    private final List<Gateway.Configured> told = new ArrayList<>();
-    private final Reducer reducer = new Reducer(SimulatedRouter.site(3, new Spec("a", "safe")), new Bounds(100, 1000, 2000, 2500, 8,
-            8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (now, events) -> {
+    private final List<Gateway.Configured> configured = new ArrayList<>();
+    private final Reducer reducer = new Reducer(SimulatedRouter.settings(3, new Spec("a", "safe")),
+            new Bounds(100, 1000, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
+            (now, events) -> {
                 events.stream().filter(Gateway.Configured.class::isInstance).map(Gateway.Configured.class::cast)
-                        .forEach(told::add);
+                        .forEach(configured::add);
                 return List.of();
             });
-    private List<Effect> last = List.of();
+    private List<Effect> lastEffects = List.of();
     private double now = 1000;
 
-    private void step(Input i) {
+    private void step(Input input) {
         now += 10;
-        last = reducer.step(now, List.of(i));
+        lastEffects = reducer.step(now, List.of(input));
     }
 
-    private void news(boolean inTouch, String... names) {
-        List<Instance> all = new ArrayList<>();
-        for (String n : names) {
-            all.add(new Instance(n, all.size() + 1, "", "", false, "t", Standing.SERVING, Standing.SERVING, 0, 0, 0,
-                    new Result.Done()));
+    private void fleetChanges(boolean inTouch, String... names) {
+        List<Instance> instances = new ArrayList<>();
+        for (String name : names) {
+            instances.add(new Instance(name, instances.size() + 1, "", "", false, "t", Standing.SERVING, Standing.SERVING,
+                    0, 0, 0, new Result.Done()));
         }
-        step(new Input.FleetChanged(new FleetView(Participation.Phase.IN_TOUCH, "", 1, new Snapshot(1, 1, 0, 9, all, List.of(),
-                List.of()), now, inTouch), "b", HOLD));
+        Snapshot state = new Snapshot(1, 1, 0, 9, instances, List.of(), List.of());
+        step(new Input.FleetChanged(new FleetView(Participation.Phase.IN_TOUCH, "", 1, state, now, inTouch), "b", SHARE_HOLD_MS));
     }
 
-    private int routers() {
-        return told.get(told.size() - 1).settings().routers();
+    private Gateway.Settings lastConfigured() {
+        return configured.get(configured.size() - 1).settings();
     }
 
     @Test
-    void theNumberOfFrontEndsFollowsTheFleetInTheSafeDirection() {
+    void sharesShrinkAtOnceAndGrowOnlyAfterAHold() {
         reducer.start(now, "127.0.0.1:1", List.of());
-        news(true, "a", "b", "c");
-        assertThat(routers()).isEqualTo(3);
-        assertThat(told.get(0).settings().me()).isEqualTo(1);
-        news(true, "a", "b", "c");
-        assertThat(told).hasSize(1); // no news to the module
-        news(true, "b", "c");
-        assertThat(routers()).isEqualTo(3);
-        assertThat(last).contains(new Effect.StartTimer(new TimerKey.ShareGrowth(), HOLD));
-        now += HOLD;
+        fleetChanges(true, "a", "b", "c");
+        assertThat(lastConfigured().routers()).isEqualTo(3);
+        assertThat(configured.get(0).settings().me()).isEqualTo(1);
+        fleetChanges(true, "a", "b", "c");
+        assertThat(configured).hasSize(1); // nothing new for the module
+        fleetChanges(true, "b", "c");
+        assertThat(lastConfigured().routers()).isEqualTo(3);
+        assertThat(lastEffects).contains(new Effect.StartTimer(new TimerKey.ShareGrowth(), SHARE_HOLD_MS));
+        now += SHARE_HOLD_MS;
         step(new Input.TimerFired(new TimerKey.ShareGrowth()));
-        assertThat(routers()).isEqualTo(2);
-        assertThat(told.get(told.size() - 1).settings().me()).isZero();
+        assertThat(lastConfigured().routers()).isEqualTo(2);
+        assertThat(lastConfigured().me()).isZero();
         step(new Input.ReloadRequested());
-        long serial = last.stream().filter(Effect.ReloadConfiguration.class::isInstance).mapToLong(e -> ((Effect.ReloadConfiguration) e).reloadId())
-                .findFirst().orElseThrow();
-        step(new Input.ConfigurationLoaded(serial, "127.0.0.1:1", SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("n", "safe")),
-                java.util.Map.of()));
-        assertThat(routers()).isEqualTo(2);
-        assertThat(told.get(told.size() - 1).settings().classes()).hasSize(2);
+        long reloadId = lastEffects.stream().filter(Effect.ReloadConfiguration.class::isInstance)
+                .mapToLong(e -> ((Effect.ReloadConfiguration) e).reloadId()).findFirst().orElseThrow();
+        step(new Input.ConfigurationLoaded(reloadId, "127.0.0.1:1",
+                SimulatedRouter.settings(3, new Spec("a", "safe"), new Spec("n", "safe")), Map.of()));
+        assertThat(lastConfigured().routers()).isEqualTo(2);
+        assertThat(lastConfigured().classes()).hasSize(2);
     }
 }
--- a/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
+++ b/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
@@ -11,133 +11,141 @@
 import quincespar.recovery.Trust;
 import quincespar.routing.SimulatedRouter.Spec;
 
-/** What a return from a loss of power holds back in the reducer, and that a load goes out only once it is on disk that it may run. */
+/**
+ * What the reducer holds back while it recovers from a power loss, and that a load is sent only once an entry of it is on
+ * disk.
+ */
 class RecoveryCoordinatorTest {
-    private static final RoutingSettings SITE = SimulatedRouter.site(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
+    private static final RoutingSettings SETTINGS =
+            SimulatedRouter.settings(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
 
-    private final SimulatedRouter world = new SimulatedRouter(SITE, new Recovery(new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false,
-            Reducer.recoveryTerms(SITE)));
+    private final SimulatedRouter router = new SimulatedRouter(SETTINGS, new Recovery(
+            new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false, Reducer.recoveryTerms(SETTINGS)));
 
-    private List<Effect.PersistEntry> kept() {
-        return world.all.stream().filter(Effect.PersistEntry.class::isInstance).map(Effect.PersistEntry.class::cast).toList();
+    private Effect.PersistEntry lastPersisted() {
+        List<Effect.PersistEntry> persisted = router.effects.stream().filter(Effect.PersistEntry.class::isInstance)
+                .map(Effect.PersistEntry.class::cast).toList();
+        return persisted.get(persisted.size() - 1);
     }
 
-    private void read(Entry... entries) {
-        world.step(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(entries), ""));
+    private void readLog(Entry... entries) {
+        router.step(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(entries), ""));
     }
 
-    /** The next wait of the return is over. */
-    private void due() {
-        List<TimerKey> keys = world.all.stream().filter(Effect.StartTimer.class::isInstance).map(e -> ((Effect.StartTimer) e).key())
-                .filter(TimerKey.Recovery.class::isInstance).toList();
-        world.step(new Input.TimerFired(keys.get(keys.size() - 1)));
+    /** Fires the timer of the current phase. */
+    private void phaseTimesOut() {
+        List<TimerKey> keys = router.effects.stream().filter(Effect.StartTimer.class::isInstance)
+                .map(e -> ((Effect.StartTimer) e).key()).filter(TimerKey.Recovery.class::isInstance).toList();
+        router.step(new Input.TimerFired(keys.get(keys.size() - 1)));
     }
 
-    private void full() {
-        read();
+    private void recover() {
+        readLog();
         for (int i = 0; i < 5; i++) {
-            due();
+            phaseTimesOut();
         }
-        assertThat(world.reducer.recoveryReport().view().phase()).isEqualTo(Recovery.Phase.FULL);
+        assertThat(router.reducer.recoveryReport().view().phase()).isEqualTo(Recovery.Phase.FULL);
     }
 
     @Test
-    void beforeItsFolderIsReadNothingGoesAndClientsAreToldWhenToComeBack() {
-        assertThat(world.reducer.canServe()).isFalse();
-        Caller early = world.ask("lookup");
-        assertThat(world.replies.get(early)).isInstanceOf(Reply.Refused.class);
-        assertThat(world.sends).isEmpty();
-        read();
-        assertThat(world.reducer.canServe()).isTrue();
-        Caller later = world.ask("lookup");
-        Caller load = world.ask("load");
-        world.settle();
-        assertThat(world.replies.get(later)).isInstanceOf(Reply.Served.class);
-        assertThat(world.replies.get(load)).isInstanceOf(Reply.Refused.class); // loads last
+    void nothingIsSentBeforeTheLogIsReadAndClientsAreRefused() {
+        assertThat(router.reducer.canServe()).isFalse();
+        Caller early = router.request("lookup");
+        assertThat(router.replies.get(early)).isInstanceOf(Reply.Refused.class);
+        assertThat(router.sends).isEmpty();
+        readLog();
+        assertThat(router.reducer.canServe()).isTrue();
+        Caller later = router.request("lookup");
+        Caller load = router.request("load");
+        router.settle();
+        assertThat(router.replies.get(later)).isInstanceOf(Reply.Served.class);
+        assertThat(router.replies.get(load)).isInstanceOf(Reply.Refused.class); // loads are admitted last
     }
 
     @Test
-    void aLoadGoesOutOnceItIsOnDiskThatItMayRun() {
-        full();
-        Caller load = world.ask("load");
-        Effect.PersistEntry begun = kept().get(kept().size() - 1);
-        assertThat(begun.entry()).isInstanceOf(Entry.Begun.class);
-        assertThat(world.sends).isEmpty();
-        world.step(new Input.PersistFinished(begun.request(), true));
-        assertThat(world.sends).hasSize(1);
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.SentTo.class);
-        world.settle();
-        assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(kept().get(kept().size() - 1).entry()).isEqualTo(new Entry.Ended(((Entry.Begun) begun.entry()).txn()));
-        assertThat(world.reducer.retainedCounts().get("held.requests")).isZero();
+    void aLoadIsSentOnceItsEntryIsOnDisk() {
+        recover();
+        Caller load = router.request("load");
+        Effect.PersistEntry start = lastPersisted();
+        assertThat(start.entry()).isInstanceOf(Entry.Begun.class);
+        assertThat(router.sends).isEmpty();
+        router.step(new Input.PersistFinished(start.request(), true));
+        assertThat(router.sends).hasSize(1);
+        assertThat(lastPersisted().entry()).isInstanceOf(Entry.SentTo.class);
+        router.settle();
+        assertThat(router.replies.get(load)).isInstanceOf(Reply.Served.class);
+        assertThat(lastPersisted().entry()).isEqualTo(new Entry.Ended(((Entry.Begun) start.entry()).txn()));
+        assertThat(router.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
     @Test
-    void aLoadWhoseClientGoesBeforeItIsOnDiskIsNeverSent() {
-        full();
-        Caller load = world.ask("load");
-        long waiting = kept().get(kept().size() - 1).request();
-        world.step(new Input.RequestCancelled(load));
-        assertThat(kept().get(kept().size() - 1).entry()).isInstanceOf(Entry.Ended.class);
-        world.step(new Input.PersistFinished(waiting, true));
-        world.settle();
-        assertThat(world.sends).isEmpty();
-        assertThat(world.reducer.retainedCounts().get("held.requests")).isZero();
+    void aLoadThatIsCancelledBeforeItsEntryIsOnDiskIsNeverSent() {
+        recover();
+        Caller load = router.request("load");
+        long waiting = lastPersisted().request();
+        router.step(new Input.RequestCancelled(load));
+        assertThat(lastPersisted().entry()).isInstanceOf(Entry.Ended.class);
+        router.step(new Input.PersistFinished(waiting, true));
+        router.settle();
+        assertThat(router.sends).isEmpty();
+        assertThat(router.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
     @Test
-    void aDiskThatRefusesHoldsNothingUpAndIsTold() {
-        full();
-        Caller load = world.ask("load");
-        world.step(new Input.PersistFinished(kept().get(kept().size() - 1).request(), false));
-        world.settle();
-        assertThat(world.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(world.reducer.recoveryReport().unpersistedLoads()).isEqualTo(1);
+    void aDiskFailureStopsNoLoadAndIsReported() {
+        recover();
+        Caller load = router.request("load");
+        router.step(new Input.PersistFinished(lastPersisted().request(), false));
+        router.settle();
+        assertThat(router.replies.get(load)).isInstanceOf(Reply.Served.class);
+        assertThat(router.reducer.recoveryReport().unpersistedLoads()).isEqualTo(1);
     }
 
-    /** The configuration's list has both as up; one had drained before the loss. */
+    /** The list in the configuration has both engines as up; one had drained before the power loss. */
     @Test
-    void anEngineThatHadDrainedTakesNothingUntilNewsOfIt() {
-        read(new Entry.Left("s-1", 0));
-        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+    void anEngineThatHadDrainedGetsNoWorkUntilTheChangeLogReportsIt() {
+        readLog(new Entry.Left("s-1", 0));
+        assertThat(router.reducer.recoveryReport().view().withheld()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
-            world.ask("lookup");
+            router.request("lookup");
         }
-        assertThat(world.out.values()).isNotEmpty();
-        world.settle();
-        assertThat(world.reducer.engineCounters().keySet()).noneMatch(k -> k.startsWith("s-1."));
-        world.changes(SimulatedRouter.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
-        assertThat(world.reducer.recoveryReport().view().withheld()).isEqualTo(1);
-        world.changes(SimulatedRouter.member("s-1", Phase.UP));
-        assertThat(world.reducer.recoveryReport().view().withheld()).isZero();
-        world.step(new Input.EngineAllowed("s-2"));
+        assertThat(router.running.values()).isNotEmpty();
+        router.settle();
+        assertThat(router.reducer.engineCounters().keySet()).noneMatch(k -> k.startsWith("s-1."));
+        router.changes(SimulatedRouter.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
+        assertThat(router.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        router.changes(SimulatedRouter.member("s-1", Phase.UP));
+        assertThat(router.reducer.recoveryReport().view().withheld()).isZero();
+        router.step(new Input.EngineAllowed("s-2"));
         for (int i = 0; i < 20; i++) {
-            world.ask("lookup");
+            router.request("lookup");
         }
-        world.settle();
-        assertThat(world.reducer.engineCounters().keySet()).anyMatch(k -> k.startsWith("s-1."));
+        router.settle();
+        assertThat(router.reducer.engineCounters().keySet()).anyMatch(k -> k.startsWith("s-1."));
     }
 
-    /** Both engines count as cold here, as of their first connection, however long this process has run before it. */
+    /** An engine counts as cold from its first connection, however long this process had run before. */
     @Test
     void anEngineThatIsReachedLateIsCold() {
-        world.now += 600_000;
-        full();
-        world.ask("lookup");
-        assertThat(world.sends).hasSize(1);
-        double met = world.now;
-        world.settle();
-        assertThat(world.told.values()).filteredOn(e -> e.startedAt() > met - 100 && e.startedAt() <= met).hasSize(1);
-        assertThat(world.told.values()).filteredOn(e -> e.startedAt() > world.now).hasSize(1); // nobody has reached it yet
+        router.now += 600_000;
+        recover();
+        router.request("lookup");
+        assertThat(router.sends).hasSize(1);
+        double reachedAt = router.now;
+        router.settle();
+        assertThat(router.listedEngines.values())
+                .filteredOn(e -> e.startedAt() > reachedAt - 100 && e.startedAt() <= reachedAt).hasSize(1);
+        assertThat(router.listedEngines.values()).filteredOn(e -> e.startedAt() > router.now).hasSize(1); // not reached yet
     }
 
     @Test
-    void withoutAReturnNothingIsKeptOrHeldBack() {
-        SimulatedRouter off = new SimulatedRouter(SITE);
-        Caller load = off.ask("load");
-        off.settle();
-        assertThat(off.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(off.all).noneMatch(e -> e instanceof Effect.PersistEntry || e instanceof Effect.FetchFleetState);
-        assertThat(off.reducer.recoveryReport()).isNull();
+    void withoutRecoveryNothingIsPersistedOrHeldBack() {
+        SimulatedRouter plain = new SimulatedRouter(SETTINGS);
+        Caller load = plain.request("load");
+        plain.settle();
+        assertThat(plain.replies.get(load)).isInstanceOf(Reply.Served.class);
+        assertThat(plain.effects)
+                .noneMatch(e -> e instanceof Effect.PersistEntry || e instanceof Effect.FetchFleetState);
+        assertThat(plain.reducer.recoveryReport()).isNull();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,12 +18,16 @@
 import quincespar.protocol.FleetEvent;
 import quincespar.protocol.FleetEvent.Phase;
 
-/** The rules that the reducer keeps, with a module that does as the test says. */
+/** The rules that the reducer keeps, with a decision module that returns the actions that a test has planned. */
 class ReducerTest {
     private static final Caller CALLER = new Caller(1, 1);
+    private static final int SAFE_CLASS = 0;
+    private static final int UNSAFE_CLASS = 1;
+    /** The number that the reducer gives to the first request. */
+    private static final long REQUEST = 1;
 
-    private final List<Gateway.Event> told = new ArrayList<>();
-    private final List<Gateway.Action> plan = new ArrayList<>();
+    private final List<Gateway.Event> events = new ArrayList<>();
+    private final List<Gateway.Action> plannedActions = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
     private final Map<String, String> pairs = new HashMap<>();
     private Reducer reducer;
@@ -34,20 +39,21 @@
         pairs.putAll(Map.of("requestClasses.count", "2", "tick", "5", "rules.drainGrace", "1000"));
         for (int c = 0; c < 2; c++) {
             pairs.putAll(Map.of("requestClasses." + c + ".slo", "800", "requestClasses." + c + ".hardLimit", "4000",
-                    "requestClasses." + c + ".effect", c == 0 ? "safe" : "unsafe"));
+                    "requestClasses." + c + ".effect", c == SAFE_CLASS ? "safe" : "unsafe"));
         }
-        reducer = new Reducer(RoutingSettings.of(pairs), new Bounds(3, 5, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, events) -> {
+        reducer = new Reducer(RoutingSettings.of(pairs), new Bounds(3, 5, 2000, 2500, 8, 8, 500,
+                new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, newEvents) -> {
             decisions++;
-            told.addAll(events);
-            List<Gateway.Action> out = List.copyOf(plan);
-            plan.clear();
-            return out;
+            events.addAll(newEvents);
+            List<Gateway.Action> actions = List.copyOf(plannedActions);
+            plannedActions.clear();
+            return actions;
         });
-        effects.addAll(reducer.start(now, "127.0.0.1:1", List.of(fleet(1, Phase.UP, "a", "b"))));
+        effects.addAll(reducer.start(now, "127.0.0.1:1", List.of(fleetEvent(1, Phase.UP, "a", "b"))));
     }
 
-    private static FleetEvent fleet(long seq, Phase phase, String... ids) {
-        return new FleetEvent(seq, seq, seq == 1, java.util.Arrays.stream(ids).map(id ->
+    private static FleetEvent fleetEvent(long seq, Phase phase, String... ids) {
+        return new FleetEvent(seq, seq, seq == 1, Arrays.stream(ids).map(id ->
                 new FleetEvent.Member(id, "127.0.0.1:1", "", "", 0, phase, 1, 0)).toList());
     }
 
@@ -56,6 +62,11 @@
         effects.addAll(reducer.step(now, List.of(inputs)));
     }
 
+    /** Lets the decision module run. */
+    private void decide() {
+        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+    }
+
     private <T> List<T> of(Class<T> type, List<?> all) {
         return all.stream().filter(type::isInstance).map(type::cast).toList();
     }
@@ -64,77 +75,84 @@
         return last(type, effects);
     }
 
-    private <T> T last(Class<T> type, List<?> from) {
-        List<T> all = of(type, from);
-        return all.get(all.size() - 1);
+    private <T> T last(Class<T> type, List<?> all) {
+        List<T> matching = of(type, all);
+        return matching.get(matching.size() - 1);
+    }
+
+    private long engine(int index) {
+        return of(Gateway.Listed.class, events).get(0).engines().get(index).id();
+    }
+
+    private static Query query(String txn, int classNumber) {
+        return new Query(txn, classNumber, 0, 4000, false, 10, 0, 0, new byte[0]);
     }
 
-    private long engine(int i) {
-        return of(Gateway.Listed.class, told).get(0).engines().get(i).id();
+    private static Input.RequestReceived request(Caller caller, String txn, double at) {
+        return new Input.RequestReceived(caller, query(txn, SAFE_CLASS), at);
     }
 
-    /** Has a request of a class taken and sent to an engine, over a link that is up. */
-    private Effect.Send sent(int cls) {
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
-        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", cls, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+    /** Receives a request of a class and sends it to the first engine, over a link that is up. */
+    private Effect.Send sendRequest(int classNumber) {
+        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        step(new Input.RequestReceived(CALLER, query("00000000000000aa", classNumber), now));
         if (of(Effect.Send.class, effects).isEmpty()) {
             step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         }
         return last(Effect.Send.class);
     }
 
-    private long requestNumber() {
-        return 1;
-    }
-
-    private Outcome outcome() {
-        List<Gateway.Ended> ends = of(Gateway.Ended.class, told);
+    private Outcome lastOutcome() {
+        List<Gateway.Ended> ends = of(Gateway.Ended.class, events);
         return ends.isEmpty() ? null : ends.get(ends.size() - 1).outcome();
     }
 
-    /** What the transport does when the first byte goes out, seen from here: the leave can't be taken back. */
-    private static void begun(Effect.Send send) {
+    /** Does what the transport does when the first byte of an attempt goes out: it can't be withdrawn any more. */
+    private static void beginWrite(Effect.Send send) {
         assertThat(send.write().begin()).isTrue();
     }
 
-    private static EngineMessage.Done done(Effect.Send s, int pages) {
-        return new EngineMessage.Done(s.txn(), pages, new byte[] {'0'}, List.of());
+    private static Input.EngineMessageReceived received(Effect.Send send, EngineMessage message) {
+        return new Input.EngineMessageReceived(send.link(), message);
     }
 
-    private static EngineMessage.Page page(Effect.Send s, int number) {
-        return new EngineMessage.Page(s.txn(), number, new byte[] {(byte) ('0' + number)});
+    private static Input.EngineMessageReceived done(Effect.Send send, int pageCount) {
+        return received(send, new EngineMessage.Done(send.txn(), pageCount, new byte[] {'0'}, List.of()));
+    }
+
+    private static Input.EngineMessageReceived page(Effect.Send send, int number) {
+        return received(send, new EngineMessage.Page(send.txn(), number, new byte[] {(byte) ('0' + number)}));
     }
 
     @Test
-    void pagesAreServedInOrderWhenAllAreIn() {
-        Effect.Send s = sent(0);
-        begun(s);
-        step(new Input.EngineMessageReceived(s.link(), done(s, 3)));
-        step(new Input.EngineMessageReceived(s.link(), page(s, 2)), new Input.EngineMessageReceived(s.link(), page(s, 2)));
+    void pagesAreServedInOrderOnceAllHaveArrived() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        step(done(send, 3));
+        step(page(send, 2), page(send, 2));
         assertThat(of(Effect.Answer.class, effects)).isEmpty();
-        step(new Input.EngineMessageReceived(s.link(), page(s, 1)));
+        step(page(send, 1));
         assertThat(((Reply.Served) last(Effect.Answer.class).reply()).result()).containsExactly('0', '1', '2');
-        assertThat(outcome()).isEqualTo(Outcome.OK);
+        assertThat(lastOutcome()).isEqualTo(Outcome.OK);
     }
 
-    /** The system's own end would leave it without an answer: what is open has one before that, new ones too. */
+    /** Killed with requests open, the process would leave them unanswered. */
     @Test
-    void whatIsOpenIsAnsweredBeforeTheProcessEnds() {
-        Effect.Send s = sent(1);
-        begun(s);
+    void openAndNewRequestsAreAnsweredBeforeAScheduledShutdown() {
+        Effect.Send send = sendRequest(UNSAFE_CLASS);
+        beginWrite(send);
         step(new Input.ShutdownScheduled(now + 1010));
-        Effect.StartTimer end = last(Effect.StartTimer.class);
-        assertThat(end.key()).isEqualTo(new TimerKey.RequestDeadline(requestNumber()));
-        assertThat(end.delayMs()).isEqualTo(1000);
-        step(new Input.RequestReceived(new Caller(1, 2), new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]),
-                now + 10));
-        assertThat(of(Gateway.Request.class, told).get(1).patience()).isLessThan(1000); // the module knows of it
-        step(new Input.TimerFired(end.key()));
+        Effect.StartTimer deadline = last(Effect.StartTimer.class);
+        assertThat(deadline.key()).isEqualTo(new TimerKey.RequestDeadline(REQUEST));
+        assertThat(deadline.delayMs()).isEqualTo(1000);
+        step(request(new Caller(1, 2), "00000000000000ab", now + 10));
+        assertThat(of(Gateway.Request.class, events).get(1).patience()).isLessThan(1000); // the module is told the new deadline
+        step(new Input.TimerFired(deadline.key()));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
     }
 
     @Test
-    void fewerPlacesForClientsMakeThoseThatSayNothingMakeRoom() {
+    void aLowerCallerLimitClosesUnusedConnections() {
         step(new Input.CallerConnected(1), new Input.CallerConnected(2));
         step(new Input.CallerLimitChanged(2));
         step(new Input.CallerConnected(3));
@@ -142,100 +160,97 @@
     }
 
     @Test
-    void aLostPageIsAnErrorThatRan() {
-        Effect.Send s = sent(0);
-        begun(s);
-        step(new Input.EngineMessageReceived(s.link(), done(s, 2)));
-        step(new Input.LinkDown(s.link(), "reset"));
+    void aLostPageIsAnErrorOfAQueryThatRan() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        step(done(send, 2));
+        step(new Input.LinkDown(send.link(), "reset"));
         assertThat(of(Effect.Answer.class, effects)).isEmpty();
-        assertThat(outcome()).isEqualTo(Outcome.ERROR);
+        assertThat(lastOutcome()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
-    void aResetProvesNothingOnceBytesWentOut() {
-        Effect.Send s = sent(1);
-        begun(s);
-        step(new Input.LinkDown(s.link(), "reset"));
-        assertThat(outcome()).isEqualTo(Outcome.RESET);
-        plan.add(new Gateway.Send(requestNumber(), engine(1), 0));
-        plan.add(new Gateway.Refuse(requestNumber(), 0));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
-        assertThat(of(Effect.Send.class, effects)).hasSize(1); // a load is never sent twice,
-        assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class); // nor refused
+    void anUnsafeRequestIsNeitherRetriedNorRefusedOnceBytesWereWritten() {
+        Effect.Send send = sendRequest(UNSAFE_CLASS);
+        beginWrite(send);
+        step(new Input.LinkDown(send.link(), "reset"));
+        assertThat(lastOutcome()).isEqualTo(Outcome.RESET);
+        plannedActions.add(new Gateway.Send(REQUEST, engine(1), 0));
+        plannedActions.add(new Gateway.Refuse(REQUEST, 0));
+        decide();
+        assertThat(of(Effect.Send.class, effects)).hasSize(1);
+        assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
     }
 
-    /** What each engine got, how it ended, and which of its links never came up. */
     @Test
-    void engineCountsTellWhatWasSentAndWhatWasRefused() {
-        Effect.Send s = sent(0);
-        begun(s);
-        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
+    void engineCountersTellWhatWasSentHowItEndedAndWhichLinksFailed() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        step(done(send, 1));
         assertThat(reducer.engineCounters()).containsEntry("a.sent", 1L).containsEntry("a.ok", 1L).containsEntry("a.links", 1L)
                 .doesNotContainKeys("a.refused", "b.sent");
-        step(new Input.RequestReceived(new Caller(CALLER.connection(), 2),
-                new Query("00000000000000ab", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        plan.add(new Gateway.Send(of(Gateway.Request.class, told).get(1).id(), engine(1), 0));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+        step(request(new Caller(CALLER.connection(), 2), "00000000000000ab", now));
+        plannedActions.add(new Gateway.Send(of(Gateway.Request.class, events).get(1).id(), engine(1), 0));
+        decide();
         step(new Input.LinkDown(last(Effect.OpenLink.class).link(), "refused"));
         assertThat(reducer.engineCounters()).containsEntry("b.refused", 1L).containsEntry("b.connect_failed", 1L)
                 .containsEntry("b.links", 1L).doesNotContainKey("b.sent");
     }
 
     @Test
-    void whatWasNotWrittenNeverRan() {
-        Effect.Send s = sent(1);
-        step(new Input.LinkDown(s.link(), "reset"));
-        assertThat(outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+    void anAttemptOfWhichNothingWasWrittenHasNotRun() {
+        Effect.Send send = sendRequest(UNSAFE_CLASS);
+        step(new Input.LinkDown(send.link(), "reset"));
+        assertThat(lastOutcome()).isEqualTo(Outcome.CONNECT_FAILED);
     }
 
     @Test
     void aCancelledAttemptEndsOnlyWhenItsCancelIsWritten() {
-        Effect.Send s = sent(0);
-        begun(s);
-        plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        plannedActions.add(new Gateway.Cancel(REQUEST, 0, Gateway.Why.SLOW));
+        decide();
         assertThat(of(Effect.Cancel.class, effects)).hasSize(1);
-        assertThat(outcome()).isNull();
-        step(new Input.CancelWritten(s.key()));
-        assertThat(outcome()).isEqualTo(Outcome.CANCELLED);
+        assertThat(lastOutcome()).isNull();
+        step(new Input.CancelWritten(send.key()));
+        assertThat(lastOutcome()).isEqualTo(Outcome.CANCELLED);
     }
 
     @Test
-    void aRetryOnTheSameEngineFollowsItsCancelOnTheSameLink() {
-        Effect.Send s = sent(0);
-        begun(s);
-        plan.add(new Gateway.Cancel(requestNumber(), 0, Gateway.Why.SLOW));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
-        step(new Input.CancelWritten(s.key()));
+    void aRetryOnTheSameEngineFollowsTheCancelOnItsLink() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        plannedActions.add(new Gateway.Cancel(REQUEST, 0, Gateway.Why.SLOW));
+        decide();
+        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        step(new Input.CancelWritten(send.key()));
         assertThat(last(Effect.Send.class).key().attempt()).isEqualTo(1);
-        assertThat(last(Effect.Send.class).link()).isEqualTo(s.link());
+        assertThat(last(Effect.Send.class).link()).isEqualTo(send.link());
     }
 
     @Test
-    void whatIsQueuedForADrainingEngineNeverGoesOut() {
-        Effect.Send s = sent(0);
-        step(new Input.ChangesReceived(1, 2, List.of(fleet(2, Phase.DRAINING, "a"))));
-        assertThat(s.write().withdraw()).isTrue();
-        assertThat(outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+    void anAttemptQueuedForADrainingEngineIsWithdrawn() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        step(new Input.ChangesReceived(1, 2, List.of(fleetEvent(2, Phase.DRAINING, "a"))));
+        assertThat(send.write().withdraw()).isTrue();
+        assertThat(lastOutcome()).isEqualTo(Outcome.CONNECT_FAILED);
     }
 
     @Test
-    void aConnectIsGivenUpWithItsEngineOrInTime() {
-        plan.add(new Gateway.Send(requestNumber(), engine(0), 0));
-        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+    void aLinkThatIsNotEstablishedInTimeIsClosed() {
+        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        step(request(CALLER, "00000000000000aa", now));
         long link = last(Effect.OpenLink.class).link();
         step(new Input.TimerFired(new TimerKey.ConnectTimeout(link)));
         assertThat(last(Effect.CloseLink.class).link()).isEqualTo(link);
-        assertThat(outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+        assertThat(lastOutcome()).isEqualTo(Outcome.CONNECT_FAILED);
     }
 
-    /** Asked to make room once more by a connection that can't be closed, the loop and the reducer would go round for good. */
+    /** Asked to make room for itself again and again, a connection that can't be closed would keep the reducer busy for ever. */
     @Test
-    void aConnectionThatStaysMakesNoRoomForItself() {
-        for (int i = 1; i <= 4; i++) { // one more than there is room for
-            step(new Input.CallerConnected(i), new Input.RequestReceived(new Caller(i, 1), new Query("00000000000000a" + i, 0, 0, 4000, false, 10, 0, 0,
-                    new byte[0]), now));
+    void aConnectionThatStaysOpenClosesNoOther() {
+        for (int i = 1; i <= 4; i++) { // one more than the limit
+            step(new Input.CallerConnected(i), request(new Caller(i, 1), "00000000000000a" + i, now));
         }
         int closes = of(Effect.CloseCaller.class, effects).size();
         step(new Input.CallerNotClosed(4));
@@ -243,99 +258,103 @@
     }
 
     @Test
-    void lateBytesOfAnEndedAttemptAreDropped() {
-        Effect.Send s = sent(0);
-        begun(s);
-        plan.add(new Gateway.Refuse(requestNumber(), 0));
-        step(new Input.TimerFired(new TimerKey.AttemptTimeout(s.key())));
-        step(new Input.CancelWritten(s.key()));
-        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
+    void aLateAnswerToAnEndedAttemptIsDropped() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        plannedActions.add(new Gateway.Refuse(REQUEST, 0));
+        step(new Input.TimerFired(new TimerKey.AttemptTimeout(send.key())));
+        step(new Input.CancelWritten(send.key()));
+        step(done(send, 1));
         assertThat(of(Effect.Answer.class, effects)).hasSize(1);
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Refused.class);
     }
 
     @Test
-    void aRequestThatTheModuleForgetsIsFailedInTime() {
-        step(new Input.RequestReceived(CALLER, new Query("00000000000000aa", 0, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        step(new Input.TimerFired(new TimerKey.RequestDeadline(requestNumber())));
+    void aRequestThatTheModuleDoesNotAnswerFailsAtItsDeadline() {
+        step(request(CALLER, "00000000000000aa", now));
+        step(new Input.TimerFired(new TimerKey.RequestDeadline(REQUEST)));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
-        assertThat(of(Gateway.Left.class, told)).hasSize(1);
+        assertThat(of(Gateway.Left.class, events)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
     @Test
-    void clientsThatLeaveAreToldToTheModule() {
-        sent(0);
+    void theModuleIsToldOfClientsThatDisconnect() {
+        sendRequest(SAFE_CLASS);
         step(new Input.CallerDisconnected(CALLER.connection()));
-        assertThat(of(Gateway.Left.class, told)).hasSize(1);
+        assertThat(of(Gateway.Left.class, events)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
     @Test
-    void theModuleDecidesOnceATick() {
+    void theModuleDecidesOnceInATick() {
         step(new Input.RequestCancelled(CALLER));
         int before = decisions;
         for (int i = 10; i < 13; i++) {
-            effects.addAll(reducer.step(now + i, List.of(new Input.RequestReceived(new Caller(2, i),
-                    new Query("00000000000000" + i, 0, 0, 4000, false, 10, 0, 0, new byte[0]), now + i))));
+            effects.addAll(reducer.step(now + i, List.of(request(new Caller(2, i), "00000000000000" + i, now + i))));
         }
         assertThat(decisions).isEqualTo(before + 1);
         effects.addAll(reducer.step(now + 15, List.of(new Input.TimerFired(new TimerKey.DecisionTick()))));
         assertThat(decisions).isEqualTo(before + 2);
-        assertThat(of(Gateway.Request.class, told)).hasSize(3);
+        assertThat(of(Gateway.Request.class, events)).hasSize(3);
+    }
+
+    private static FleetEvent started(long seq, String id, double startedAt) {
+        return new FleetEvent(seq, seq, false,
+                List.of(new FleetEvent.Member(id, "127.0.0.1:1", "", "", 0, Phase.UP, 1, startedAt)));
     }
 
-    private FleetEvent started(long seq, String id, double at) {
-        return new FleetEvent(seq, seq, false, List.of(new FleetEvent.Member(id, "127.0.0.1:1", "", "", 0, Phase.UP, 1, at)));
+    private double lastStartedAt() {
+        return last(Gateway.Listed.class, events).engines().get(0).startedAt();
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {3_600_000, -3_600_000, 5000})
-    void aStartStampedByAClockThatHasSteppedCountsAsAStartOfNow(double step) {
+    void aStartStampedByASteppedClockCountsAsNow(double clockStep) {
         now += 4_000_000;
-        told.clear();
-        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", now + step))));
-        double startedAt = last(Gateway.Listed.class, told).engines().get(0).startedAt();
-        assertThat(startedAt).isEqualTo(now);
-        step(new Input.ChangesReceived(3, 3, List.of(fleet(3, Phase.DRAINING, "a"))));
-        step(new Input.ChangesReceived(5, 4, List.of(started(4, "c", now - 30 + step))));
-        assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).as("another start").isEqualTo(now);
+        events.clear();
+        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", now + clockStep))));
+        assertThat(lastStartedAt()).isEqualTo(now);
+        step(new Input.ChangesReceived(3, 3, List.of(fleetEvent(3, Phase.DRAINING, "a"))));
+        step(new Input.ChangesReceived(5, 4, List.of(started(4, "c", now - 30 + clockStep))));
+        assertThat(lastStartedAt()).as("another start").isEqualTo(now);
     }
 
     @Test
-    void aStartOfAMomentAgoKeepsItsStamp() {
+    void aRecentStartKeepsItsTimeStamp() {
         now += 4_000_000;
-        double at = now - 2000;
-        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", at))));
-        assertThat(last(Gateway.Listed.class, told).engines().get(0).startedAt()).isEqualTo(at);
+        double startedAt = now - 2000;
+        step(new Input.ChangesReceived(1, 2, List.of(started(2, "c", startedAt))));
+        assertThat(lastStartedAt()).isEqualTo(startedAt);
     }
 
     @Test
-    void aSilentChangeLogIsAskedAgainAndTheListKept() {
+    void afterAFailedPollTheChangeLogIsPolledAgainAndTheListIsKept() {
         step(new Input.PollFailed(1, PollFailure.NO_ANSWER, "status 500"));
         assertThat(of(Effect.StartTimer.class, effects)).extracting(Effect.StartTimer::key)
-                .contains(new TimerKey.ChangeLogTimer(3)); // 1 was the question, 2 the wait for its answer
+                .contains(new TimerKey.ChangeLogTimer(3)); // 1 was the poll, 2 the timer for its answer
         step(new Input.TimerFired(new TimerKey.ChangeLogTimer(2))); // it had fired when it was stopped
         assertThat(of(Effect.PollChangeLog.class, effects)).hasSize(1);
         step(new Input.TimerFired(new TimerKey.ChangeLogTimer(3)));
-        assertThat(of(Effect.PollChangeLog.class, effects)).extracting(Effect.PollChangeLog::afterEvent).containsExactly(1L, 1L);
+        assertThat(of(Effect.PollChangeLog.class, effects)).extracting(Effect.PollChangeLog::afterEvent)
+                .containsExactly(1L, 1L);
         step(new Input.HealthRequested(CALLER));
         assertThat(last(Effect.AnswerHealth.class).caller()).isEqualTo(CALLER);
         assertThat(reducer.canServe()).isTrue();
     }
 
     @Test
-    void aNewConfigurationMovesThePollAtOnceAndKeepsTheRest() {
-        Effect.Send s = sent(0);
-        step(new Input.ReloadRequested(), new Input.ReloadRequested()); // the file may be replaced again at once: the last counts
-        List<Effect.ReloadConfiguration> rereads = of(Effect.ReloadConfiguration.class, effects);
-        step(new Input.ConfigurationLoaded(rereads.get(1).reloadId(), "127.0.0.1:2", RoutingSettings.of(pairs), Map.of()),
-                new Input.ConfigurationLoaded(rereads.get(0).reloadId(), "127.0.0.1:3", RoutingSettings.of(pairs), Map.of()));
+    void aNewConfigurationPollsTheNewAddressAtOnceAndKeepsRequests() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        step(new Input.ReloadRequested(), new Input.ReloadRequested()); // only the last one counts
+        List<Effect.ReloadConfiguration> reloads = of(Effect.ReloadConfiguration.class, effects);
+        step(new Input.ConfigurationLoaded(reloads.get(1).reloadId(), "127.0.0.1:2", RoutingSettings.of(pairs), Map.of()),
+                new Input.ConfigurationLoaded(reloads.get(0).reloadId(), "127.0.0.1:3", RoutingSettings.of(pairs), Map.of()));
         Effect.PollChangeLog poll = last(Effect.PollChangeLog.class);
         assertThat(poll.address()).isEqualTo("127.0.0.1:2");
         assertThat(poll.afterEvent()).isEqualTo(1);
-        step(new Input.PollFailed(1, PollFailure.NO_ANSWER, "closed by the peer")); // the old one's end says nothing of the new one
-        step(new Input.EngineMessageReceived(s.link(), done(s, 1)));
+        step(new Input.PollFailed(1, PollFailure.NO_ANSWER, "closed by the peer")); // of the old address
+        step(done(send, 1));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Served.class);
         assertThat(last(Effect.PollChangeLog.class)).isEqualTo(poll);
         step(new Input.ReloadRequested());
@@ -344,25 +363,21 @@
         assertThat(last(Effect.PollChangeLog.class)).isEqualTo(poll);
     }
 
-    private static Input.RequestReceived asked(Caller caller, String txn, double at) {
-        return new Input.RequestReceived(caller, new Query(txn, 0, 0, 4000, false, 10, 0, 0, new byte[0]), at);
-    }
-
     @Test
-    void silentAndIdleCallersMakeRoomForNewOnes() {
+    void unusedAndIdleConnectionsMakeRoomForNewOnes() {
         step(new Input.CallerConnected(7), new Input.CallerConnected(8), new Input.CallerConnected(9));
-        step(asked(new Caller(7, 1), "a", now), asked(new Caller(8, 1), "b", now));
-        step(new Input.CallerConnected(10)); // one more than fits: 9 has said nothing
-        step(new Input.RequestCancelled(new Caller(8, 1)), new Input.CallerConnected(11)); // 10 is the silent one now
-        step(asked(new Caller(11, 1), "c", now), new Input.CallerConnected(12)); // and now 8 has nothing open
-        step(asked(new Caller(12, 1), "d", now), new Input.CallerConnected(13)); // all others are being served
+        step(request(new Caller(7, 1), "a", now), request(new Caller(8, 1), "b", now));
+        step(new Input.CallerConnected(10)); // one more than the limit: 9 has sent nothing
+        step(new Input.RequestCancelled(new Caller(8, 1)), new Input.CallerConnected(11)); // 10 has sent nothing
+        step(request(new Caller(11, 1), "c", now), new Input.CallerConnected(12)); // 8 has nothing open
+        step(request(new Caller(12, 1), "d", now), new Input.CallerConnected(13)); // all others have requests open
         assertThat(of(Effect.CloseCaller.class, effects)).extracting(Effect.CloseCaller::connection)
                 .containsExactly(9L, 10L, 8L, 13L);
     }
 
     @Test
-    void aCallerWithNothingOpenIsClosedInTimeAndOneThatWaitsIsNot() {
-        step(new Input.CallerConnected(7), new Input.CallerConnected(8), asked(new Caller(8, 1), "a", now));
+    void onlyAnIdleConnectionIsClosedByItsTimer() {
+        step(new Input.CallerConnected(7), new Input.CallerConnected(8), request(new Caller(8, 1), "a", now));
         step(new Input.TimerFired(new TimerKey.CallerIdle(7)), new Input.TimerFired(new TimerKey.CallerIdle(8)));
         assertThat(of(Effect.CloseCaller.class, effects)).extracting(Effect.CloseCaller::connection)
                 .containsExactly(7L);
@@ -373,12 +388,12 @@
     }
 
     @Test
-    void theIdOfAnOpenRequestIsNotTakenTwiceAndOpenRequestsAreBounded() {
-        step(asked(new Caller(1, 1), "a", now), asked(new Caller(2, 1), "a", now));
+    void theTxnOfAnOpenRequestIsNotAcceptedTwiceAndOpenRequestsAreBounded() {
+        step(request(new Caller(1, 1), "a", now), request(new Caller(2, 1), "a", now));
         assertThat(last(Effect.Answer.class).caller()).isEqualTo(new Caller(2, 1));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
         for (int i = 0; i < 5; i++) {
-            step(asked(new Caller(3, i), "b" + i, now));
+            step(request(new Caller(3, i), "b" + i, now));
         }
         assertThat(last(Effect.Answer.class).caller()).isEqualTo(new Caller(3, 4));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Refused.class);
@@ -386,79 +401,78 @@
     }
 
     @Test
-    void whatMakesNoSenseMattersUnderAnOpenIdOnly() {
-        Effect.Send s = sent(0);
-        begun(s);
-        step(new Input.EngineMessageReceived(s.link(), new EngineMessage.Malformed("another", "count is no number")));
-        assertThat(outcome()).isNull();
-        step(new Input.EngineMessageReceived(s.link(), new EngineMessage.Malformed(s.txn(), "count is no number")));
-        assertThat(last(Effect.CloseLink.class).link()).isEqualTo(s.link());
-        assertThat(outcome()).isEqualTo(Outcome.RESET);
+    void aMalformedMessageClosesItsLinkOnlyForAnOpenId() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        step(received(send, new EngineMessage.Malformed("another", "count is no number")));
+        assertThat(lastOutcome()).isNull();
+        step(received(send, new EngineMessage.Malformed(send.txn(), "count is no number")));
+        assertThat(last(Effect.CloseLink.class).link()).isEqualTo(send.link());
+        assertThat(lastOutcome()).isEqualTo(Outcome.RESET);
     }
 
     @Test
-    void anAnswerThatStopsShortEndsItsLink() {
-        Effect.Send s = sent(0);
-        begun(s);
-        step(new Input.PartialMessage(s.link(), true), new Input.PartialMessage(s.link(), false));
-        assertThat(last(Effect.StopTimer.class).key()).isEqualTo(new TimerKey.PartialMessage(s.link()));
-        step(new Input.PartialMessage(s.link(), true));
-        step(new Input.TimerFired(new TimerKey.PartialMessage(s.link())));
-        assertThat(last(Effect.CloseLink.class).link()).isEqualTo(s.link());
-        assertThat(outcome()).isEqualTo(Outcome.RESET);
+    void aMessageThatIsNotCompletedClosesItsLink() {
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        step(new Input.PartialMessage(send.link(), true), new Input.PartialMessage(send.link(), false));
+        assertThat(last(Effect.StopTimer.class).key()).isEqualTo(new TimerKey.PartialMessage(send.link()));
+        step(new Input.PartialMessage(send.link(), true));
+        step(new Input.TimerFired(new TimerKey.PartialMessage(send.link())));
+        assertThat(last(Effect.CloseLink.class).link()).isEqualTo(send.link());
+        assertThat(lastOutcome()).isEqualTo(Outcome.RESET);
     }
 
     @Test
-    void whatFollowsAWholeFirstPageProvesNothing() {
-        Effect.Send s = sent(1);
-        begun(s);
-        step(new Input.EngineMessageReceived(s.link(), done(s, 2)), new Input.EngineMessageReceived(s.link(), new EngineMessage.Full(s.txn(), List.of())),
-                new Input.EngineMessageReceived(s.link(), new EngineMessage.Expired(s.txn(), List.of())));
-        assertThat(outcome()).isNull();
-        step(new Input.EngineMessageReceived(s.link(), page(s, 2))); // there is no such page
-        assertThat(outcome()).isEqualTo(Outcome.ERROR);
+    void fullAndExpiredProveNothingAfterDone() {
+        Effect.Send send = sendRequest(UNSAFE_CLASS);
+        beginWrite(send);
+        step(done(send, 2), received(send, new EngineMessage.Full(send.txn(), List.of())),
+                received(send, new EngineMessage.Expired(send.txn(), List.of())));
+        assertThat(lastOutcome()).isNull();
+        step(page(send, 2)); // there is no such page
+        assertThat(lastOutcome()).isEqualTo(Outcome.ERROR);
     }
 
     @Test
-    void oneInputThatFailsDoesNotLoseTheOthers() {
-        step(new Input.RequestReceived(new Caller(1, 1), null, now), asked(new Caller(1, 2), "a", now));
+    void anInputThatFailsDoesNotLoseTheOthers() {
+        step(new Input.RequestReceived(new Caller(1, 1), null, now), request(new Caller(1, 2), "a", now));
         assertThat(of(Effect.UnexpectedError.class, effects)).hasSize(1);
         assertThat(reducer.openRequests()).isEqualTo(1);
     }
 
     @Test
-    void whatMayNotRunTwiceGoesAloneOnceAnAnswerHasComeSpoilt() {
-        Effect.Send spoilt = sent(0);
-        begun(spoilt);
-        step(new Input.EngineMessageReceived(spoilt.link(), new EngineMessage.Malformed(spoilt.txn(), "no sense")));
-        plan.add(new Gateway.Send(load("c"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+    void anUnsafeRequestHasItsOwnLinkOnceAnAnswerWasMalformed() {
+        Effect.Send malformed = sendRequest(SAFE_CLASS);
+        beginWrite(malformed);
+        step(received(malformed, new EngineMessage.Malformed(malformed.txn(), "invalid")));
+        plannedActions.add(new Gateway.Send(receiveUnsafe("c"), engine(0), 0));
+        decide();
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
-        Effect.Send load = last(Effect.Send.class);
-        plan.add(new Gateway.Send(load("b"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+        Effect.Send first = last(Effect.Send.class);
+        plannedActions.add(new Gateway.Send(receiveUnsafe("b"), engine(0), 0));
+        decide();
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(3);
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
-        assertThat(last(Effect.Send.class).link()).isNotEqualTo(load.link());
+        assertThat(last(Effect.Send.class).link()).isNotEqualTo(first.link());
     }
 
-    /** Over a large fleet a link for each load is nearly twice the links, and each costs a handshake. */
+    /** In a large fleet a link for each unsafe request would nearly double the links, and each costs a handshake. */
     @Test
-    void whatMayNotRunTwiceSharesALinkWhileNoAnswerHasComeSpoilt() {
-        Effect.Send first = sent(1);
-        plan.add(new Gateway.Send(load("b"), engine(0), 0));
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+    void unsafeRequestsShareALinkWhileNoAnswerWasMalformed() {
+        Effect.Send first = sendRequest(UNSAFE_CLASS);
+        plannedActions.add(new Gateway.Send(receiveUnsafe("b"), engine(0), 0));
+        decide();
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
         assertThat(last(Effect.Send.class).link()).isEqualTo(first.link());
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(1);
     }
 
-    /** Has a further load taken and tells its number. */
-    private long load(String txn) {
-        step(new Input.RequestReceived(new Caller(1, 2 + of(Gateway.Request.class, told).size()),
-                new Query(txn, 1, 0, 4000, false, 10, 0, 0, new byte[0]), now));
-        List<Gateway.Request> all = of(Gateway.Request.class, told);
-        return all.get(all.size() - 1).id();
+    /** Receives a further unsafe request; returns its number. */
+    private long receiveUnsafe(String txn) {
+        step(new Input.RequestReceived(new Caller(1, 2 + of(Gateway.Request.class, events).size()), query(txn, UNSAFE_CLASS),
+                now));
+        return last(Gateway.Request.class, events).id();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/RetainedStateTest.java
+++ b/frontend/src/test/java/quincespar/routing/RetainedStateTest.java
@@ -8,37 +8,40 @@
 import quincespar.protocol.FleetEvent.Phase;
 import quincespar.routing.SimulatedRouter.Spec;
 
-/** What the reducer holds over a long time in which ids are ever new: of engines, clients and transactions. */
+/** The reducer's state does not grow while engines, clients and transactions with ever new ids come and go. */
 class RetainedStateTest {
-    private final SimulatedRouter w = new SimulatedRouter(SimulatedRouter.site(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
+    private final SimulatedRouter router = new SimulatedRouter(
+            SimulatedRouter.settings(3, new Spec("a", "safe"), new Spec("b", "unsafe")));
 
-    private void live(int from, int rounds) {
-        for (int i = from; i < from + rounds; i++) {
-            long connection = 100 + i;
-            w.step(new Input.CallerConnected(connection));
-            w.ask("a");
-            w.ask("b");
-            w.settle();
-            w.step(new Input.CallerDisconnected(connection));
-            w.changes(SimulatedRouter.member("s-" + (i + 2), Phase.UP), SimulatedRouter.member("s-" + i, Phase.DRAINING));
-            w.changes(SimulatedRouter.member("s-" + i, Phase.REMOVED));
-            List<Effect> idle = w.all.stream().filter(e -> e instanceof Effect.StartTimer t
+    private void run(int firstRound, int rounds) {
+        for (int round = firstRound; round < firstRound + rounds; round++) {
+            long connection = 100 + round;
+            router.step(new Input.CallerConnected(connection));
+            router.request("a");
+            router.request("b");
+            router.settle();
+            router.step(new Input.CallerDisconnected(connection));
+            router.changes(SimulatedRouter.member("s-" + (round + 2), Phase.UP),
+                    SimulatedRouter.member("s-" + round, Phase.DRAINING));
+            router.changes(SimulatedRouter.member("s-" + round, Phase.REMOVED));
+            List<Effect> idleTimers = router.effects.stream().filter(e -> e instanceof Effect.StartTimer t
                     && t.key() instanceof TimerKey.LinkIdle).toList();
-            w.all.clear();
-            idle.forEach(e -> w.step(new Input.TimerFired(((Effect.StartTimer) e).key())));
+            router.effects.clear();
+            idleTimers.forEach(e -> router.step(new Input.TimerFired(((Effect.StartTimer) e).key())));
         }
     }
 
     @Test
-    void nothingIsHeldForGoodOfWhatHasGone() {
-        live(1, 50);
-        Map<String, Integer> after = w.reducer.retainedCounts();
-        live(51, 2000);
-        assertThat(w.reducer.retainedCounts().get("held.links")).isLessThanOrEqualTo(after.get("held.links") + 2);
-        assertThat(w.reducer.retainedCounts()).containsEntry("held.requests", 0).containsEntry("held.names", 0)
-                .containsEntry("held.probes", 0).containsEntry("held.engines", after.get("held.engines"));
-        assertThat(w.reducer.retainedCounts().get("held.callers")).isEqualTo(after.get("held.callers"));
-        assertThat(w.reducer.engineCounters().size()).isLessThan(257 * 20);
-        assertThat(w.reducer.metrics().listedEngines()).isEqualTo(2);
+    void nothingIsRetainedOfWhatIsGone() {
+        run(1, 50);
+        Map<String, Integer> early = router.reducer.retainedCounts();
+        run(51, 2000);
+        Map<String, Integer> late = router.reducer.retainedCounts();
+        assertThat(late.get("held.links")).isLessThanOrEqualTo(early.get("held.links") + 2);
+        assertThat(late).containsEntry("held.requests", 0).containsEntry("held.names", 0)
+                .containsEntry("held.probes", 0).containsEntry("held.engines", early.get("held.engines"));
+        assertThat(late.get("held.callers")).isEqualTo(early.get("held.callers"));
+        assertThat(router.reducer.engineCounters().size()).isLessThan(257 * 20);
+        assertThat(router.reducer.metrics().listedEngines()).isEqualTo(2);
     }
 }
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -11,17 +11,17 @@
 import quincespar.decision.Gateway;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
-import quincespar.recovery.Recovery;
 import quincespar.protocol.FleetEvent.Phase;
+import quincespar.recovery.Recovery;
 
-/** One front end without sockets: engines that take all and answer when they are told to. */
+/** A front end without sockets, with the real decision module and engines that answer when a test says so. */
 final class SimulatedRouter {
-    /** A class as settings list it. */
+    /** A class as the settings list it. */
     record Spec(String name, String effect) { }
 
-    static RoutingSettings site(int attempts, Spec... specs) {
+    static RoutingSettings settings(int maxAttempts, Spec... specs) {
         Map<String, String> pairs = new HashMap<>(Map.of("requestClasses.count", "" + specs.length, "tick", "1",
-                "limits.maxAttempts", "" + attempts, "limits.cancelling", "true", "projects.count", "1",
+                "limits.maxAttempts", "" + maxAttempts, "limits.cancelling", "true", "projects.count", "1",
                 "projects.0.name", "acme", "projects.0.quotaPerS", "1000"));
         for (int i = 0; i < specs.length; i++) {
             pairs.putAll(Map.of("requestClasses." + i + ".name", specs[i].name(), "requestClasses." + i + ".slo", "800",
@@ -30,40 +30,46 @@
         return RoutingSettings.of(pairs);
     }
 
+    /** How many answers each caller got. */
     final Map<Caller, Integer> answers = new HashMap<>();
-    final Map<Caller, String> effects = new HashMap<>();
+    /** The effect of each caller's class when it sent its request. */
+    final Map<Caller, String> classEffects = new HashMap<>();
     final Map<Caller, Reply> replies = new HashMap<>();
+    /** How often each request was sent to an engine. */
     final Map<String, Integer> sends = new HashMap<>();
-    final Map<String, Effect.Send> out = new LinkedHashMap<>();
-    final List<Effect> all = new ArrayList<>();
-    final Map<Long, Gateway.Engine> told = new HashMap<>();
+    /** Attempts at engines, by txn. */
+    final Map<String, Effect.Send> running = new LinkedHashMap<>();
+    final List<Effect> effects = new ArrayList<>();
+    /** Each engine as the decision module was last told of it. */
+    final Map<Long, Gateway.Engine> listedEngines = new HashMap<>();
     final Reducer reducer;
-    RoutingSettings site;
+    RoutingSettings settings;
     double now = 1000;
-    int asked;
-    private long poll;
-    private long seq = 1;
+    int requests;
+    private long pollId;
+    private long lastEvent = 1;
 
-    SimulatedRouter(RoutingSettings start) {
-        this(start, null);
+    SimulatedRouter(RoutingSettings settings) {
+        this(settings, null);
     }
 
-    /** With a return from a loss of power, null for none; loads wait for the disk. */
-    SimulatedRouter(RoutingSettings start, Recovery recovery) {
-        site = start;
-        reducer = new Reducer(site, new Bounds(100, 1000, 2000, 2500, 8, 8, 500,
-                new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), heard(new Brain(site.decision(), 7)), recovery, true);
-        follow(reducer.start(now, "127.0.0.1:1", List.of(new FleetEvent(1, 1, true,
+    /** With recovery from a power loss, null for none; loads wait for the disk. */
+    SimulatedRouter(RoutingSettings settings, Recovery recovery) {
+        this.settings = settings;
+        reducer = new Reducer(settings, new Bounds(100, 1000, 2000, 2500, 8, 8, 500,
+                new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
+                recordingLists(new Brain(settings.decision(), 7)), recovery, true);
+        perform(reducer.start(now, "127.0.0.1:1", List.of(new FleetEvent(1, 1, true,
                 List.of(member("s-1", Phase.UP), member("s-2", Phase.UP))))));
     }
 
-    /** A module, and what it was last told of each engine. */
-    private Gateway heard(Gateway module) {
+    /** Wraps a module to record the lists of engines that it is told. */
+    private Gateway recordingLists(Gateway module) {
         return new Gateway() {
             @Override
             public List<Gateway.Action> decide(double time, List<Gateway.Event> events) {
                 events.stream().filter(Gateway.Listed.class::isInstance).flatMap(e -> ((Gateway.Listed) e).engines().stream())
-                        .forEach(e -> told.put(e.id(), e));
+                        .forEach(e -> listedEngines.put(e.id(), e));
                 return module.decide(time, events);
             }
 
@@ -78,78 +84,81 @@
         return new FleetEvent.Member(id, "127.0.0.1:1", "", "", 0, phase, 1, 0);
     }
 
-    /** The change log's next word. */
+    /** The change log answers the open poll with one event. */
     void changes(FleetEvent.Member... members) {
-        step(new Input.ChangesReceived(poll, ++seq, List.of(new FleetEvent(seq, seq, false, List.of(members)))));
+        step(new Input.ChangesReceived(pollId, ++lastEvent,
+                List.of(new FleetEvent(lastEvent, lastEvent, false, List.of(members)))));
     }
 
     void step(Input... inputs) {
         now += 5;
-        follow(reducer.step(now, List.of(inputs)));
+        perform(reducer.step(now, List.of(inputs)));
     }
 
-    void follow(List<Effect> effects) {
-        all.addAll(effects);
-        List<Input> next = new ArrayList<>();
-        for (Effect e : effects) {
-            if (e instanceof Effect.OpenLink x) {
-                next.add(new Input.LinkUp(x.link()));
-            } else if (e instanceof Effect.Send x) {
-                assertThat(out).as("two at once").doesNotContainKey(x.txn());
-                assertThat(x.write().begin()).isTrue();
-                next.add(new Input.SendWritten(x.key()));
-                sends.merge(x.txn(), 1, Integer::sum);
-                out.put(x.txn(), x);
-            } else if (e instanceof Effect.Cancel x) {
-                out.remove(x.txn());
-                next.add(new Input.CancelWritten(x.key()));
-            } else if (e instanceof Effect.Answer x) {
-                answers.merge(x.caller(), 1, Integer::sum);
-                replies.put(x.caller(), x.reply());
-            } else if (e instanceof Effect.PollChangeLog x) {
-                poll = x.pollId();
-            } else if (e instanceof Effect.CloseLink x) {
-                out.values().removeIf(s -> s.link() == x.link());
-            } else if (e instanceof Effect.ApplySettings x) {
-                site = x.settings();
-            } else if (e instanceof Effect.UnexpectedError x) {
-                throw new AssertionError(x.activity(), x.error());
+    private void perform(List<Effect> newEffects) {
+        effects.addAll(newEffects);
+        List<Input> inputs = new ArrayList<>();
+        for (Effect effect : newEffects) {
+            if (effect instanceof Effect.OpenLink e) {
+                inputs.add(new Input.LinkUp(e.link()));
+            } else if (effect instanceof Effect.Send e) {
+                assertThat(running).as("two attempts at once").doesNotContainKey(e.txn());
+                assertThat(e.write().begin()).isTrue();
+                inputs.add(new Input.SendWritten(e.key()));
+                sends.merge(e.txn(), 1, Integer::sum);
+                running.put(e.txn(), e);
+            } else if (effect instanceof Effect.Cancel e) {
+                running.remove(e.txn());
+                inputs.add(new Input.CancelWritten(e.key()));
+            } else if (effect instanceof Effect.Answer e) {
+                answers.merge(e.caller(), 1, Integer::sum);
+                replies.put(e.caller(), e.reply());
+            } else if (effect instanceof Effect.PollChangeLog e) {
+                pollId = e.pollId();
+            } else if (effect instanceof Effect.CloseLink e) {
+                running.values().removeIf(s -> s.link() == e.link());
+            } else if (effect instanceof Effect.ApplySettings e) {
+                settings = e.settings();
+            } else if (effect instanceof Effect.UnexpectedError e) {
+                throw new AssertionError(e.activity(), e.error());
             }
         }
-        if (!next.isEmpty()) {
-            step(next.toArray(new Input[0]));
+        if (!inputs.isEmpty()) {
+            step(inputs.toArray(new Input[0]));
         }
     }
 
-    Caller ask(String cls) {
-        Caller c = new Caller(1, ++asked);
-        int number = site.classNumbers().get(cls);
-        effects.put(c, site.decision().classes().get(number).effect().name());
-        step(new Input.RequestReceived(c, new Query(String.format("%016x", asked), number, 0, 4000, false, 10, 0, 0, new byte[0]),
-                now));
-        return c;
+    /** A client sends a request of a class. */
+    Caller request(String className) {
+        Caller caller = new Caller(1, ++requests);
+        int classNumber = settings.classNumbers().get(className);
+        classEffects.put(caller, settings.decision().classes().get(classNumber).effect().name());
+        step(new Input.RequestReceived(caller,
+                new Query(String.format("%016x", requests), classNumber, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+        return caller;
     }
 
-    void retune(RoutingSettings to) {
+    void reload(RoutingSettings newSettings) {
         step(new Input.ReloadRequested());
-        List<Effect.ReloadConfiguration> rereads = all.stream().filter(Effect.ReloadConfiguration.class::isInstance).map(Effect.ReloadConfiguration.class::cast)
-                .toList();
-        step(new Input.ConfigurationLoaded(rereads.get(rereads.size() - 1).reloadId(), "127.0.0.1:1", to, Map.of()));
+        List<Effect.ReloadConfiguration> reloads = effects.stream().filter(Effect.ReloadConfiguration.class::isInstance)
+                .map(Effect.ReloadConfiguration.class::cast).toList();
+        step(new Input.ConfigurationLoaded(reloads.get(reloads.size() - 1).reloadId(), "127.0.0.1:1", newSettings, Map.of()));
     }
 
-    /** An engine's word on one of what it holds. */
-    void say(int which, boolean served) {
-        Effect.Send s = List.copyOf(out.values()).get(which % out.size());
-        out.remove(s.txn());
-        step(new Input.EngineMessageReceived(s.link(), served ? new EngineMessage.Done(s.txn(), 1, new byte[] {'r'}, List.of())
-                : new EngineMessage.Failed(s.txn(), List.of())));
+    /** An engine answers one of the running attempts. */
+    void engineAnswers(int which, boolean success) {
+        Effect.Send send = List.copyOf(running.values()).get(which % running.size());
+        running.remove(send.txn());
+        step(new Input.EngineMessageReceived(send.link(), success
+                ? new EngineMessage.Done(send.txn(), 1, new byte[] {'r'}, List.of())
+                : new EngineMessage.Failed(send.txn(), List.of())));
     }
 
-    /** Time goes on until all that is open has had its answer, at the latest when its client gives up. */
+    /** Lets time pass until each open request is answered, at the latest when its client gives up. */
     void settle() {
-        for (int i = 0; i < 2000 && (reducer.openRequests() > 0 || !out.isEmpty()); i++) {
-            if (!out.isEmpty()) {
-                say(0, true);
+        for (int i = 0; i < 2000 && (reducer.openRequests() > 0 || !running.isEmpty()); i++) {
+            if (!running.isEmpty()) {
+                engineAnswers(0, true);
             } else {
                 step(new Input.TimerFired(new TimerKey.Gateway(1, i)));
             }
