--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -27,8 +27,8 @@
     }
 
     /** Sets the links that carry the attempts: links and attempts use each other, as do attempts and requests. */
-    void setLinks(Links carriers) {
-        links = carriers;
+    void setLinks(Links links) {
+        this.links = links;
         requests.setAttempts(this);
     }
 
--- a/frontend/src/main/java/quincespar/routing/ClientProtocol.java
+++ b/frontend/src/main/java/quincespar/routing/ClientProtocol.java
@@ -6,5 +6,5 @@
     void reply(Caller caller, Reply reply);
 
     /** Answers whether requests can be served now. */
-    void health(Caller caller, boolean good);
+    void health(Caller caller, boolean ready);
 }
--- a/frontend/src/main/java/quincespar/routing/EngineRegistry.java
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A start that is reported later than this is due to a clock that was stepped. */
+    /** If a change reports a start that is longer ago than this, the clock that stamped it differs from this one. */
     private static final double MAX_START_REPORT_DELAY_MS = 30_000;
 
     private final RecoveryCoordinator recovery;
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -59,7 +59,7 @@
     /** The process ends at that time even if requests are open: each must be answered before. */
     record ShutdownScheduled(double time) implements Input { }
 
-    /** New requests are refused from now on. They have not run, so that clients may repeat them elsewhere. */
+    /** Clients have had time to move to another front end: new requests are refused from now on, as they have not run. */
     record RefuseNewRequests() implements Input { }
 
     /** The operators ask for the configuration to be read again (SIGHUP). */
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -37,8 +37,8 @@
         maxCallers = bounds.maxCallers();
     }
 
-    void setAttempts(Attempts ofThese) {
-        attempts = ofThese;
+    void setAttempts(Attempts attempts) {
+        this.attempts = attempts;
     }
 
     OpenRequest get(long id) {
