--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 
 @Timeout(120)
@@ -196,7 +196,7 @@
 
     @Test
     void theModulesTextHasADigestThatNamesIt() {
-        assertThat(ModuleDigest.of(Brain.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleDigest.of(Brain.class))
+        assertThat(ModuleDigest.of(GcMuScheduler.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleDigest.of(GcMuScheduler.class))
                 .isNotEqualTo(ModuleDigest.of(Gateway.class));
     }
 }
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -18,15 +18,15 @@
 class FleetStateTest {
     private static final long SUSPECT = 2000, GONE = 6000;
 
-    private final FleetState state = FleetState.of(Snapshot.EMPTY);
+    private final FleetState state = FleetState.restore(Snapshot.EMPTY);
     private final FleetCodec codec = new FleetCodec();
 
     private long joined(String name, String folder, long last, String at, long nonce) {
         return ((Result.Joined) state.apply(new Command.Join(name, folder, last, 0, at, true, "t", nonce))).incarnation();
     }
 
-    private Result.Why refused(Command c) {
-        return ((Result.Refused) state.apply(c)).why();
+    private Result.Reason refused(Command c) {
+        return ((Result.Refused) state.apply(c)).reason();
     }
 
     private void tick(long time) {
@@ -59,27 +59,27 @@
         assertThat(state.time()).isEqualTo(SUSPECT + 1);
         tick(SUSPECT + GONE + 2);
         assertThat(standing("a")).isEqualTo(Standing.GONE);
-        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Why.LIFE_OVER);
+        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Reason.INCARNATION_ENDED);
         assertThat(joined("a", "f", first, "x", 2)).isGreaterThan(first);
-        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Why.FOLLOWED);
-        assertThat(refused(new Command.Write("a", first, 1, "r", 0, "late"))).isEqualTo(Result.Why.FOLLOWED);
+        assertThat(refused(new Command.Renew("a", first, Standing.SERVING, 0, 0))).isEqualTo(Result.Reason.SUPERSEDED);
+        assertThat(refused(new Command.Write("a", first, 1, "r", 0, "late"))).isEqualTo(Result.Reason.SUPERSEDED);
         assertThat(state.register("r")).isNull();
     }
 
     @Test
     void aNameHasOneLifeAndTheHolderOfItsFolderTakesItOver() {
         long first = joined("a", "f", 0, "x", 1);
-        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", false, "t", 2))).isEqualTo(Result.Why.NAME_TAKEN);
-        assertThat(refused(new Command.Join("a", "", 0, 0, "x", false, "t", 2))).isEqualTo(Result.Why.NAME_TAKEN);
-        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Why.NAME_TAKEN); // a clone
+        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
+        assertThat(refused(new Command.Join("a", "", 0, 0, "x", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
+        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Reason.NAME_TAKEN); // a clone
         long second = joined("a", "f", first, "x", 4); // started again: the lock of its folder proves the first one's end
         assertThat(second).isGreaterThan(first);
         assertThat(joined("a", "f", first, "x", 4)).isEqualTo(second); // killed before it kept the answer, or sent twice
         state.apply(new Command.Leave("a", second));
-        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", true, "t", 5))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "g", 0, 0, "y", true, "t", 5))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(state.apply(new Command.Join("a", "g", 0, 0, "y", false, "t", 5))).isInstanceOf(Result.Joined.class);
         state.apply(new Command.Leave("a", second + 1)); // it followed; that does not make its folder one that votes
-        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
     }
 
     @Test
@@ -87,7 +87,7 @@
         long first = joined("a", "f", 0, "x", 1);
         long second = joined("a", "f", first, "x", 2);
         tick(GONE + 1);
-        assertThat(refused(new Command.Join("a", "f", first, 0, "x", true, "t", 3))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 0, "x", true, "t", 3))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(joined("a", "f", second, "x", 4)).isGreaterThan(second);
     }
 
@@ -97,14 +97,14 @@
         long first = joined("a", "f", 0, "x", 1);
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 7));
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 6)); // one that was late takes nothing back
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 2))).isEqualTo(Result.Why.FOLDER_OLD);
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 1))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 2))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 1))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         state.apply(new Command.Leave("a", first));
         assertThat(state.apply(new Command.Join("a", "", 0, 0, "x", false, "t", 3))).isInstanceOf(Result.Joined.class);
-        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
-        assertThat(refused(new Command.Join("a", "f", 0, 7, "x", true, "t", 4))).isEqualTo(Result.Why.FOLDER_OLD);
+        assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 4))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
+        assertThat(refused(new Command.Join("a", "f", 0, 7, "x", true, "t", 4))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         state.apply(new Command.Leave("a", first + 1));
-        assertThat(state.snapshot().against("a", "f", first, 7, 9)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", first, 7, 9)).isEmpty();
         assertThat(state.apply(new Command.Join("a", "f", first, 7, "x", true, "t", 4))).isInstanceOf(Result.Joined.class);
     }
 
@@ -112,9 +112,9 @@
     @Test
     void aJoinUnderWayDoesNotMakeItsFolderAnOldOne() {
         long first = joined("a", "f", 0, "x", 1);
-        assertThat(state.snapshot().against("a", "f", 0, 0, 1)).isEmpty();
-        assertThat(state.snapshot().against("a", "f", 0, 0, 2)).contains("ends with incarnation 0");
-        assertThat(state.snapshot().against("b", "g", 0, 0, 2)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 1)).isEmpty();
+        assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 2)).contains("ends with incarnation 0");
+        assertThat(state.snapshot().votingRejection("b", "g", 0, 0, 2)).isEmpty();
         tick(GONE + 1);
         assertThat(joined("a", "f", 0, "x", 1)).isGreaterThan(first);
     }
@@ -126,7 +126,7 @@
         assertThat(state.apply(w)).isEqualTo(new Result.Written(1));
         assertThat(state.apply(w)).isEqualTo(new Result.Written(1));
         assertThat(state.apply(new Command.Write("a", a, 2, "r", 0, "two"))).isEqualTo(new Result.Conflict(1, "one"));
-        assertThat(refused(new Command.Write("a", a, 4, "r", -1, "four"))).isEqualTo(Result.Why.OUT_OF_ORDER);
+        assertThat(refused(new Command.Write("a", a, 4, "r", -1, "four"))).isEqualTo(Result.Reason.OUT_OF_ORDER);
         assertThat(state.apply(new Command.Write("a", a, 3, "r", -1, "three"))).isEqualTo(new Result.Written(2));
         assertThat(state.register("r")).isEqualTo(new Register("r", 2, "three", "a", a));
     }
@@ -134,23 +134,23 @@
     @Test
     void instancesThatAreForgottenMakeRoomAndVotersAreKept() {
         joined("voter", "f", 0, "x", 1);
-        for (int i = 1; i < FleetState.MOST_INSTANCES; i++) {
+        for (int i = 1; i < FleetState.MAX_INSTANCES; i++) {
             state.apply(new Command.Join("i" + i, "", 0, 0, "", false, "t", i));
         }
         Command.Join more = new Command.Join("more", "", 0, 0, "", false, "t", 1);
-        assertThat(refused(more)).isEqualTo(Result.Why.FULL);
+        assertThat(refused(more)).isEqualTo(Result.Reason.LIMIT_REACHED);
         tick(GONE + 1);
         assertThat(state.apply(more)).isInstanceOf(Result.Joined.class);
         assertThat(state.instance("voter")).isNotNull();
-        assertThat(state.instances()).hasSize(FleetState.MOST_INSTANCES);
+        assertThat(state.instances()).hasSize(FleetState.MAX_INSTANCES);
     }
 
     /** The same commands give the same bytes, also through a snapshot at any place; incarnations are never given twice. */
     @Property(tries = 300)
     void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
-        FleetState one = FleetState.of(Snapshot.EMPTY);
-        FleetState other = FleetState.of(Snapshot.EMPTY);
+        FleetState one = FleetState.restore(Snapshot.EMPTY);
+        FleetState other = FleetState.restore(Snapshot.EMPTY);
         Set<Long> given = new HashSet<>();
         long time = 0;
         for (int i = 0; i < 80; i++) {
@@ -167,15 +167,15 @@
             };
             long before = one.version();
             boolean known = one.instance(name) != null && c instanceof Command.Join j && one.snapshot().names().stream().anyMatch(
-                    k -> k.name().equals(j.name()) && k.nonce() == j.nonce());
-            Result r = one.apply(codec.command(codec.write((Record) c)));
+                    k -> k.name().equals(j.name()) && k.lastJoinNonce() == j.nonce());
+            Result r = one.apply(codec.readCommand(codec.write((Record) c)));
             assertThat(codec.write((Record) other.apply(c))).isEqualTo(codec.write((Record) r));
             assertThat(one.version()).isGreaterThanOrEqualTo(before);
             if (r instanceof Result.Joined j && !known) {
                 assertThat(given.add(j.incarnation())).isTrue();
             }
             if (chance.nextInt(10) == 0) {
-                other = FleetState.of(codec.snapshot(codec.write(other.snapshot())));
+                other = FleetState.restore(codec.readSnapshot(codec.write(other.snapshot())));
             }
         }
         assertThat(codec.write(other.snapshot())).isEqualTo(codec.write(one.snapshot()));
@@ -184,7 +184,7 @@
     @Test
     void aStateOfAnotherFormatIsRefusedInOneSentence() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
-        assertThatThrownBy(() -> codec.snapshot(next)).isInstanceOf(MalformedRecordException.class)
+        assertThatThrownBy(() -> codec.readSnapshot(next)).isInstanceOf(MalformedRecordException.class)
                 .hasMessage("a fleet's state of format 3, and this program reads 2 only");
     }
 
@@ -196,8 +196,8 @@
             for (int bit = 0; bit < 8 * good.length; bit++) {
                 byte[] bad = good.clone();
                 bad[bit / 8] ^= (byte) (1 << bit % 8);
-                assertThatThrownBy(() -> codec.command(bad)).isInstanceOf(MalformedRecordException.class);
-                assertThatThrownBy(() -> codec.result(bad)).isInstanceOf(MalformedRecordException.class);
+                assertThatThrownBy(() -> codec.readCommand(bad)).isInstanceOf(MalformedRecordException.class);
+                assertThatThrownBy(() -> codec.readResult(bad)).isInstanceOf(MalformedRecordException.class);
             }
         }
     }
--- a/frontend/src/main/java/quincespar/metrics/MetricsSnapshot.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsSnapshot.java
@@ -9,13 +9,13 @@
  * @param attemptsSent           attempts that were written completely
  * @param openRequests           requests that have not been answered
  * @param listedEngines          engines in the list
- * @param avoidedEngines         listed engines that get no new work now
+ * @param ejectedEngines         listed engines that get no new work now
  * @param configurationsLoaded   configurations that were applied after SIGHUP
  * @param configurationsRejected configurations that were rejected after SIGHUP
  * @param changeLog              how the change log is followed
  */
 public record MetricsSnapshot(Map<String, AnswerCounts> answersByClass, long attemptsSent, int openRequests, int listedEngines,
-        int avoidedEngines, long configurationsLoaded, long configurationsRejected, ChangeLogStatus changeLog) {
+        int ejectedEngines, long configurationsLoaded, long configurationsRejected, ChangeLogStatus changeLog) {
 
     /** Before anything has been counted. */
     public static final MetricsSnapshot NONE = new MetricsSnapshot(Map.of(), 0, 0, 0, 0, 0, 0, new ChangeLogStatus(0, 0, 0));
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.fleet.Standing;
-import quincespar.metrics.PrometheusText;
 import quincespar.metrics.MetricsSnapshot;
+import quincespar.metrics.PrometheusText;
 import quincespar.program.Lifecycle.Phase;
 import quincespar.program.captures.Capturing;
 import quincespar.program.clients.ThriftFront;
@@ -30,12 +30,12 @@
 import quincespar.program.runtime.Timers;
 import quincespar.program.runtime.Version;
 import quincespar.program.status.StatusAddress;
+import quincespar.recovery.Recovery;
 import quincespar.routing.Bounds;
 import quincespar.routing.Effect;
 import quincespar.routing.Input;
-import quincespar.recovery.Recovery;
-import quincespar.routing.Reducer;
 import quincespar.routing.RecoveryReport;
+import quincespar.routing.Reducer;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 import quincespar.transport.EventLoop;
@@ -130,9 +130,9 @@
         String folder = settings.text(Keyword.CAPTURE_FOLDER);
         capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
-        reducer = new Reducer(c.site(), bounds, capturing == null ? new Brain(c.site().decision(), c.seed())
+        reducer = new Reducer(c.site(), bounds, capturing == null ? new GcMuScheduler(c.site().decision(), c.seed())
                 : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
-                Reducer.recoveryTerms(c.site())), recovery != null && recovery.notesLoads());
+                Reducer.classTraits(c.site())), recovery != null && recovery.notesLoads());
         kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that its "not ready" is heard while the rest starts
             status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
@@ -147,7 +147,7 @@
         fellows = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
-                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().holdMs())));
+                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().shareGrowthDelayMs())));
         if (status != null && (fellows != null || kept != null)) {
             FleetPages pages = fellows == null ? null : new FleetPages(fellows);
             RecoveryPages more = kept == null ? null : recoveryPages();
@@ -437,7 +437,7 @@
             engines.adopt(e.settings());
         } else if (effect instanceof Effect.PersistEntry e) {
             kept.add(e.entry(), e.request());
-        } else if (effect instanceof Effect.FetchFleetState) {
+        } else if (effect instanceof Effect.ReadFleetState) {
             askFleet();
         } else if (effect instanceof Effect.CancelPoll) {
             changes.drop();
--- a/frontend/src/main/java/quincespar/routing/Effect.java
+++ b/frontend/src/main/java/quincespar/routing/Effect.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.Supplier;
-import quincespar.recovery.Entry;
+import quincespar.recovery.JournalEntry;
 import quincespar.transport.WithdrawableWrite;
 
 /** Something that the reducer asks the program to do. None of it blocks. */
@@ -63,11 +63,11 @@
     /** Abandon the open poll of the change log. */
     record CancelPoll() implements Effect { }
 
-    /** Append an entry to the recovery log; the request, where that is not 0, waits for {@link Input.PersistFinished}. */
-    record PersistEntry(Entry entry, long request) implements Effect { }
+    /** Append an entry to the recovery journal; the request, where that is not 0, waits for {@link Input.PersistFinished}. */
+    record PersistEntry(JournalEntry entry, long request) implements Effect { }
 
     /** Read the state that the fleet has agreed on; {@link Input.FleetStateReceived} is the answer. */
-    record FetchFleetState() implements Effect { }
+    record ReadFleetState() implements Effect { }
 
     /** An unexpected exception was caught during an activity: report it, and go on. */
     record UnexpectedError(String activity, RuntimeException error) implements Effect { }
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -6,8 +6,8 @@
 import quincespar.fleet.Snapshot;
 import quincespar.membership.PollFailure;
 import quincespar.protocol.FleetEvent;
-import quincespar.recovery.Entry;
-import quincespar.recovery.Trust;
+import quincespar.recovery.DurableFact;
+import quincespar.recovery.JournalEntry;
 
 /** Something that happened outside the reducer. */
 public sealed interface Input {
@@ -76,13 +76,14 @@
     record ConfigurationRejected(long reloadId, String cause) implements Input { }
 
     /**
-     * What is known of the fleet has changed; {@code instanceName} is this instance's name there, and {@code shareHoldMs} how
-     * long fewer front ends must be known before this one's share of the engines grows.
+     * What is known of the fleet has changed; {@code instanceName} is this instance's name there, and
+     * {@code shareGrowthDelayMs} how long fewer front ends must be known before this one's share of the engines grows.
      */
-    record FleetChanged(FleetView view, String instanceName, double shareHoldMs) implements Input { }
+    record FleetChanged(FleetView view, String instanceName, double shareGrowthDelayMs) implements Input { }
 
-    /** The recovery folder has been read; {@code reason} explains the finding and is empty where the folder is intact. */
-    record RecoveryLogRead(Trust.Finding finding, List<Entry> entries, String reason) implements Input { }
+    /** The recovery journal has been read; {@code reason} explains the condition and is empty where the folder is intact. */
+    record RecoveryJournalRead(DurableFact.FolderCondition condition, List<JournalEntry> entries, String reason)
+            implements Input { }
 
     /** Writing the entry that a request waits for has ended; {@code durable} where it is certainly on disk. */
     record PersistFinished(long request, boolean durable) implements Input { }
--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -33,8 +33,8 @@
      */
     public static RoutingSettings of(Map<String, String> pairs) {
         SettingsParser parser = new SettingsParser(pairs);
-        Gateway.Settings decision = parser.settings().unheard();
-        return new RoutingSettings(decision, parser.words("localities"), parser.words("kinds"),
+        Gateway.Settings decision = parser.settings().withoutPeerMessages();
+        return new RoutingSettings(decision, parser.names("localities"), parser.names("kinds"),
                 positiveOr(parser.number("limits.connIdle", DEFAULT_LINK_IDLE_MS), DEFAULT_LINK_IDLE_MS),
                 (int) positiveOr(parser.number("limits.maxStreams", DEFAULT_MAX_STREAMS), DEFAULT_MAX_STREAMS),
                 indexByName(decision.classes(), Gateway.ClassSpec::name),
@@ -60,13 +60,13 @@
         usableClasses.keySet().retainAll(classNumbers.keySet());
         Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Gateway.Tenant::name));
         usableTenants.keySet().retainAll(tenantNumbers.keySet());
-        return new RoutingSettings(decision.with(mergedClasses, mergedTenants), zones, kinds, linkIdleMs, maxStreamsPerLink,
-                Map.copyOf(usableClasses), Map.copyOf(usableTenants));
+        return new RoutingSettings(decision.withClassesAndTenants(mergedClasses, mergedTenants), zones, kinds, linkIdleMs,
+                maxStreamsPerLink, Map.copyOf(usableClasses), Map.copyOf(usableTenants));
     }
 
     /** These settings for the front end at place {@code index} among {@code count}. */
     RoutingSettings sharedAmong(int count, int index) {
-        Gateway.Settings shared = decision.among(count, index);
+        Gateway.Settings shared = decision.withRouter(count, index);
         return shared == decision ? this
                 : new RoutingSettings(shared, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
     }
--- a/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
+++ b/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import quincespar.protocol.FleetEvent.Phase;
-import quincespar.recovery.Entry;
-import quincespar.recovery.Pace;
+import quincespar.recovery.DurableFact;
+import quincespar.recovery.JournalEntry;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Trust;
+import quincespar.recovery.RecoveryTimeouts;
 import quincespar.routing.SimulatedRouter.Spec;
 
 /**
@@ -20,7 +20,7 @@
             SimulatedRouter.settings(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
 
     private final SimulatedRouter router = new SimulatedRouter(SETTINGS, new Recovery(
-            new Pace(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false, Reducer.recoveryTerms(SETTINGS)));
+            new RecoveryTimeouts(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false, Reducer.classTraits(SETTINGS)));
 
     private Effect.PersistEntry lastPersisted() {
         List<Effect.PersistEntry> persisted = router.effects.stream().filter(Effect.PersistEntry.class::isInstance)
@@ -28,8 +28,8 @@
         return persisted.get(persisted.size() - 1);
     }
 
-    private void readLog(Entry... entries) {
-        router.step(new Input.RecoveryLogRead(Trust.Finding.WHOLE, List.of(entries), ""));
+    private void readJournal(JournalEntry... entries) {
+        router.step(new Input.RecoveryJournalRead(DurableFact.FolderCondition.WHOLE, List.of(entries), ""));
     }
 
     /** Fires the timer of the current phase. */
@@ -40,7 +40,7 @@
     }
 
     private void recover() {
-        readLog();
+        readJournal();
         for (int i = 0; i < 5; i++) {
             phaseTimesOut();
         }
@@ -48,12 +48,12 @@
     }
 
     @Test
-    void nothingIsSentBeforeTheLogIsReadAndClientsAreRefused() {
+    void nothingIsSentBeforeTheJournalIsReadAndClientsAreRefused() {
         assertThat(router.reducer.canServe()).isFalse();
         Caller early = router.request("lookup");
         assertThat(router.replies.get(early)).isInstanceOf(Reply.Refused.class);
         assertThat(router.sends).isEmpty();
-        readLog();
+        readJournal();
         assertThat(router.reducer.canServe()).isTrue();
         Caller later = router.request("lookup");
         Caller load = router.request("load");
@@ -67,14 +67,15 @@
         recover();
         Caller load = router.request("load");
         Effect.PersistEntry start = lastPersisted();
-        assertThat(start.entry()).isInstanceOf(Entry.Begun.class);
+        assertThat(start.entry()).isInstanceOf(JournalEntry.LoadStarted.class);
         assertThat(router.sends).isEmpty();
         router.step(new Input.PersistFinished(start.request(), true));
         assertThat(router.sends).hasSize(1);
-        assertThat(lastPersisted().entry()).isInstanceOf(Entry.SentTo.class);
+        assertThat(lastPersisted().entry()).isInstanceOf(JournalEntry.LoadSent.class);
         router.settle();
         assertThat(router.replies.get(load)).isInstanceOf(Reply.Served.class);
-        assertThat(lastPersisted().entry()).isEqualTo(new Entry.Ended(((Entry.Begun) start.entry()).txn()));
+        assertThat(lastPersisted().entry())
+                .isEqualTo(new JournalEntry.LoadEnded(((JournalEntry.LoadStarted) start.entry()).txn()));
         assertThat(router.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
@@ -84,7 +85,7 @@
         Caller load = router.request("load");
         long waiting = lastPersisted().request();
         router.step(new Input.RequestCancelled(load));
-        assertThat(lastPersisted().entry()).isInstanceOf(Entry.Ended.class);
+        assertThat(lastPersisted().entry()).isInstanceOf(JournalEntry.LoadEnded.class);
         router.step(new Input.PersistFinished(waiting, true));
         router.settle();
         assertThat(router.sends).isEmpty();
@@ -104,8 +105,8 @@
     /** The list in the configuration has both engines as up; one had drained before the power loss. */
     @Test
     void anEngineThatHadDrainedGetsNoWorkUntilTheChangeLogReportsIt() {
-        readLog(new Entry.Left("s-1", 0));
-        assertThat(router.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        readJournal(new JournalEntry.EngineDeparted("s-1", 0));
+        assertThat(router.reducer.recoveryReport().view().withheldEngines()).isEqualTo(1);
         for (int i = 0; i < 20; i++) {
             router.request("lookup");
         }
@@ -113,9 +114,9 @@
         router.settle();
         assertThat(router.reducer.engineCounters().keySet()).noneMatch(k -> k.startsWith("s-1."));
         router.changes(SimulatedRouter.member("s-1", Phase.UP)); // the first answer may be as old as the configuration
-        assertThat(router.reducer.recoveryReport().view().withheld()).isEqualTo(1);
+        assertThat(router.reducer.recoveryReport().view().withheldEngines()).isEqualTo(1);
         router.changes(SimulatedRouter.member("s-1", Phase.UP));
-        assertThat(router.reducer.recoveryReport().view().withheld()).isZero();
+        assertThat(router.reducer.recoveryReport().view().withheldEngines()).isZero();
         router.step(new Input.EngineAllowed("s-2"));
         for (int i = 0; i < 20; i++) {
             router.request("lookup");
@@ -145,7 +146,7 @@
         plain.settle();
         assertThat(plain.replies.get(load)).isInstanceOf(Reply.Served.class);
         assertThat(plain.effects)
-                .noneMatch(e -> e instanceof Effect.PersistEntry || e instanceof Effect.FetchFleetState);
+                .noneMatch(e -> e instanceof Effect.PersistEntry || e instanceof Effect.ReadFleetState);
         assertThat(plain.reducer.recoveryReport()).isNull();
     }
 }
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Brain;
 import quincespar.decision.Gateway;
+import quincespar.decision.GcMuScheduler;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
 import quincespar.protocol.FleetEvent.Phase;
@@ -58,7 +58,7 @@
         this.settings = settings;
         reducer = new Reducer(settings, new Bounds(100, 1000, 2000, 2500, 8, 8, 500,
                 new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
-                recordingLists(new Brain(settings.decision(), 7)), recovery, true);
+                recordingLists(new GcMuScheduler(settings.decision(), 7)), recovery, true);
         perform(reducer.start(now, "127.0.0.1:1", List.of(new FleetEvent(1, 1, true,
                 List.of(member("s-1", Phase.UP), member("s-2", Phase.UP))))));
     }
@@ -74,8 +74,8 @@
             }
 
             @Override
-            public int avoided() {
-                return module.avoided();
+            public int ejectedEngineCount() {
+                return module.ejectedEngineCount();
             }
         };
     }
