--- a/frontend/src/main/java/quincespar/routing/PeerShares.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -35,7 +35,7 @@
     /** What is known of the fleet has changed. */
     void fleetChanged(double now, Input.FleetChanged change) {
         if (shares == null) {
-            shares = new ShareTracker(configured.decision().routers(), configured.decision().me(), change.shareHoldMs());
+            shares = new ShareTracker(configured.decision().routers(), configured.decision().me(), change.shareGrowthDelayMs());
         }
         view = change.view();
         instanceName = change.instanceName();
--- a/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
+++ b/laboratory/src/main/java/quincespar/laboratory/LostFleet.java
@@ -215,12 +215,12 @@
         void start() {
             RoutingSettings site = site(loss.fronts(), number);
             Recovery r = loss.returns() ? new Recovery(new quincespar.recovery.RecoveryTimeouts(2000, 5000, 4000, 3000, 1000, 2000, STOOD), name, true,
-                    Reducer.recoveryTerms(site)) : null;
+                    Reducer.classTraits(site)) : null;
             reducer = new Reducer(site, new Bounds(1000, 5000, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
                     new GcMuScheduler(site.decision(), loss.seed() * 1000 + number), r, loss.returns());
             perform(reducer.start(EPOCH + time.now(), "10.0.0.2:1", List.of(new FleetEvent(1, 1, true, listed))));
             if (loss.returns()) {
-                time.after(READ, () -> take(new Input.RecoveryLogRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted(name, 1)), "")));
+                time.after(READ, () -> take(new Input.RecoveryJournalRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted(name, 1)), "")));
             }
             voterBack();
             time.after(chance.nextDouble() * RENEW, this::meet);
@@ -304,7 +304,7 @@
                 });
             } else if (effect instanceof Effect.PersistEntry e && e.request() != 0) {
                 later(FORCE, new Input.PersistFinished(e.request(), true));
-            } else if (effect instanceof Effect.FetchFleetState) {
+            } else if (effect instanceof Effect.ReadFleetState) {
                 boolean leads = time.now() >= leadsAt;
                 time.after(leads ? AGREE : GONE, () -> take(new Input.FleetStateReceived(leads ? agreed.snapshot() : null)));
             } else if (effect instanceof Effect.Answer e) {
