--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -132,7 +132,7 @@
                 c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
         reducer = new Reducer(c.site(), bounds, capturing == null ? new GcMuScheduler(c.site().decision(), c.seed())
                 : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
-                Reducer.recoveryTerms(c.site())), recovery != null && recovery.notesLoads());
+                Reducer.classTraits(c.site())), recovery != null && recovery.notesLoads());
         kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that its "not ready" is heard while the rest starts
             status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
@@ -437,7 +437,7 @@
             engines.adopt(e.settings());
         } else if (effect instanceof Effect.PersistEntry e) {
             kept.add(e.entry(), e.request());
-        } else if (effect instanceof Effect.FetchFleetState) {
+        } else if (effect instanceof Effect.ReadFleetState) {
             askFleet();
         } else if (effect instanceof Effect.CancelPoll) {
             changes.drop();
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -56,8 +56,8 @@
     }
 
     /** What recovery needs to know of the classes in these settings. */
-    public static List<ClassTraits> recoveryTerms(RoutingSettings settings) {
-        return RecoveryCoordinator.terms(settings);
+    public static List<ClassTraits> classTraits(RoutingSettings settings) {
+        return RecoveryCoordinator.classTraits(settings);
     }
 
     /** The first step: applies the events that are known at the start, and polls the change log. */
@@ -104,7 +104,8 @@
 
     /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
-        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.ejectedEngineCount(), cluster.changeLogStatus());
+        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.ejectedEngineCount(),
+                cluster.changeLogStatus());
     }
 
     /** Whether the change log has answered completely since the start: until then the list of engines may be outdated. */
@@ -214,8 +215,8 @@
         } else if (input instanceof Input.PersistFinished i) {
             recovery.persistFinished(i.durable());
             requests.persistFinished(requests.get(i.request()));
-        } else if (input instanceof Input.RecoveryLogRead i) {
-            recovery.logRead(i);
+        } else if (input instanceof Input.RecoveryJournalRead i) {
+            recovery.journalRead(i);
         } else if (input instanceof Input.FleetStateReceived i) {
             recovery.fleetStateReceived(i);
         } else if (input instanceof Input.LoadAcknowledged i) {
@@ -273,7 +274,7 @@
         } else if (key instanceof TimerKey.ChangeLogTimer k) {
             cluster.changeLogTimerFired(k.timerId());
         } else if (key instanceof TimerKey.Recovery k) {
-            recovery.timerFired(k.number());
+            recovery.timerFired(k.timerId());
         } else if (key instanceof TimerKey.ShareGrowth) {
             cluster.shareTimerFired();
         }
--- a/frontend/src/main/java/quincespar/routing/TimerKey.java
+++ b/frontend/src/main/java/quincespar/routing/TimerKey.java
@@ -39,7 +39,7 @@
     record ChangeLogTimer(long timerId) implements TimerKey { }
 
     /** The phase of a recovery from a power loss has timed out. */
-    record Recovery(long number) implements TimerKey { }
+    record Recovery(long timerId) implements TimerKey { }
 
     /** Fewer front ends have been known for long enough: this one's share of the engines may grow. */
     record ShareGrowth() implements TimerKey { }
--- a/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
@@ -37,14 +37,14 @@
         return heard.poll(20, TimeUnit.SECONDS);
     }
 
-    private Input.RecoveryLogRead read() throws InterruptedException {
-        return (Input.RecoveryLogRead) next();
+    private Input.RecoveryJournalRead read() throws InterruptedException {
+        return (Input.RecoveryJournalRead) next();
     }
 
     @Test
     void whatWasNotedIsThereAtTheNextStartAndASecondProcessWaits() throws InterruptedException {
         KeptFolder one = open("a");
-        assertThat(read().finding()).isEqualTo(DurableFact.FolderCondition.LOST);
+        assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.LOST);
         one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 7);
         assertThat(next()).isEqualTo(new Input.PersistFinished(7, true));
@@ -52,7 +52,7 @@
         one.add(load("y"), 8);
         assertThat(next()).isEqualTo(new Input.PersistFinished(8, true)); // the second reads nothing meanwhile
         one.close(20_000);
-        assertThat(read()).isEqualTo(new Input.RecoveryLogRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y")), ""));
+        assertThat(read()).isEqualTo(new Input.RecoveryJournalRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y")), ""));
         assertThat(one.counts().entries()).isEqualTo(3);
         two.close(20_000);
     }
@@ -66,7 +66,7 @@
         one.close(20_000);
         byte[] before = Files.readAllBytes(folder.resolve("kept"));
         KeptFolder two = open("b");
-        assertThat(read().finding()).isEqualTo(DurableFact.FolderCondition.ANOTHERS);
+        assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.ANOTHERS);
         two.add(load("z"), 9);
         assertThat(next()).isEqualTo(new Input.PersistFinished(9, false));
         two.close(20_000);
@@ -87,15 +87,15 @@
         bad[bad.length / 2] ^= 1;
         Files.write(folder.resolve("kept"), bad);
         KeptFolder two = open("a");
-        Input.RecoveryLogRead r = read();
-        assertThat(r.finding()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
+        Input.RecoveryJournalRead r = read();
+        assertThat(r.condition()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
         assertThat(r.entries()).startsWith(new JournalEntry.ProcessStarted("a", 1)).hasSizeLessThan(3);
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         two.close(20_000);
         assertThat(Files.readAllBytes(folder.resolve("kept-spoilt"))).isEqualTo(bad);
         KeptFolder three = open("a"); // written anew, it is whole
-        assertThat(read().finding()).isEqualTo(DurableFact.FolderCondition.WHOLE);
+        assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.WHOLE);
         three.close(20_000);
     }
 
@@ -114,7 +114,7 @@
         assertThat(next()).isEqualTo(new Input.PersistFinished(2, false));
         Files.delete(folder.resolve("kept"));
         Files.move(folder.resolve("whole"), folder.resolve("kept"));
-        assertThat(read()).isEqualTo(new Input.RecoveryLogRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x")), ""));
+        assertThat(read()).isEqualTo(new Input.RecoveryJournalRead(DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 1), load("x")), ""));
         two.add(load("z"), 3);
         assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         two.close(20_000);
