--- a/decision/src/main/java/quincespar/decision/SchedulerState.java
+++ b/decision/src/main/java/quincespar/decision/SchedulerState.java
@@ -13,25 +13,28 @@
 import quincespar.decision.Scheduler.Engine;
 import quincespar.decision.Scheduler.EngineState;
 import quincespar.decision.Scheduler.Outcome;
+import quincespar.decision.Scheduler.PeerMessage;
 import quincespar.decision.Scheduler.Request;
 import quincespar.decision.Scheduler.Settings;
 import quincespar.decision.Scheduler.Tenant;
-import quincespar.decision.Scheduler.PeerMessage;
 
 /**
- * What the decision module remembers: requests, attempts, engines, and plain statistics over them. Nothing here
- * decides; spans and weights are handed in by the module.
+ * The data of the scheduler: requests, attempts, engines, and plain statistics about them. No decision is
+ * made here; time constants and weights are passed in by the scheduler. All times are in milliseconds.
  */
 final class SchedulerState {
     private SchedulerState() { }
 
-    /** A mean that forgets exponentially. */
+    /** An exponentially decaying mean. */
     static final class DecayingMean {
+        /** Time in which the weight of a sample falls to 1/e. */
         final double spanMs;
-        double sum, weight, updatedAt;
+        double sum;
+        double weight;
+        double updatedAt;
 
-        DecayingMean(double span) {
-            this.spanMs = span;
+        DecayingMean(double spanMs) {
+            this.spanMs = spanMs;
         }
 
         void add(double now, double sample) {
@@ -41,7 +44,7 @@
             weight = weight * retained + 1;
         }
 
-        /** What it weighs now: a figure that nothing has added to for long tells of a time gone by. */
+        /** The weight of all samples now; a small one means that the mean describes the past. */
         double weightAt(double now) {
             return weight * Math.exp((updatedAt - now) / spanMs);
         }
@@ -51,21 +54,28 @@
         }
     }
 
-    /** What work an estimate foretells: a line through logarithms, as estimates scatter and are biased. */
+    /**
+     * Predicts a quantity from its estimate by a line through logarithms, as estimates scatter and are
+     * biased.
+     */
     static final class LogLinearFit {
-        final DecayingMean meanX, meanY, meanXX, meanXY;
+        final DecayingMean meanX;
+        final DecayingMean meanY;
+        final DecayingMean meanXX;
+        final DecayingMean meanXY;
         final double priorWeight;
 
-        LogLinearFit(double span, double prior) {
-            this.priorWeight = prior;
-            meanX = new DecayingMean(span);
-            meanY = new DecayingMean(span);
-            meanXX = new DecayingMean(span);
-            meanXY = new DecayingMean(span);
+        LogLinearFit(double spanMs, double priorWeight) {
+            this.priorWeight = priorWeight;
+            meanX = new DecayingMean(spanMs);
+            meanY = new DecayingMean(spanMs);
+            meanXX = new DecayingMean(spanMs);
+            meanXY = new DecayingMean(spanMs);
         }
 
         void add(double now, double estimate, double actual) {
-            double x = Math.log(Math.max(1, estimate)), y = Math.log(Math.max(1, actual));
+            double x = Math.log(Math.max(1, estimate));
+            double y = Math.log(Math.max(1, actual));
             meanX.add(now, x);
             meanY.add(now, y);
             meanXX.add(now, x * x);
@@ -76,12 +86,16 @@
             return meanX.weight >= priorWeight;
         }
 
-        /** The work foretold; without an estimate the usual one, before anything is known the estimate. */
+        /**
+         * The prediction; the usual value where there is no estimate, the estimate until there are samples.
+         */
         double predict(double estimate, double fallback) {
             if (!hasEnoughSamples()) {
                 return estimate > 0 ? Math.max(1, estimate) : fallback;
             }
-            double x = meanX.value(0), y = meanY.value(0), shrinkage = priorWeight / meanX.weight;
+            double x = meanX.value(0);
+            double y = meanY.value(0);
+            double shrinkage = priorWeight / meanX.weight;
             double slope = (meanXY.value(0) - x * y + shrinkage) / (meanXX.value(0) - x * x + shrinkage);
             double offset = estimate > 0 ? Math.log(Math.max(1, estimate)) - x : 0;
             return Math.exp(y + Math.max(0, Math.min(1, slope)) * offset);
@@ -89,11 +103,12 @@
     }
 
     /**
-     * Chance from a seed: the generator of {@code java.util.Random}, as its documentation gives it, with its state where a
-     * snapshot can read it.
+     * The generator that {@code java.util.Random} documents, with its state accessible, so that a snapshot
+     * can contain it.
      */
     static final class SeededRandom {
-        private static final long MULTIPLIER = 0x5DEECE66DL, MASK = (1L << 48) - 1;
+        private static final long MULTIPLIER = 0x5DEECE66DL;
+        private static final long MASK = (1L << 48) - 1;
         long state;
 
         SeededRandom(long seed) {
@@ -111,38 +126,43 @@
         }
     }
 
-    /** Queries by age, the one taken first before. */
+    /** Orders queries by age, and those of one age by the order in which they were taken. */
     enum ByAge implements Comparator<Query> {
         OLDEST_FIRST;
 
         @Override
         public int compare(Query a, Query b) {
-            int born = Double.compare(a.agedFrom, b.agedFrom);
-            return born != 0 ? born : Long.compare(a.sequence, b.sequence);
+            int age = Double.compare(a.agedFrom, b.agedFrom);
+            return age != 0 ? age : Long.compare(a.sequence, b.sequence);
         }
     }
 
-    /** Counts a tenant's requests against its quota: true where one lies beyond it. */
+    /** A token bucket that holds one second of a tenant's quota. */
     static final class QuotaBucket {
-        double tokensPerSecond, tokens, refilledAt = Double.NaN;
+        double tokensPerSecond;
+        double tokens;
+        double refilledAt = Double.NaN;
 
-        QuotaBucket(double perS) {
-            this.tokensPerSecond = perS;
-            tokens = perS;
+        QuotaBucket(double tokensPerSecond) {
+            this.tokensPerSecond = tokensPerSecond;
+            tokens = tokensPerSecond;
         }
 
-        /** Buckets for these tenants; one that was there keeps its level, as a tenant keeps its number. */
+        /** The buckets of these tenants; an existing one keeps its tokens, as a tenant keeps its number. */
         static QuotaBucket[] forTenants(QuotaBucket[] previous, List<Tenant> tenants) {
             QuotaBucket[] buckets = Arrays.copyOf(previous, tenants.size());
             for (int tenant = 0; tenant < buckets.length; tenant++) {
-                buckets[tenant] = buckets[tenant] != null ? buckets[tenant] : new QuotaBucket(tenants.get(tenant).quotaPerSecond());
+                buckets[tenant] = buckets[tenant] != null ? buckets[tenant]
+                        : new QuotaBucket(tenants.get(tenant).quotaPerSecond());
                 buckets[tenant].tokensPerSecond = tenants.get(tenant).quotaPerSecond();
             }
             return buckets;
         }
 
+        /** Counts a request; returns whether it is over the quota. A quota of 0 is none. */
         boolean countAndCheckOverQuota(double now) {
-            tokens = Double.isNaN(refilledAt) ? tokensPerSecond : Math.min(tokensPerSecond, tokens + (now - refilledAt) * tokensPerSecond / 1000);
+            tokens = Double.isNaN(refilledAt) ? tokensPerSecond
+                    : Math.min(tokensPerSecond, tokens + (now - refilledAt) * tokensPerSecond / 1000);
             refilledAt = now;
             if (tokensPerSecond <= 0 || tokens < 1) {
                 return tokensPerSecond > 0;
@@ -152,24 +172,38 @@
         }
     }
 
-    /** A class, or the rare heavy part of one: what is learned of it over all engines. */
+    /** What is learned over all engines of a class's usual queries, or of its rare heavy ones. */
     static final class ClassStats {
-        final int classIndex, band, index;
-        final DecayingMean serviceTime, timePerEstimate, logDeviation, estimatedWork, reportedWork;
-        final LogLinearFit workFit, memoryFit;
+        final int classIndex;
+        /** 0 for the usual queries of the class, 1 for the heavy ones. */
+        final int band;
+        /** The place among all: {@code 2 * classIndex + band}. */
+        final int index;
+        final DecayingMean serviceTime;
+        /** Service time multiplied by threads, per unit of estimated work. */
+        final DecayingMean timePerEstimate;
+        /** Absolute logarithm of actual over expected time. */
+        final DecayingMean logDeviation;
+        final DecayingMean estimatedWork;
+        final DecayingMean reportedWork;
+        final LogLinearFit workFit;
+        final LogLinearFit memoryFit;
         ClassSpec spec;
-        /** Not in the settings any more: what is open goes on, new ones do not come. */
+        /** Whether the class has been removed from the settings; its open requests are still served. */
         boolean dropped;
-        double bestLogStretch = 50, cancelCredit = 1;
-
-        ClassStats(int classIndex, int band, double rateSpan, double classSpan, double priorWeight) {
-            serviceTime = new DecayingMean(rateSpan);
-            timePerEstimate = new DecayingMean(rateSpan);
-            logDeviation = new DecayingMean(classSpan);
-            estimatedWork = new DecayingMean(classSpan);
-            reportedWork = new DecayingMean(classSpan);
-            workFit = new LogLinearFit(classSpan, priorWeight);
-            memoryFit = new LogLinearFit(classSpan, priorWeight);
+        /** Least logarithm of the stretch, slowly rising; 50 before the first sample. */
+        double bestLogStretch = 50;
+        /** Cancellations of stragglers that the class may still cause. */
+        double cancelCredit = 1;
+
+        ClassStats(int classIndex, int band, double rateSpanMs, double classSpanMs, double priorWeight) {
+            serviceTime = new DecayingMean(rateSpanMs);
+            timePerEstimate = new DecayingMean(rateSpanMs);
+            logDeviation = new DecayingMean(classSpanMs);
+            estimatedWork = new DecayingMean(classSpanMs);
+            reportedWork = new DecayingMean(classSpanMs);
+            workFit = new LogLinearFit(classSpanMs, priorWeight);
+            memoryFit = new LogLinearFit(classSpanMs, priorWeight);
             this.classIndex = classIndex;
             this.band = band;
             this.index = classIndex * 2 + band;
@@ -177,7 +211,7 @@
 
     }
 
-    /** A queue: a kind's queries of like prospects, oldest first. */
+    /** The held queries of one class and band that have the same prospect, oldest first. */
     static final class QueryQueue {
         /** Prospect of a query that can still be in time and is within its tenant's share. */
         static final int IN_TIME = 0;
@@ -196,21 +230,39 @@
         }
     }
 
+    /** An open request. */
     static final class Query {
         final Request request;
+        /** The class as it was when the request was taken. */
         final ClassSpec spec;
-        final long id, sequence;
-        final int classIndex, maxAttempts;
+        final long id;
+        final long sequence;
+        final int classIndex;
+        /** Attempts that it may have, by the settings at the time when it was taken. */
+        final int maxAttempts;
         final double deadline;
         final List<Attempt> attempts = new ArrayList<>(2);
-        double agedFrom, estimatedWork, memoryGrant;
-        int band, sendCount, tableTag, priority = 1;
-        boolean over, streaming, overShare;
+        /** When it began: when it was taken, or earlier for a retry by the client. */
+        double agedFrom;
+        double estimatedWork;
+        /** Memory grant last named for it; 0 leaves it to the engine. */
+        double memoryGrant;
+        int band;
+        int sendCount;
+        /** Sixteen bits that stand for the tables that it reads or writes. */
+        int tableTag;
+        int priority = 1;
+        boolean over;
+        /** Whether its answer has begun to reach the client. */
+        boolean streaming;
+        boolean overShare;
+        /** The queue that holds it; null while it runs. */
         QueryQueue queue;
+        /** The queue of its key; null where the class is not ordered by key. */
         KeyQueue keyQueue;
+        /** The engine of its last failed attempt; may be null. */
         EngineNode avoidedNode;
 
-        /** {@code most}: attempts that it may have, as the settings stood when it was taken. */
         Query(Request r, ClassSpec spec, int maxAttempts, double now, long sequence) {
             request = r;
             this.maxAttempts = maxAttempts;
@@ -230,16 +282,21 @@
         }
     }
 
+    /** One sending of a query to an engine. */
     static final class Attempt {
         final Query query;
         final EngineNode node;
+        /** The engine as it was listed when the attempt was sent. */
         final Engine engine;
         final int number;
-        final double sentAt, expectedTime;
+        final double sentAt;
+        final double expectedTime;
+        /** The number under which it was announced to other routers; -1 if it was not. */
         int announcement = -1;
         boolean cancelled;
-        /** A note said that it stands still behind a load: how long it takes tells nothing of its engine. */
+        /** Whether a note said that it waits behind a load: its time then tells nothing about the engine. */
         boolean waitedForLoad;
+        /** Null while it runs. */
         Outcome outcome;
 
         Attempt(Query query, EngineNode node, int number, double sentAt, double expectedTime) {
@@ -256,10 +313,12 @@
         }
     }
 
-    /** An attempt of another router as that one told it; {@code tag} marks the tables that it holds, if any. */
+    /** An attempt of another router, as that router announced it. */
     static final class PeerAttempt {
         final EngineNode node;
-        final int threads, tableTag;
+        final int threads;
+        /** The tag of the tables that it holds; -1 if it is no load. */
+        final int tableTag;
         final double expiresAt;
 
         PeerAttempt(EngineNode node, int threads, int tableTag, double expiresAt) {
@@ -269,24 +328,33 @@
             this.expiresAt = expiresAt;
         }
 
-        /** Six bytes: number, class and time (64 ms x 2^n), engine; of a load also its tables, else four. */
+        /**
+         * Encodes the start of an attempt: one byte of number, one of class and time (64 ms x 2^n), two of
+         * engine; for a load two more of tables.
+         */
         static byte[] encodeStart(Attempt attempt, int engineTag) {
-            int timeExponent = (int) Math.max(0, Math.min(15, Math.ceil(Math.log(attempt.expectedTime / 64) / Math.log(2))));
-            byte[] all = {(byte) attempt.announcement, (byte) (attempt.query.classIndex << 4 | timeExponent), (byte) (engineTag >> 8), (byte) engineTag,
+            int timeExponent = (int) Math.max(0,
+                    Math.min(15, Math.ceil(Math.log(attempt.expectedTime / 64) / Math.log(2))));
+            byte[] all = {(byte) attempt.announcement, (byte) (attempt.query.classIndex << 4 | timeExponent),
+                (byte) (engineTag >> 8), (byte) engineTag,
                 (byte) (attempt.query.tableTag >> 8), (byte) attempt.query.tableTag};
             return attempt.query.spec.loadsTables() ? all : Arrays.copyOf(all, 4);
         }
 
-        /** The attempt told, or null where the text tells none that is known here. */
-        static PeerAttempt decode(byte[] bytes, Map<Integer, EngineNode> nodesByTag, List<ClassSpec> classes, double now, double staleMultiple) {
+        /** Decodes an announced start; null if the bytes name no engine or class that is known here. */
+        static PeerAttempt decode(byte[] bytes, Map<Integer, EngineNode> nodesByTag, List<ClassSpec> classes,
+                double now, double staleMultiple) {
             int classIndex = bytes.length < 4 ? 16 : (bytes[1] & 255) >> 4;
-            EngineNode node = bytes.length < 4 ? null : nodesByTag.get((bytes[2] & 255) << 8 | bytes[3] & 255);
+            EngineNode node = bytes.length < 4 ? null
+                    : nodesByTag.get((bytes[2] & 255) << 8 | bytes[3] & 255);
             if (node == null || classIndex >= classes.size()) {
                 return null;
             }
             ClassSpec spec = classes.get(classIndex);
-            int tableTag = spec.loadsTables() && bytes.length > 5 ? (bytes[4] & 255) << 8 | bytes[5] & 255 : -1;
-            return new PeerAttempt(node, spec.threads(), tableTag, now + staleMultiple * 64 * (1 << (bytes[1] & 15)));
+            int tableTag = spec.loadsTables() && bytes.length > 5
+                    ? (bytes[4] & 255) << 8 | bytes[5] & 255 : -1;
+            return new PeerAttempt(node, spec.threads(), tableTag,
+                    now + staleMultiple * 64 * (1 << (bytes[1] & 15)));
         }
 
         void addToNode() {
@@ -294,18 +362,19 @@
             node.peerThreads += threads;
         }
 
-        /** Takes the word off its engine, once. */
+        /** Takes it off its engine; a second call has no effect. */
         void removeFromNode() {
             node.peerThreads -= node.peerAttempts.remove(this) ? threads : 0;
         }
     }
 
-    /** What is known from peers' words, by sender and number. */
+    /** Attempts that other routers have announced, by sender and number. */
     static final class PeerAttempts {
         private final Map<Long, PeerAttempt> bySenderAndNumber = new LinkedHashMap<>();
 
-        /** A first byte names the attempt, and ends what was told under that number before. */
-        void receive(PeerMessage message, Map<Integer, EngineNode> nodesByTag, Settings settings, double now, double staleMultiple) {
+        /** Takes a message: its first byte numbers the attempt and ends any earlier one of that number. */
+        void receive(PeerMessage message, Map<Integer, EngineNode> nodesByTag, Settings settings, double now,
+                double staleMultiple) {
             byte[] bytes = message.payload();
             if (bytes.length == 0 || message.from() < 0 || message.from() >= settings.routers()) {
                 return;
@@ -315,7 +384,8 @@
             if (previous != null) {
                 previous.removeFromNode();
             }
-            PeerAttempt started = PeerAttempt.decode(bytes, nodesByTag, settings.classes(), now, staleMultiple);
+            PeerAttempt started = PeerAttempt.decode(bytes, nodesByTag, settings.classes(), now,
+                    staleMultiple);
             if (started != null) {
                 bySenderAndNumber.put(key, started);
                 started.addToNode();
@@ -323,27 +393,30 @@
         }
 
         void expire(double now) {
-            bySenderAndNumber.values().stream().filter(attempt -> now > attempt.expiresAt).forEach(PeerAttempt::removeFromNode);
+            bySenderAndNumber.values().stream().filter(attempt -> now > attempt.expiresAt)
+                    .forEach(PeerAttempt::removeFromNode);
             bySenderAndNumber.values().removeIf(attempt -> now > attempt.expiresAt);
         }
     }
 
-    /** Sixteen bits of an id, well mixed. */
+    /** Sixteen well mixed bits of an id. */
     static int hash16(long id) {
         return (int) (id * 0x9E3779B97F4A7C15L >>> 48);
     }
 
-    /** A number from 0 to 1 that is the same everywhere for one id. */
+    /** A hash of an id from 0 to below 1, the same at every router. */
     static double hashToUnitInterval(long id) {
         long x = (id ^ id >>> 29) * 0xBF58476D1CE4E5B9L;
         return hash16(x ^ x >>> 32) / 65536.0;
     }
 
-    /** The requests of one key in the order taken; one leaves when it is over and nothing of it is out. */
+    /** The requests of one key, in the order taken; one leaves when it is over and no attempt of it runs. */
     static final class KeyQueue {
         final long key;
         final List<Query> waiting = new ArrayList<>();
+        /** Until then only {@link #doubtful} may be sent. */
         double blockedUntil;
+        /** The last query of which an attempt may have run without success; may be null. */
         Query doubtful;
 
         KeyQueue(long key) {
@@ -356,12 +429,17 @@
         }
     }
 
-    /** A bound on threads out, also by class, for one engine or pooled over all, and how attempts under it have stretched. */
+    /**
+     * An adaptive limit on the threads of running queries, for one engine or shared by several, with what it
+     * adapts to: the stretch of attempts, by class.
+     */
     static final class ConcurrencyLimit {
+        /** Mean logarithm of the stretch (time relative to work), by class. */
         DecayingMean[] logStretch = {};
         int[] threadsByClass = {};
         final double spanMs;
         double maxThreads;
+        /** Threads of running queries. */
         int threads;
 
         ConcurrencyLimit(int classes, double spanMs, double maxThreads) {
@@ -370,7 +448,7 @@
             ensureClasses(classes);
         }
 
-        /** Has room for so many classes; those that are there keep what they have. */
+        /** Makes room for this many classes; existing ones keep their values. */
         void ensureClasses(int classes) {
             int known = threadsByClass.length;
             if (classes > known) {
@@ -386,19 +464,41 @@
         }
     }
 
+    /** What is known about one engine. */
     static final class EngineNode {
+        /** The engine as last listed. */
         Engine engine;
+        /** The engine's own limit, or the shared one. */
         final ConcurrencyLimit limit;
+        /** By the index of the class statistics; null where nothing is known. */
         DecayingMean[] serviceTimes;
-        final DecayingMean slowness, failures;
+        /** Actual over expected time of its attempts. */
+        final DecayingMean slowness;
+        /** Share of attempts that failed. */
+        final DecayingMean failures;
+        /** Running attempts of this router. */
         final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
+        /** Running attempts of other routers, as announced. */
         final LinkedHashSet<PeerAttempt> peerAttempts = new LinkedHashSet<>();
+        /** Time and work of recent sends. */
         final ArrayDeque<double[]> recentSends = new ArrayDeque<>();
-        /** Tables that a load holds here as notes told, and when they did. */
+        /** When a note last said that a load holds tables here, by the tag of the tables. */
         final Map<Integer, Double> tablesHeldAt = new LinkedHashMap<>();
-        double lastHeardAt, retryAt, backoff, ejectedAt = -1;
-        double reportedLoad = Double.NaN, reportedAt;
-        int threads, peerThreads;
+        double lastHeardAt;
+        /** While ejected: when the next query may be tried. */
+        double retryAt;
+        /** Length of the last ejection. */
+        double backoff;
+        /** When it was ejected; negative if it is not. */
+        double ejectedAt = -1;
+        /** Load per core by its last report; NaN before the first. */
+        double reportedLoad = Double.NaN;
+        double reportedAt;
+        /** Threads of this router's running attempts. */
+        int threads;
+        /** Threads of the announced attempts of other routers. */
+        int peerThreads;
+        /** Whether it belongs to the engines that this router watches or prefers. */
         boolean inSubset;
 
         EngineNode(Engine engine, int statsCount, double spanMs, ConcurrencyLimit limit) {
@@ -409,13 +509,13 @@
             serviceTimes = new DecayingMean[statsCount];
         }
 
-        /** A query of this kind took so long here. */
         void recordServiceTime(int statsIndex, double now, double ms) {
-            serviceTimes[statsIndex] = serviceTimes[statsIndex] != null ? serviceTimes[statsIndex] : new DecayingMean(slowness.spanMs);
+            serviceTimes[statsIndex] = serviceTimes[statsIndex] != null ? serviceTimes[statsIndex]
+                    : new DecayingMean(slowness.spanMs);
             serviceTimes[statsIndex].add(now, ms);
         }
 
-        /** Has room for so many kinds, two to a class. */
+        /** Makes room for this many class statistics, two to a class. */
         void ensureClassStats(int statsCount) {
             serviceTimes = Arrays.copyOf(serviceTimes, statsCount);
             limit.ensureClasses(statsCount / 2);
@@ -425,7 +525,7 @@
             return engine.state() == EngineState.GONE;
         }
 
-        /** Whether a note told after {@code since} that a load holds these tables. */
+        /** Whether a note after {@code since} said that a load holds these tables. */
         boolean hasTablesHeldSince(int tableTag, double since) {
             tablesHeldAt.values().removeIf(at -> at < since);
             return tablesHeldAt.containsKey(tableTag);
@@ -452,6 +552,7 @@
             recentWork(now, spanMs);
         }
 
+        /** The work sent within the span and a tenth more. */
         double recentWork(double now, double spanMs) {
             while (!recentSends.isEmpty() && recentSends.peekFirst()[0] < now - 1.1 * spanMs) {
                 recentSends.removeFirst();
