--- a/frontend/src/main/java/quincespar/protocol/StatementScanner.java
+++ b/frontend/src/main/java/quincespar/protocol/StatementScanner.java
@@ -28,7 +28,7 @@
 
     private int scan() {
         boolean tableExpected = false;
-        while (position < statement.length() && groupAfterKeyword < 0) { // a group after such a keyword is final
+        while (position < statement.length() && groupAfterKeyword < 0) { // a group after a keyword takes precedence
             char c = statement.charAt(position);
             if (skipNonToken(c)) {
                 continue;
@@ -67,6 +67,7 @@
         return true;
     }
 
+    /** The position after a delimiter found at {@code found}, or the end of the statement if it was not found. */
     private int after(int found, int width) {
         return found < 0 ? statement.length() : found + width;
     }
@@ -107,6 +108,7 @@
         return out.toString();
     }
 
+    /** Whether the next token is a dot, without advancing. */
     private boolean nextIsDot() {
         int saved = position;
         while (position < statement.length() && skipNonToken(statement.charAt(position))) {
@@ -117,6 +119,7 @@
         return dot;
     }
 
+    /** Records the group of a schema, which is a name followed by a dot. */
     private void recordGroup(String word, boolean afterKeyword) {
         if (!nextIsDot()) {
             return;
--- a/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -20,7 +20,7 @@
 /** The simulator protocol: decoded and encoded sample frames, and truncated or invalid input. */
 class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
-            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
+            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunknownSetting=1\n";
     private final List<Gateway.Event> receivedEvents = new ArrayList<>();
     private List<Gateway.Action> actions = List.of();
     private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
@@ -37,7 +37,7 @@
                 .putInt(body.length).put(body).array();
     }
 
-    private static byte[] provision(String settings) {
+    private static byte[] startInstance(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(40, ByteBuffer.allocate(14 + text.length).order(ByteOrder.LITTLE_ENDIAN).putShort((short) 3)
                 .putLong(9).putInt(text.length).put(text).array());
@@ -58,7 +58,7 @@
 
     @Test
     void aRequestAndAnEngineListAreDecoded() {
-        host.processBatch(join(provision(SETTINGS), LIST, REQUEST), 4, 1);
+        host.processBatch(join(startInstance(SETTINGS), LIST, REQUEST), 4, 1);
         Gateway.Listed l = (Gateway.Listed) receivedEvents.get(0);
         assertEquals(Gateway.ListKind.CACHED, l.kind());
         assertEquals(41, l.version());
@@ -76,7 +76,7 @@
 
     @Test
     void anOutcomeCarriesWorkAndMemory() {
-        host.processBatch(join(provision(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
+        host.processBatch(join(startInstance(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
                 + "0000000000803240 01 60100100 02 0000e040 52b81e3f")), 4, 1);
         Gateway.Ended e = (Gateway.Ended) receivedEvents.get(1);
         assertEquals(Gateway.Outcome.OK, e.outcome());
@@ -92,7 +92,7 @@
         long engine = new RecordReader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
         actions = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
                 new Gateway.Terms(0x0008b4fd5d3a91c4L, 2, 640));
-        byte[] out = host.processBatch(join(provision(SETTINGS), LIST), 3, 1);
+        byte[] out = host.processBatch(join(startInstance(SETTINGS), LIST), 3, 1);
         assertArrayEquals(hex("44000000 0a 18000000 0300 c4913a5dfdb40800 0a124a07 1b5b 0000000000005440"
                 + "32 0e000000 0300 4d000000 0000000000407f40 82 0f000000 0300 c4913a5dfdb40800 02 00002044"), out);
     }
@@ -107,7 +107,7 @@
     @Test
     void unknownEventsAndExtraFieldsAreSkipped() {
         byte[] withExtraField = record(20, hex("0300 0100000000000000 ffff"));
-        host.processBatch(join(provision(SETTINGS), record(77, new byte[9]), withExtraField), 3, 1);
+        host.processBatch(join(startInstance(SETTINGS), record(77, new byte[9]), withExtraField), 3, 1);
         assertEquals(List.of(new Gateway.Left(1)), receivedEvents);
     }
 
@@ -115,7 +115,7 @@
     void aTruncatedRecordIsReportedWithItsOffset() {
         byte[] truncated = record(20, hex("0300 01000000"));
         String m = assertThrows(SimulatorProtocolException.class,
-                () -> host.processBatch(join(provision(SETTINGS), truncated), 2, 1)).getMessage();
+                () -> host.processBatch(join(startInstance(SETTINGS), truncated), 2, 1)).getMessage();
         assertTrue(m.contains("record 1") && m.contains("offset 7"), m);
     }
 
@@ -129,10 +129,10 @@
 
     @Test
     void aMissingOrInvalidSettingIsNamed() {
-        String m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(provision("balancers=2\n"), 1, 1))
+        String m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(startInstance("balancers=2\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("requestClasses.count"), m);
-        m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(provision(SETTINGS + "tick=soon\n"), 1, 1))
+        m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(startInstance(SETTINGS + "tick=soon\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("tick"), m);
     }
@@ -142,7 +142,7 @@
         SimulatorHost failing = new SimulatorHost((settings, seed) -> (now, events) -> {
             throw new IllegalStateException("broken");
         });
-        byte[] out = failing.processBatch(join(provision(SETTINGS), LIST), 3, 1);
+        byte[] out = failing.processBatch(join(startInstance(SETTINGS), LIST), 3, 1);
         assertEquals(100, out[4]);
         assertTrue(new String(out, StandardCharsets.UTF_8).contains("broken"));
     }
@@ -150,9 +150,9 @@
     @Test
     void aStoppedInstanceIsRemovedAndAListNumberIsReused() {
         byte[] stop = record(80, hex("0300"));
-        host.processBatch(join(provision(SETTINGS), LIST, REQUEST, stop), 5, 1);
+        host.processBatch(join(startInstance(SETTINGS), LIST, REQUEST, stop), 5, 1);
         assertTrue(receivedEvents.isEmpty());
-        host.processBatch(join(provision(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
+        host.processBatch(join(startInstance(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
                 + "2a00000000000000 0000")), 5, 2);
         assertEquals(1, ((Gateway.Listed) receivedEvents.get(0)).engines().size());
         assertEquals(0, ((Gateway.Listed) receivedEvents.get(1)).engines().size());
--- a/frontend/src/test/java/quincespar/transport/ConnectionTest.java
+++ b/frontend/src/test/java/quincespar/transport/ConnectionTest.java
@@ -158,8 +158,8 @@
     void aFailedConnectReleasesTheQueuedBytes() throws Exception {
         OutboxLimit limit = new OutboxLimit(100, 100);
         int port;
-        try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = gone.getLocalPort();
+        try (ServerSocket closedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = closedServer.getLocalPort();
         }
         assertThat(limit.reserve(0, 60)).isTrue(); // leaves space for one frame of 40 bytes
         Connection c = Connection.outbound(loop, "c", limit);
@@ -174,14 +174,14 @@
         try (Socket peer = peer()) {
             Connection c = accepted(new OutboxLimit(100, 100));
             WithdrawableWrite withdrawn = new WithdrawableWrite();
-            WithdrawableWrite kept = new WithdrawableWrite();
+            WithdrawableWrite notWithdrawn = new WithdrawableWrite();
             c.send(new byte[] {1}, withdrawn, null);
-            c.send(new byte[] {2}, kept, null);
+            c.send(new byte[] {2}, notWithdrawn, null);
             assertThat(withdrawn.withdraw()).isTrue();
             c.start(handler);
             c.finish();
             assertThat(peer.getInputStream().readAllBytes()).containsExactly(2);
-            assertThat(kept.withdraw()).isFalse();
+            assertThat(notWithdrawn.withdraw()).isFalse();
         }
     }
 
@@ -343,20 +343,20 @@
     /** Without capacity connections wait in the accept queue; closing the listener accepts those too. */
     @Test
     void aListenerWithoutCapacityLeavesClientsInTheQueueAndAcceptsThemBeforeItCloses() throws Exception {
-        List<SocketChannel> taken = new ArrayList<>();
+        List<SocketChannel> acceptedChannels = new ArrayList<>();
         BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
         Listener listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         listener.bind();
         listener.start(new Listener.Acceptor() {
             @Override
             public boolean hasCapacity() {
-                return taken.size() < 1;
+                return acceptedChannels.size() < 1;
             }
 
             @Override
             public void accept(SocketChannel channel) {
-                taken.add(channel);
-                sizes.add(taken.size());
+                acceptedChannels.add(channel);
+                sizes.add(acceptedChannels.size());
             }
         });
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port());
@@ -373,7 +373,7 @@
             assertThat(sizes).containsExactly(2, 3);
             assertThat(one.isConnected() && two.isConnected() && three.isConnected()).isTrue();
         }
-        for (SocketChannel c : taken) {
+        for (SocketChannel c : acceptedChannels) {
             c.close();
         }
     }
