--- a/capture/src/main/java/quincespar/capture/CurrentModuleFactory.java
+++ b/capture/src/main/java/quincespar/capture/CurrentModuleFactory.java
@@ -1,21 +1,21 @@
 package quincespar.capture;
 
 import java.io.IOException;
-import quincespar.decision.Brain;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway;
 
 /** Creates instances of this build's decision module, new ones or from a captured state. */
 public final class CurrentModuleFactory implements Replay.ModuleFactory {
-    private final StateCodec codec = new StateCodec(Brain.class);
+    private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
     @Override
     public Gateway create(Entry.Opening opening) {
-        return new Brain(opening.settings(), opening.seed());
+        return new GcMuScheduler(opening.settings(), opening.seed());
     }
 
     @Override
     public Gateway restore(Entry.State state) throws IOException {
-        return codec.read(state.bytes(), Brain.class);
+        return codec.read(state.bytes(), GcMuScheduler.class);
     }
 
     @Override
--- a/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
@@ -79,8 +79,8 @@
         return new Page(OK, JSON, json(to -> {
             to.writeNumberField("version", r.version());
             to.writeStringField("value", r.value());
-            to.writeStringField("by", r.by());
-            to.writeNumberField("incarnation", r.incarnation());
+            to.writeStringField("by", r.writer());
+            to.writeNumberField("incarnation", r.writerIncarnation());
         }));
     }
 
@@ -93,7 +93,7 @@
                 to.writeStringField("value", c.value());
             }));
         }
-        return new Page(UNAVAILABLE, TEXT, r instanceof Result.Refused x ? x.line() + "\n" : "not written\n");
+        return new Page(UNAVAILABLE, TEXT, r instanceof Result.Refused x ? x.message() + "\n" : "not written\n");
     }
 
     private String view() {
@@ -104,9 +104,9 @@
         return json(to -> {
             to.writeStringField("group", link.settings().plan().group());
             to.writeStringField("phase", v.phase().name());
-            to.writeStringField("line", v.line());
+            to.writeStringField("line", v.statusLine());
             to.writeNumberField("incarnation", v.incarnation());
-            to.writeBooleanField("inTouch", v.inTouch());
+            to.writeBooleanField("inTouch", v.quorumReachable());
             to.writeNumberField("ageMs", age == Double.POSITIVE_INFINITY ? -1 : Math.round(age));
             to.writeBooleanField("voting", s.voting());
             to.writeStringField("leader", s.leader());
@@ -126,7 +126,7 @@
                 to.writeStringField("folder", i.folder());
                 to.writeStringField("address", i.address());
                 to.writeStringField("build", i.build());
-                to.writeNumberField("since", i.since());
+                to.writeNumberField("since", i.standingSince());
                 to.writeEndObject();
             }
             to.writeEndArray();
@@ -143,7 +143,7 @@
         out.append(Arrays.stream(Standing.values()).map(x -> "gw_fleet_members{standing=\"" + x.name().toLowerCase(
                 java.util.Locale.ROOT) + "\"} " + v.state().instances().stream().filter(i -> i.standing() == x).count() + "\n")
                 .collect(Collectors.joining()));
-        single(out, "gw_fleet_in_touch", "gauge", "Whether a majority has answered lately.", v.inTouch() ? 1 : 0);
+        single(out, "gw_fleet_in_touch", "gauge", "Whether a majority has answered lately.", v.quorumReachable() ? 1 : 0);
         single(out, "gw_fleet_voting", "gauge", "Whether this instance takes part in votes.", s.voting() ? 1 : 0);
         single(out, "gw_fleet_leading", "gauge", "Whether this instance leads.",
                 s.voting() && s.leader().equals(link.name()) ? 1 : 0);
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -6,8 +6,8 @@
 import quincespar.fleet.Snapshot;
 import quincespar.membership.PollFailure;
 import quincespar.protocol.FleetEvent;
-import quincespar.recovery.Entry;
-import quincespar.recovery.Trust;
+import quincespar.recovery.DurableFact;
+import quincespar.recovery.JournalEntry;
 
 /** Something that happened outside the reducer. */
 public sealed interface Input {
@@ -82,7 +82,7 @@
     record FleetChanged(FleetView view, String instanceName, double shareHoldMs) implements Input { }
 
     /** The recovery folder has been read; {@code reason} explains the finding and is empty where the folder is intact. */
-    record RecoveryLogRead(Trust.Finding finding, List<Entry> entries, String reason) implements Input { }
+    record RecoveryLogRead(DurableFact.FolderCondition finding, List<JournalEntry> entries, String reason) implements Input { }
 
     /** Writing the entry that a request waits for has ended; {@code durable} where it is certainly on disk. */
     record PersistFinished(long request, boolean durable) implements Input { }
--- a/frontend/src/main/java/quincespar/routing/PeerShares.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -1,7 +1,7 @@
 package quincespar.routing;
 
 import quincespar.fleet.FleetView;
-import quincespar.fleet.Shares;
+import quincespar.fleet.ShareTracker;
 
 /**
  * The number of front ends that share the engines, and this one's place among them. They come from the configuration, or
@@ -9,7 +9,7 @@
  */
 final class PeerShares {
     /** Null while nothing is known of the fleet. */
-    private Shares shares;
+    private ShareTracker shares;
     private RoutingSettings configured;
     private FleetView view = FleetView.NONE;
     private String instanceName = "";
@@ -22,33 +22,33 @@
     void configure(RoutingSettings next) {
         if (shares != null && (next.decision().routers() != configured.decision().routers()
                 || next.decision().me() != configured.decision().me())) {
-            shares = new Shares(next.decision().routers(), next.decision().me(), shares.holdMs());
+            shares = new ShareTracker(next.decision().routers(), next.decision().me(), shares.growthDelayMs());
         }
         configured = next;
     }
 
     /** The configured settings, with the number of front ends that is in force now. */
     RoutingSettings settings() {
-        return shares == null ? configured : configured.sharedAmong(shares.share().among(), shares.share().place());
+        return shares == null ? configured : configured.sharedAmong(shares.current().frontEnds(), shares.current().index());
     }
 
     /** What is known of the fleet has changed. */
     void fleetChanged(double now, Input.FleetChanged change) {
         if (shares == null) {
-            shares = new Shares(configured.decision().routers(), configured.decision().me(), change.shareHoldMs());
+            shares = new ShareTracker(configured.decision().routers(), configured.decision().me(), change.shareHoldMs());
         }
         view = change.view();
         instanceName = change.instanceName();
-        shares.step(now, view, instanceName);
+        shares.update(now, view, instanceName);
     }
 
     /** Time has passed without a change of the fleet. */
     void timerFired(double now) {
-        shares.step(now, view, instanceName);
+        shares.update(now, view, instanceName);
     }
 
     /** In how many milliseconds {@link #timerFired} is to be called; infinite where not. */
     double timerDelayMs(double now) {
-        return shares == null ? Double.POSITIVE_INFINITY : shares.dueMs(now);
+        return shares == null ? Double.POSITIVE_INFINITY : shares.nextUpdateMs(now);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -3,13 +3,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.Action;
+import quincespar.decision.Gateway;
 import quincespar.metrics.MetricsRecorder;
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.protocol.FleetEvent;
+import quincespar.recovery.ClassTraits;
 import quincespar.recovery.Recovery;
-import quincespar.recovery.Terms;
 
 /**
  * The only place where inputs change state. It passes each {@link Input} to the part of the state that it concerns
@@ -56,7 +56,7 @@
     }
 
     /** What recovery needs to know of the classes in these settings. */
-    public static List<Terms> recoveryTerms(RoutingSettings settings) {
+    public static List<ClassTraits> recoveryTerms(RoutingSettings settings) {
         return RecoveryCoordinator.terms(settings);
     }
 
@@ -104,7 +104,7 @@
 
     /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
-        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.avoided(), cluster.changeLogStatus());
+        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.ejectedEngineCount(), cluster.changeLogStatus());
     }
 
     /** Whether the change log has answered completely since the start: until then the list of engines may be outdated. */
