--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -22,16 +22,16 @@
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.EngineState;
 
-/** What a capture costs the module's thread, what it costs the writer's, and how long a snapshot takes; no part of CI. */
+/** The cost of a capture to the module's thread and to the writer thread, and the duration of a snapshot; not run in CI. */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Fork(value = 1, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx512m"})
 @Warmup(iterations = 3, time = 2)
 @Measurement(iterations = 5, time = 2)
 public class CaptureBenchmark {
-    /** One day, call by call, over and over, each time on a new module. */
+    /** The calls of one run, repeated, each time on a new module. */
     @State(Scope.Thread)
-    public static class Day {
+    public static class Workload {
         /** Whether calls are captured. */
         @Param({"off", "on"})
         public String capture;
@@ -39,34 +39,36 @@
         private Gateway module;
         private Recorder recorder;
         private Thread writer;
-        private int at;
+        private int position;
 
-        /** Plays the day once, to have its calls. */
+        /** Collects the calls of one run. */
         @Setup(Level.Trial)
-        public void play() {
+        public void collectCalls() {
             calls = new ArrayList<>();
-            new World(61).play(5000).forEach(e -> {
+            new SimulatedCluster(61).run(5000).forEach(e -> {
                 if (e instanceof Entry.Call c) {
                     calls.add(c);
                 }
             });
             if (capture.equals("on")) {
-                recorder = new Recorder(new CaptureWriter(World.opening(61), new SegmentPolicy(new SegmentPolicy.Limits(1L << 40, 1e15, 1L << 50,
-                        1e15, 100, 100), new SegmentName("w", 1, 0), List.of(), 0), new Nowhere(), line -> { }), 1 << 16, 500,
-                        () -> System.nanoTime() / 1e6);
+                SegmentPolicy.Limits limits = new SegmentPolicy.Limits(1L << 40, 1e15, 1L << 50, 1e15, 100, 100);
+                SegmentPolicy policy = new SegmentPolicy(limits, new SegmentName("w", 1, 0), List.of(), 0);
+                CaptureWriter captureWriter = new CaptureWriter(SimulatedCluster.opening(61), policy, new DiscardingStore(),
+                        line -> { });
+                recorder = new Recorder(captureWriter, 1 << 16, 500, () -> System.nanoTime() / 1e6);
                 writer = new Thread(recorder);
                 writer.start();
             }
-            begin();
+            reset();
         }
 
-        private void begin() {
-            GcMuScheduler b = new GcMuScheduler(World.settings(), 61);
-            module = recorder == null ? b : new CapturedGateway(b, recorder, m -> new byte[0]);
-            at = 0;
+        private void reset() {
+            GcMuScheduler scheduler = new GcMuScheduler(SimulatedCluster.settings(), 61);
+            module = recorder == null ? scheduler : new CapturedGateway(scheduler, recorder, m -> new byte[0]);
+            position = 0;
         }
 
-        /** Tells whether the writer kept up, without which the figure is that of losing calls. */
+        /** Prints how many calls were lost: the measurement is valid only if the writer kept up. */
         @TearDown(Level.Trial)
         public void end() throws InterruptedException {
             if (recorder != null) {
@@ -78,16 +80,16 @@
         }
 
         List<Gateway.Action> next() {
-            if (at == calls.size()) {
-                begin();
+            if (position == calls.size()) {
+                reset();
             }
-            Entry.Call c = calls.get(at++);
+            Entry.Call c = calls.get(position++);
             return module.decide(c.time(), c.events());
         }
     }
 
-    /** A store whose bytes go nowhere. */
-    private static final class Nowhere implements SegmentStore {
+    /** A store that discards all bytes. */
+    private static final class DiscardingStore implements SegmentStore {
         @Override
         public List<StoredSegment> list() {
             return List.of();
@@ -95,7 +97,7 @@
 
         @Override
         public InputStream open(String name) throws IOException {
-            throw new IOException("nothing is kept");
+            throw new IOException("nothing is stored");
         }
 
         @Override
@@ -116,7 +118,7 @@
         public void delete(String name) { }
     }
 
-    /** Modules with ever more in them. */
+    /** Modules with states of several sizes. */
     @State(Scope.Thread)
     public static class Sizes {
         /** Engines and open requests. */
@@ -125,7 +127,7 @@
         private final StateCodec codec = new StateCodec(GcMuScheduler.class);
         private Gateway module;
 
-        /** Fills one. */
+        /** Fills the module. */
         @Setup(Level.Trial)
         public void fill() {
             String[] parts = size.split("x");
@@ -133,7 +135,7 @@
             for (long e = 1; e <= Integer.parseInt(parts[0]); e++) {
                 engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
             }
-            module = new GcMuScheduler(World.settings(), 5);
+            module = new GcMuScheduler(SimulatedCluster.settings(), 5);
             module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
             for (int i = 1; i <= Integer.parseInt(parts[1]); i++) {
                 module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
@@ -142,13 +144,13 @@
         }
     }
 
-    /** One call of the module, events of a day in their order. */
+    /** One call of the module, with the events of a run in order. */
     @Benchmark
-    public List<Gateway.Action> call(Day d) {
-        return d.next();
+    public List<Gateway.Action> call(Workload workload) {
+        return workload.next();
     }
 
-    /** The pause of the module's thread for a snapshot. */
+    /** A snapshot, for which the module's thread pauses. */
     @Benchmark
     public byte[] snapshot(Sizes s) {
         return s.codec.write(s.module);
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -34,15 +34,15 @@
     }
 
     @Test
-    void aDayPlayedAgainGivesTheSameDecisionsByteForByte() throws IOException {
-        World w = new World(7);
-        List<Entry> entries = w.play(4000);
-        byte[] file = w.file(entries);
-        Replay.Result one = World.replay(file, 0);
+    void replayingARunGivesTheSameDecisionsByteForByte() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(7);
+        List<Entry> entries = cluster.run(4000);
+        byte[] file = cluster.captureFile(entries);
+        Replay.Result one = SimulatedCluster.replay(file, 0);
         assertThat(one.divergence()).isNull();
         assertThat(one.calls()).isEqualTo(entries.size() - 1);
         assertThat(one.decisions()).isGreaterThan(4000);
-        assertThat(World.replay(file, 0)).isEqualTo(one);
+        assertThat(SimulatedCluster.replay(file, 0)).isEqualTo(one);
         Set<Class<?>> kinds = new HashSet<>();
         entries.forEach(e -> {
             if (e instanceof Entry.Call c) {
@@ -63,16 +63,16 @@
     }
 
     @Test
-    void entriesComeBackAsTheyWere() throws IOException {
-        World w = new World(8);
-        List<Entry> entries = w.play(500);
-        assertThat(read(w.file(entries))).isEqualTo(entries);
+    void entriesAreDecodedAsEncoded() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(8);
+        List<Entry> entries = cluster.run(500);
+        assertThat(read(cluster.captureFile(entries))).isEqualTo(entries);
     }
 
     @Test
-    void anotherModulePartsAtItsFirstOtherDecisionAndThatIsShown() throws IOException {
-        World w = new World(9);
-        Replay.Result r = World.replay(w.file(w.play(500)), 1); // another source of chance
+    void anotherModuleDivergesAtItsFirstDifferentDecision() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(9);
+        Replay.Result r = SimulatedCluster.replay(cluster.captureFile(cluster.run(500)), 1); // with another seed
         assertThat(r.divergence()).isNotNull();
         assertThat(r.divergence().call()).isEqualTo(r.calls());
         assertThat(r.divergence().before()).hasSizeLessThanOrEqualTo(10);
@@ -80,18 +80,18 @@
     }
 
     @Test
-    void afterAGapNothingIsPlayedUntilTheNextOpening() throws IOException {
-        World w = new World(10);
-        List<Entry> entries = new ArrayList<>(w.play(200));
+    void afterAGapNothingIsReplayedUntilTheNextOpening() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(10);
+        List<Entry> entries = new ArrayList<>(cluster.run(200));
         entries.add(100, new Entry.Gap(0, 3, "the disk was full"));
-        Replay.Result r = World.replay(w.file(entries), 0);
+        Replay.Result r = SimulatedCluster.replay(cluster.captureFile(entries), 0);
         assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isEqualTo(99);
     }
 
-    /** The module is seeded and knows no clock: another JVM's hashes and another language change nothing. */
+    /** The module is seeded and reads no clock: identity hash codes and the JVM's locale do not influence it. */
     @Test
-    void decisionsDoNotDependOnHashesOrLanguageOfTheJvm() throws Exception {
+    void decisionsDoNotDependOnHashCodesOrLocaleOfTheJvm() throws Exception {
         Set<String> digests = new HashSet<>();
         for (List<String> flags : List.of(List.of("-XX:hashCode=2"), List.of("-XX:hashCode=0", "-Duser.language=tr"),
                 List.of("-XX:hashCode=3", "-Duser.language=ar", "-Duser.timezone=Asia/Karachi"))) {
@@ -99,7 +99,7 @@
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-XX:+UnlockExperimentalVMOptions", "-cp", System.getProperty("java.class.path")));
             command.addAll(flags);
-            command.addAll(List.of(World.class.getName(), "11", "1000"));
+            command.addAll(List.of(SimulatedCluster.class.getName(), "11", "1000"));
             Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
             digests.add(new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip());
             assertThat(p.waitFor()).as(digests.toString()).isZero();
@@ -108,11 +108,11 @@
     }
 
     @Test
-    void aFileCutOffAtAnyByteOfItsLastRecordLosesThatOneOnly() throws IOException {
-        World w = new World(12);
-        List<Entry> entries = w.play(50);
-        byte[] whole = w.file(entries);
-        int last = w.file(entries.subList(0, entries.size() - 1)).length;
+    void aFileCutOffWithinItsLastRecordLosesOnlyThatRecord() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(12);
+        List<Entry> entries = cluster.run(50);
+        byte[] whole = cluster.captureFile(entries);
+        int last = cluster.captureFile(entries.subList(0, entries.size() - 1)).length;
         for (int cut = last; cut < whole.length; cut++) {
             Frames.Reader in = new Frames.Reader(new ByteArrayInputStream(whole, 0, cut), codec.schema());
             while (in.next() != null) {
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void spoiltBytesLoseTheTailFromTheirRecordOn() throws IOException {
-        World w = new World(13);
-        List<Entry> entries = w.play(100);
-        byte[] file = w.file(entries);
-        int at = w.file(entries.subList(0, 40)).length;
-        for (int spoilt = at; spoilt < at + 30; spoilt++) {
+    void corruptedBytesLoseTheirRecordAndTheOnesAfterIt() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(13);
+        List<Entry> entries = cluster.run(100);
+        byte[] file = cluster.captureFile(entries);
+        int at = cluster.captureFile(entries.subList(0, 40)).length;
+        for (int corrupted = at; corrupted < at + 30; corrupted++) {
             byte[] bad = file.clone();
-            bad[spoilt] ^= 0x55;
-            bad[spoilt + 1] ^= 0x11;
+            bad[corrupted] ^= 0x55;
+            bad[corrupted + 1] ^= 0x11;
             Frames.Reader in = new Frames.Reader(new ByteArrayInputStream(bad), codec.schema());
             while (in.next() != null) {
                 continue;
@@ -149,19 +149,20 @@
     }
 
     @Test
-    void whatIsNoCaptureOrOfAnotherFormIsRefusedInOneSentence() {
+    void filesOfAnotherFormatOrSchemaAreRejected() {
         for (byte[] other : List.of(new byte[0], "QCA".getBytes(StandardCharsets.US_ASCII), new byte[100])) {
             assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(other), codec.schema()))
-                    .isInstanceOf(MalformedCaptureException.class).hasMessage("not a capture: the file does not begin with 'QCAP1'");
+                    .isInstanceOf(MalformedCaptureException.class)
+                    .hasMessage("not a capture: the file does not begin with 'QCAP1'");
         }
         assertThatThrownBy(() -> new Frames.Reader(new ByteArrayInputStream(Frames.header("0123456789abcdef")),
                 codec.schema())).isInstanceOf(MalformedCaptureException.class).hasMessage(
                 "the capture has schema 0123456789abcdef, and this program reads only " + codec.schema());
     }
 
-    /** Whatever the bytes of a record, they are an entry or refused; nothing else is thrown. */
+    /** Any bytes decode to an entry or throw {@link MalformedCaptureException}; nothing else is thrown. */
     @Property(tries = 3000, seed = "20261201")
-    void anyBytesAreAnEntryOrRefused(@ForAll byte[] bytes, @ForAll int at, @ForAll byte with) {
+    void anyBytesAreAnEntryOrRejected(@ForAll byte[] bytes, @ForAll int at, @ForAll byte with) {
         byte[] record = codec.write(new Entry.Call(5, List.of(new Gateway.Timer(3), new Gateway.Told(1, new byte[9])),
                 List.of(new Gateway.Send(1, 2, 0))));
         record[Math.floorMod(at, record.length)] = with;
@@ -175,7 +176,7 @@
     }
 
     @Test
-    void figuresThatAreNoneKeepTheirBits() throws IOException {
+    void nonFiniteNumbersKeepTheirBits() throws IOException {
         Entry.Call c = new Entry.Call(Double.MAX_VALUE, List.of(new Gateway.Ended(1, 0, 2, Gateway.Outcome.OK, Double.NaN,
                 true, Double.NEGATIVE_INFINITY, -0.0, List.of(Double.MIN_VALUE, Double.NaN))), List.of());
         byte[] bytes = codec.write(c);
@@ -184,18 +185,18 @@
     }
 
     @Test
-    void aModuleThatFailsLeavesAGapAndFailsAllTheSame() {
-        List<Entry> told = new ArrayList<>();
+    void anExceptionOfTheModuleLeavesAGapAndIsRethrown() {
+        List<Entry> captured = new ArrayList<>();
         CapturedGateway g = new CapturedGateway((now, events) -> {
             throw new IllegalStateException("unforeseen");
-        }, told::add);
+        }, captured::add);
         assertThatThrownBy(() -> g.decide(5, List.of())).hasMessage("unforeseen");
-        assertThat(told).containsExactly(
+        assertThat(captured).containsExactly(
                 new Entry.Gap(5, 1, "the module failed: java.lang.IllegalStateException: unforeseen"));
     }
 
     @Test
-    void theModulesTextHasADigestThatNamesIt() {
+    void theModuleDigestIdentifiesTheModule() {
         assertThat(ModuleDigest.of(GcMuScheduler.class)).matches("[0-9a-f]{16}").isEqualTo(ModuleDigest.of(GcMuScheduler.class))
                 .isNotEqualTo(ModuleDigest.of(Gateway.class));
     }
--- a/capture/src/test/java/quincespar/capture/RecordingTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureWriterTest.java
@@ -14,54 +14,54 @@
 import org.junit.jupiter.api.Timeout;
 import quincespar.decision.Gateway;
 
-/** Segments on a store that works, fails, fills up and drops what is old, and their replay. */
-class RecordingTest {
+/** Segments on a store that works, fails or fills up, deletion of old segments, and replay of what is stored. */
+class CaptureWriterTest {
     private static final SegmentPolicy.Limits LIMITS = new SegmentPolicy.Limits(12_000, 1_000, 80_000, 1e9, 100, 800);
 
     private final MemoryStore store = new MemoryStore();
-    private final List<String> told = new ArrayList<>();
-    /** Lost on the way to the recording, where a test says so. */
+    private final List<String> logLines = new ArrayList<>();
+    /** Calls reported as lost before they reached the writer. */
     private long lost;
 
-    /** The module's thread and the writer's in one, in virtual time. */
-    private final class Together implements CapturedGateway.Listener {
-        private final CaptureWriter recording;
+    /** Writes on the module's thread, in virtual time. */
+    private final class SynchronousRecorder implements CapturedGateway.Listener {
+        private final CaptureWriter writer;
         private double now;
 
-        Together(long seed, SegmentPolicy.Limits limits) {
-            recording = new CaptureWriter(World.opening(seed), new SegmentPolicy(limits, new SegmentName("w", 1, 0), store.list(), 0),
-                    store, told::add);
-            recording.beginSegment(0, null, 0, "");
+        SynchronousRecorder(long seed, SegmentPolicy.Limits limits) {
+            writer = new CaptureWriter(SimulatedCluster.opening(seed),
+                    new SegmentPolicy(limits, new SegmentName("w", 1, 0), store.list(), 0), store, logLines::add);
+            writer.beginSegment(0, null, 0, "");
         }
 
         @Override
         public void onCall(Entry.Call call) {
             now = call.time();
-            recording.writeCall(now, call);
+            writer.writeCall(now, call);
         }
 
         @Override
         public void onFailure(Entry.Gap gap) {
-            recording.writeGap(now, gap);
+            writer.writeGap(now, gap);
         }
 
         @Override
         public boolean wantsState() {
-            return recording.segmentDue(now);
+            return writer.segmentDue(now);
         }
 
         @Override
         public void onState(double time, byte[] bytes) {
-            recording.beginSegment(time, new Entry.State(time, bytes), lost, "the queue was full");
+            writer.beginSegment(time, new Entry.State(time, bytes), lost, "the queue was full");
             lost = 0;
         }
     }
 
-    private CaptureWriter.Counts play(long seed, SegmentPolicy.Limits limits, int requests) {
-        Together t = new Together(seed, limits);
-        new World(seed, t).play(requests);
-        t.recording.close(t.now);
-        return t.recording.counts();
+    private CaptureWriter.Counts capture(long seed, SegmentPolicy.Limits limits, int requests) {
+        SynchronousRecorder recorder = new SynchronousRecorder(seed, limits);
+        new SimulatedCluster(seed, recorder).run(requests);
+        recorder.writer.close(recorder.now);
+        return recorder.writer.counts();
     }
 
     private Replay.Result replay(List<SegmentName> names) throws IOException {
@@ -72,15 +72,15 @@
 
     @Test
     @Timeout(120)
-    void aDayInSegmentsPlaysTheSameFromItsStartAndFromAnySegment() throws IOException {
-        CaptureWriter.Counts counts = play(41, new SegmentPolicy.Limits(100_000, 1e9, 100_000_000, 1e9, 100, 800), 4000);
+    void aRunInSegmentsReplaysFromItsStartAndFromAnySegment() throws IOException {
+        CaptureWriter.Counts counts = capture(41, new SegmentPolicy.Limits(100_000, 1e9, 100_000_000, 1e9, 100, 800), 4000);
         List<SegmentName> all = new CaptureReader(store).segmentNames();
         assertThat(all).hasSizeGreaterThan(4).hasSize((int) counts.segments());
         Replay.Result whole = replay(all);
         assertThat(whole.divergence()).isNull();
         assertThat(whole.lostCalls()).isZero();
         assertThat(whole.calls()).isEqualTo(counts.calls());
-        assertThat(whole.matchingStates()).isEqualTo(all.size() - 1); // played on, it comes into each state that was captured
+        assertThat(whole.matchingStates()).isEqualTo(all.size() - 1); // the replay reaches each captured state
         assertThat(whole.differingStates()).isZero();
         assertThat(replay(all)).isEqualTo(whole);
         long calls = whole.calls();
@@ -95,14 +95,14 @@
         }
     }
 
-    /** What came before the oldest that is left is no loss to replay: it begins with a state. */
+    /** Deleted segments are no loss to a replay, as the oldest one left starts with a state. */
     @Test
     @Timeout(120)
-    void theOldestGoAndTogetherTheyNeverPassTheirBound() throws IOException {
-        CaptureWriter.Counts counts = play(42, LIMITS, 3000);
+    void theOldestSegmentsAreDeletedAndTheTotalSizeStaysWithinItsLimit() throws IOException {
+        CaptureWriter.Counts counts = capture(42, LIMITS, 3000);
         assertThat(counts.deletedSegments()).isPositive();
         assertThat(counts.lostCalls()).isZero();
-        assertThat(store.most).isLessThanOrEqualTo(LIMITS.totalBytes()).isGreaterThan(LIMITS.totalBytes() / 2);
+        assertThat(store.peakBytes).isLessThanOrEqualTo(LIMITS.totalBytes()).isGreaterThan(LIMITS.totalBytes() / 2);
         List<SegmentName> left = new CaptureReader(store).segmentNames();
         assertThat(left.get(0).number()).isGreaterThan(1);
         assertThat(left.get(left.size() - 1).number()).isEqualTo((int) counts.segments());
@@ -112,25 +112,25 @@
         assertThat(r.calls()).isPositive();
     }
 
-    /** Whatever fails and when, what is read back plays without a divergence, and all that is not there is counted. */
+    /** After random failures of the store, what was written replays without a divergence, and what is missing is counted. */
     @Property(tries = 40, seed = "20261201")
-    void whateverFailsWhatIsThereIsTrueAndWhatIsNotIsCounted(@ForAll long seed) throws IOException {
+    void afterStoreFailuresEveryCallIsReplayableOrCountedAsLost(@ForAll long seed) throws IOException {
         store.files.clear();
         SplittableRandom random = new SplittableRandom(seed);
-        store.creates = () -> random.nextInt(6) > 0;
-        store.writes = () -> random.nextInt(150) > 0;
-        store.deletes = () -> random.nextInt(4) > 0;
-        store.closes = () -> random.nextInt(10) > 0;
-        store.most = 0;
-        Together t = new Together(43, LIMITS);
-        List<Entry> calls = new World(43).play(400);
-        World again = new World(43, t);
-        again.play(400);
-        t.recording.close(t.now);
-        CaptureWriter.Counts counts = t.recording.counts();
+        store.createSucceeds = () -> random.nextInt(6) > 0;
+        store.writeSucceeds = () -> random.nextInt(150) > 0;
+        store.deleteSucceeds = () -> random.nextInt(4) > 0;
+        store.closeSucceeds = () -> random.nextInt(10) > 0;
+        store.peakBytes = 0;
+        SynchronousRecorder recorder = new SynchronousRecorder(43, LIMITS);
+        List<Entry> calls = new SimulatedCluster(43).run(400);
+        SimulatedCluster again = new SimulatedCluster(43, recorder);
+        again.run(400);
+        recorder.writer.close(recorder.now);
+        CaptureWriter.Counts counts = recorder.writer.counts();
         assertThat(counts.calls() + counts.lostCalls()).isEqualTo(calls.size() - 1);
         assertThat(counts.failures()).isPositive();
-        assertThat(store.most).isLessThanOrEqualTo(LIMITS.totalBytes());
+        assertThat(store.peakBytes).isLessThanOrEqualTo(LIMITS.totalBytes());
         Replay.Result r = replay(new CaptureReader(store).segmentNames());
         assertThat(r.divergence()).isNull();
         assertThat(r.differingStates()).isZero();
@@ -140,17 +140,17 @@
     }
 
     @Test
-    void aFullDiskIsToldOnceAndAgainWhenItIsOver() {
+    void aFullDiskIsLoggedOnceAndSoIsTheRecovery() {
         boolean[] full = {false};
-        store.writes = () -> !full[0];
-        CaptureWriter r = new CaptureWriter(World.opening(1), new SegmentPolicy(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store,
-                told::add);
+        store.writeSucceeds = () -> !full[0];
+        CaptureWriter r = new CaptureWriter(SimulatedCluster.opening(1),
+                new SegmentPolicy(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store, logLines::add);
         r.beginSegment(0, null, 0, "");
         Entry.Call call = new Entry.Call(1, List.of(), List.of());
         r.writeCall(1, call);
         full[0] = true;
         r.writeCall(2, call);
-        for (double now = 3; now < 2000; now++) { // tried again after 100, 200, 400, 800 and 800 ms
+        for (double now = 3; now < 2000; now++) { // retries after 100, 200, 400, 800 and 800 ms
             if (r.segmentDue(now)) {
                 r.beginSegment(now, new Entry.State(now, new byte[1]), 0, "");
             }
@@ -162,16 +162,16 @@
         assertThat(r.counts().failures()).isEqualTo(5);
         assertThat(r.counts().calls()).isEqualTo(2);
         assertThat(r.counts().lostCalls()).isEqualTo(1 + 1997 + 7);
-        assertThat(told).containsExactly("capture: new segment started",
+        assertThat(logLines).containsExactly("capture: new segment started",
                 "capture: disk full; calls are lost until writing succeeds again",
                 "capture: new segment started; 2005 calls lost before it: the queue was full");
     }
 
-    /** A segment that someone took away, or that lost its tail, is a gap: nothing is played over it. */
+    /** A missing or truncated segment is a gap, and replay resumes after it from a state. */
     @Test
     @Timeout(120)
-    void whatIsMissingInTheMiddleIsAGap() throws IOException {
-        CaptureWriter.Counts counts = play(44, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+    void missingAndTruncatedSegmentsAreGaps() throws IOException {
+        CaptureWriter.Counts counts = capture(44, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
         List<SegmentName> all = new ArrayList<>(new CaptureReader(store).segmentNames());
         assertThat(all).hasSizeGreaterThan(4);
         store.files.remove(all.get(2).fileName());
@@ -184,20 +184,20 @@
         Replay.Result r = replay(captures.segmentNames());
         assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isLessThan(counts.calls());
-        assertThat(r.matchingStates()).isEqualTo(all.size() - 1 - 3); // 2 is missing, 3 and 4 are restored anew
+        assertThat(r.matchingStates()).isEqualTo(all.size() - 1 - 3); // segment 2 is missing; 3 and 4 start from their states
     }
 
-    /** The writer goes on while someone reads: what it drops meanwhile is a gap, and what is left plays. */
+    /** A segment that the writer deletes during a read is a gap, and the remaining ones replay. */
     @Test
     @Timeout(120)
-    void whatIsDroppedWhileItIsReadIsAGap() throws IOException {
-        play(47, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+    void aSegmentDeletedDuringAReadIsAGap() throws IOException {
+        capture(47, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
         CaptureReader captures = new CaptureReader(store);
         List<SegmentName> all = captures.segmentNames();
         Replay replay = new Replay(new CurrentModuleFactory());
         List<Entry.Gap> gaps = new ArrayList<>();
         captures.forEachEntry(all, (name, e) -> {
-            store.files.remove(all.get(1).fileName()); // and the first one, which is open already, is read to its end
+            store.files.remove(all.get(1).fileName()); // the first one is open already, and is read to its end
             store.files.remove(all.get(0).fileName());
             if (e instanceof Entry.Gap g) {
                 gaps.add(g);
@@ -213,8 +213,8 @@
 
     @Test
     @Timeout(120)
-    void aCutHoldsTheStateBeforeItAndPlays() throws IOException {
-        play(45, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
+    void aCutStartsWithTheStateBeforeItAndReplays() throws IOException {
+        capture(45, new SegmentPolicy.Limits(20_000, 1e9, 100_000_000, 1e9, 100, 800), 1000);
         CaptureReader captures = new CaptureReader(store);
         CaptureReader.SegmentSummary third = captures.summarize(captures.segmentNames().get(2));
         List<Entry> cut = captures.cut(captures.segmentNames(), third.from() + 1, third.to());
@@ -233,45 +233,45 @@
         assertThat(captures.cut(captures.segmentNames(), 1e9, 2e9)).isEmpty();
     }
 
-    /** The module's thread and the writer's apart: a store that stands still holds up nobody, and is caught up with. */
+    /** A blocked store does not block the module's thread: calls are lost until it moves again, and then a state is written. */
     @Test
     @Timeout(60)
-    void aStoreThatStandsStillLosesCallsAndTheCaptureGoesOnWithAState() throws Exception {
-        CountDownLatch moves = new CountDownLatch(1);
-        CountDownLatch standing = new CountDownLatch(1);
-        boolean[] stands = {false};
-        store.writes = () -> {
+    void aBlockedStoreLosesCallsAndTheCaptureResumesWithAState() throws Exception {
+        CountDownLatch unblocked = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        boolean[] block = {false};
+        store.writeSucceeds = () -> {
             try {
-                if (stands[0]) {
-                    standing.countDown();
-                    moves.await();
+                if (block[0]) {
+                    blocked.countDown();
+                    unblocked.await();
                 }
                 return true;
             } catch (InterruptedException e) {
                 return false;
             }
         };
-        CaptureWriter recording = new CaptureWriter(World.opening(46), new SegmentPolicy(
+        CaptureWriter writer = new CaptureWriter(SimulatedCluster.opening(46), new SegmentPolicy(
                 new SegmentPolicy.Limits(1 << 30, 1e9, 1L << 32, 1e9, 100, 800), new SegmentName("w", 1, 0), List.of(), 0), store,
-                told::add);
-        Recorder recorder = new Recorder(recording, 64, 5, () -> System.nanoTime() / 1e6);
-        Thread writer = new Thread(recorder);
-        writer.start();
-        World w = new World(46, recorder);
+                logLines::add);
+        Recorder recorder = new Recorder(writer, 64, 5, () -> System.nanoTime() / 1e6);
+        Thread writerThread = new Thread(recorder);
+        writerThread.start();
+        SimulatedCluster cluster = new SimulatedCluster(46, recorder);
         while (recorder.counts().segments() == 0) {
             Thread.onSpinWait();
         }
-        stands[0] = true;
-        w.play(600); // far more calls than the ring holds; none of them waits
-        standing.await();
+        block[0] = true;
+        cluster.run(600); // far more calls than the queue holds; none of them waits
+        blocked.await();
         assertThat(recorder.pendingLostCalls()).isPositive();
-        moves.countDown();
-        w.settle(() -> recorder.counts().segments() < 2);
+        unblocked.countDown();
+        cluster.runTimers(() -> recorder.counts().segments() < 2);
         assertThat(recorder.stop()).isTrue();
-        writer.join();
+        writerThread.join();
         CaptureWriter.Counts counts = recorder.counts();
         assertThat(counts.lostCalls()).isPositive();
-        assertThat(counts.calls() + counts.lostCalls() + recorder.pendingLostCalls()).isEqualTo(w.calls());
+        assertThat(counts.calls() + counts.lostCalls() + recorder.pendingLostCalls()).isEqualTo(cluster.calls());
         Replay.Result r = replay(new CaptureReader(store).segmentNames());
         assertThat(r.divergence()).isNull();
         assertThat(r.calls()).isEqualTo(counts.calls());
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void namesComeBackAsTheyWereAndNothingElseIsOne() {
+    void segmentNamesAreParsedAsFormattedAndOtherNamesAreRejected() {
         SegmentName n = new SegmentName("n-1", 1_764_000_000_000L, 12);
         assertThat(n.fileName()).isEqualTo("n-1-1764000000000-000012.qcap");
         assertThat(SegmentName.parse(n.fileName())).contains(n);
--- a/capture/src/test/java/quincespar/capture/ExplainTest.java
+++ b/capture/src/test/java/quincespar/capture/ExplainerTest.java
@@ -17,35 +17,36 @@
 import quincespar.decision.DecisionExplainer.EngineView;
 
 @Timeout(120)
-class ExplainTest {
+class ExplainerTest {
     private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
     /**
-     * Held against a whole day: every choice is explained, the chosen engine was open to the request, and no other had a
-     * higher figure (the module's own chance moves figures by a hundredth).
+     * Every choice of a run is explained, the chosen engine was eligible, and no other had a higher score. Random tie-breaking
+     * in the module changes scores by up to one percent.
      */
     @Test
-    void whatIsToldOfEachChoiceAgreesWithTheChoice() throws IOException {
-        List<Entry> entries = new World(51).play(1200);
-        GcMuScheduler module = new GcMuScheduler(World.settings(), 51);
+    void explanationsAgreeWithTheChoices() throws IOException {
+        List<Entry> entries = new SimulatedCluster(51).run(1200);
+        GcMuScheduler module = new GcMuScheduler(SimulatedCluster.settings(), 51);
         Map<String, Integer> verdicts = new HashMap<>();
         int sends = 0;
-        int told = 0;
+        int explained = 0;
         for (Entry e : entries) {
             if (e instanceof Entry.Call c) {
                 long now = c.actions().stream().filter(Gateway.Send.class::isInstance).count();
                 if (now > 0) {
                     sends += now;
-                    List<DecisionExplainer.Choice> all = new DecisionExplainer(codec.read(codec.write(module), GcMuScheduler.class)).choices(c.time(),
-                            c.events(), c.actions());
-                    told += all.size();
+                    GcMuScheduler copy = codec.read(codec.write(module), GcMuScheduler.class);
+                    List<DecisionExplainer.Choice> all = new DecisionExplainer(copy).choices(c.time(), c.events(),
+                            c.actions());
+                    explained += all.size();
                     all.forEach(x -> check(x, verdicts));
                 }
-                assertThat(module.decide(c.time(), c.events())).isEqualTo(c.actions()); // looking changed nothing
+                assertThat(module.decide(c.time(), c.events())).isEqualTo(c.actions()); // explaining did not change the module
             }
         }
         assertThat(sends).isGreaterThan(1000);
-        assertThat(told).isEqualTo(sends);
+        assertThat(explained).isEqualTo(sends);
         assertThat(verdicts).containsKeys("chosen", "a lower figure", "it drains", "shunned for",
                 "its bound is full, or its report says so", "cold for");
     }
@@ -61,42 +62,42 @@
         }
     }
 
-    private static MemoryStore stored(World w, long seed, int requests) {
+    private static MemoryStore stored(SimulatedCluster cluster, long seed, int requests) {
         MemoryStore store = new MemoryStore();
         store.files.put(new SegmentName("w", 1, 1).fileName(), new java.io.ByteArrayOutputStream());
-        store.files.get(new SegmentName("w", 1, 1).fileName()).writeBytes(w.file(w.play(requests)));
+        store.files.get(new SegmentName("w", 1, 1).fileName()).writeBytes(cluster.captureFile(cluster.run(requests)));
         return store;
     }
 
     @Test
-    void aRequestsStoryHasItsChoicesItsEndsAndWhatRuledOutTheOthers() throws IOException {
-        MemoryStore store = stored(new World(52), 52, 400);
+    void aRequestIsExplainedByItsChoicesItsOutcomesAndTheReasonsAgainstOtherEngines() throws IOException {
+        MemoryStore store = stored(new SimulatedCluster(52), 52, 400);
         CaptureReader captures = new CaptureReader(store);
         Set<String> seen = new HashSet<>();
-        int stories = 0;
+        int explained = 0;
         for (long id = 1; id <= 400; id += 7) {
             List<String> lines = new ArrayList<>();
             if (new Explainer(captures, lines::add).explainRequest(captures.segmentNames(), id)) {
-                stories++;
-                assertThat(lines.get(0)).contains("request " + id + " is taken");
+                explained++;
+                assertThat(lines.get(0)).contains("request " + id + " received");
                 String all = String.join("\n", lines);
                 for (String word : List.of("* engine", "chosen", "a lower figure", "ended after", "it drains", "shunned",
-                        "is given up", "says of attempt", "turned away", "its aim was")) {
+                        "is cancelled", "reports on attempt", "is refused", ", target ")) {
                     if (all.contains(word)) {
                         seen.add(word);
                     }
                 }
             }
         }
-        assertThat(stories).isEqualTo(58);
-        assertThat(seen).contains("* engine", "chosen", "a lower figure", "ended after", "shunned", "says of attempt", "is given up",
-                "turned away", "its aim was");
+        assertThat(explained).isEqualTo(58);
+        assertThat(seen).contains("* engine", "chosen", "a lower figure", "ended after", "shunned", "reports on attempt",
+                "is cancelled", "is refused", ", target ");
         assertThat(new Explainer(captures, l -> { }).explainRequest(captures.segmentNames(), 99_999)).isFalse();
     }
 
     @Test
-    void anEnginesViewIsThatOfTheTimeAskedFor() throws IOException {
-        MemoryStore store = stored(new World(53), 53, 300);
+    void anEngineIsExplainedAsOfTheRequestedTime() throws IOException {
+        MemoryStore store = stored(new SimulatedCluster(53), 53, 300);
         CaptureReader captures = new CaptureReader(store);
         CaptureReader.SegmentSummary s = captures.summarize(captures.segmentNames().get(0));
         List<String> early = new ArrayList<>();
--- a/capture/src/test/java/quincespar/capture/MemoryStore.java
+++ b/capture/src/test/java/quincespar/capture/MemoryStore.java
@@ -11,22 +11,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BooleanSupplier;
 
-/** A store in memory that fails where the test says, as a disk does: full, gone, not permitted. */
+/** A store in memory with injected failures: full disk, missing folder, missing permission. */
 final class MemoryStore implements SegmentStore {
     final Map<String, ByteArrayOutputStream> files = new ConcurrentHashMap<>();
-    volatile BooleanSupplier creates = () -> true;
-    volatile BooleanSupplier writes = () -> true;
-    volatile BooleanSupplier deletes = () -> true;
-    volatile BooleanSupplier closes = () -> true;
-    volatile long most;
+    volatile BooleanSupplier createSucceeds = () -> true;
+    volatile BooleanSupplier writeSucceeds = () -> true;
+    volatile BooleanSupplier deleteSucceeds = () -> true;
+    volatile BooleanSupplier closeSucceeds = () -> true;
+    /** The largest total size so far, in bytes. */
+    volatile long peakBytes;
 
     long bytes() {
         return files.values().stream().mapToLong(ByteArrayOutputStream::size).sum();
     }
 
-    private static void check(BooleanSupplier works, String what) throws IOException {
-        if (!works.getAsBoolean()) {
-            throw new IOException(what);
+    private static void check(BooleanSupplier succeeds, String message) throws IOException {
+        if (!succeeds.getAsBoolean()) {
+            throw new IOException(message);
         }
     }
 
@@ -46,18 +47,18 @@
 
     @Override
     public SegmentOutput create(String name) throws IOException {
-        check(creates, "no folder");
-        ByteArrayOutputStream to = new ByteArrayOutputStream();
-        files.put(name, to);
+        check(createSucceeds, "no folder");
+        ByteArrayOutputStream file = new ByteArrayOutputStream();
+        files.put(name, file);
         return new SegmentOutput() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                if (!writes.getAsBoolean()) {
-                    to.write(bytes, 0, bytes.length / 2); // a full disk takes a part
+                if (!writeSucceeds.getAsBoolean()) {
+                    file.write(bytes, 0, bytes.length / 2); // a full disk stores a part of it
                     throw new IOException("disk full");
                 }
-                to.write(bytes);
-                most = Math.max(most, MemoryStore.this.bytes());
+                file.write(bytes);
+                peakBytes = Math.max(peakBytes, MemoryStore.this.bytes());
             }
 
             @Override
@@ -65,14 +66,14 @@
 
             @Override
             public void close() throws IOException {
-                check(closes, "not closed");
+                check(closeSucceeds, "not closed");
             }
         };
     }
 
     @Override
     public void delete(String name) throws IOException {
-        check(deletes, "not permitted");
+        check(deleteSucceeds, "not permitted");
         files.remove(name);
     }
 }
--- a/capture/src/test/java/quincespar/capture/ScenesTest.java
+++ b/capture/src/test/java/quincespar/capture/ScenarioTest.java
@@ -13,29 +13,31 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import quincespar.capture.SimulatedCluster.Scenario;
 import quincespar.decision.Gateway;
 import quincespar.decision.Gateway.EngineState;
 import quincespar.decision.Gateway.Outcome;
 
 /**
- * Past failures, captured: the module as it is decides as it did then. Where a change to the module is meant to change
- * that, {@link #main} writes them anew, and the commit says why.
+ * Regression test on captured scenarios: the module decides as it did when they were captured. After a deliberate change of
+ * its decisions, {@link #main} writes the captures again, and the commit says why.
  */
 @Timeout(60)
-class ScenesTest {
-    private static String file(World.Scene s) {
+class ScenarioTest {
+    private static String fileName(Scenario s) {
         return s.name().toLowerCase(Locale.ROOT).replace('_', '-') + ".qcap";
     }
 
-    /** Writes all scenes as this build's module plays them, to the folder that is named. */
+    /** Runs all scenarios on this build's module and writes their captures; the argument is the folder. */
     public static void main(String[] args) throws IOException {
-        for (World.Scene s : World.Scene.values()) {
-            Files.write(Path.of(args[0]).resolve(file(s)), new World(0).file(World.scene(s)));
+        for (Scenario s : Scenario.values()) {
+            Files.write(Path.of(args[0]).resolve(fileName(s)),
+                    new SimulatedCluster(0).captureFile(SimulatedCluster.runScenario(s)));
         }
     }
 
-    private static List<Entry> captured(World.Scene s) throws IOException {
-        try (InputStream in = ScenesTest.class.getResourceAsStream("/captures/" + file(s))) {
+    private static List<Entry> captured(Scenario s) throws IOException {
+        try (InputStream in = ScenarioTest.class.getResourceAsStream("/captures/" + fileName(s))) {
             EntryCodec codec = new EntryCodec();
             Frames.Reader frames = new Frames.Reader(in, codec.schema());
             List<Entry> out = new ArrayList<>();
@@ -48,70 +50,70 @@
     }
 
     @ParameterizedTest
-    @EnumSource(World.Scene.class)
-    void theModuleDecidesAsItDidAndKeepsTheRules(World.Scene s) throws IOException {
+    @EnumSource(Scenario.class)
+    void theModuleDecidesAsCapturedAndObeysTheRules(Scenario s) throws IOException {
         Replay replay = new Replay(new CurrentModuleFactory());
         RuleChecker rules = new RuleChecker();
         for (Entry e : captured(s)) {
             rules.check(e);
-            assertThat(replay.play(e)).as("%s: the module decides otherwise now, at %s; if that is meant, write the captures"
-                    + " anew with ScenesTest.main and say why in the commit", s, replay.result().divergence()).isTrue();
+            assertThat(replay.play(e)).as("%s: the module decides differently at %s; if that is intended, write the captures"
+                    + " again with ScenarioTest.main and say why in the commit", s, replay.result().divergence()).isTrue();
         }
-        assertThat(replay.result().calls()).isGreaterThan(World.Scene.REQUESTS);
+        assertThat(replay.result().calls()).isGreaterThan(Scenario.REQUESTS);
         assertThat(rules.violations()).isEmpty();
-        // and what the module does now in that scene, whatever was captured
+        // a run of the scenario on this build obeys the rules too
         RuleChecker now = new RuleChecker();
-        World.scene(s).forEach(now::check);
+        SimulatedCluster.runScenario(s).forEach(now::check);
         assertThat(now.violations()).isEmpty();
     }
 
-    /** Each scene has in it what its name says: else it would guard nothing. */
+    /** Each capture contains the fault of its scenario; otherwise it would test nothing. */
     @Test
-    void theScenesHaveTheirTroubleInThem() throws IOException {
-        assertThat(sends(World.Scene.LIST_COMES_LATE, 0, 79)).isZero();
-        assertThat(sends(World.Scene.LIST_COMES_LATE, 80, 240)).isPositive();
-        for (World.Scene s : List.of(World.Scene.DIES_AND_RETURNS_COLD, World.Scene.HANGS, World.Scene.DRAINS_UNDER_LOADS)) {
-            assertThat(sendsTo2(s, 0, 80)).as("%s", s).isPositive();
-            assertThat(sendsTo2(s, 120, 160)).as("%s", s).isLessThan(sendsTo2(s, 0, 80) / 4 + 1);
+    void theCapturesContainTheirFaults() throws IOException {
+        assertThat(sends(Scenario.LIST_COMES_LATE, 0, 79)).isZero();
+        assertThat(sends(Scenario.LIST_COMES_LATE, 80, 240)).isPositive();
+        for (Scenario s : List.of(Scenario.DIES_AND_RETURNS_COLD, Scenario.HANGS, Scenario.DRAINS_UNDER_LOADS)) {
+            assertThat(sendsToSecond(s, 0, 80)).as("%s", s).isPositive();
+            assertThat(sendsToSecond(s, 120, 160)).as("%s", s).isLessThan(sendsToSecond(s, 0, 80) / 4 + 1);
         }
     }
 
-    private static long sends(World.Scene s, long from, long to) throws IOException {
+    private static long sends(Scenario s, long from, long to) throws IOException {
         return sends(s, from, to, false);
     }
 
-    private static long sendsTo2(World.Scene s, long from, long to) throws IOException {
+    private static long sendsToSecond(Scenario s, long from, long to) throws IOException {
         return sends(s, from, to, true);
     }
 
-    /** Sends between the takings of two requests. */
-    private static long sends(World.Scene s, long from, long to, boolean toSecond) throws IOException {
-        long taken = 0;
-        long out = 0;
+    /** The number of sends after request {@code from} and up to request {@code to} was received. */
+    private static long sends(Scenario s, long from, long to, boolean toSecond) throws IOException {
+        long received = 0;
+        long sends = 0;
         for (Entry e : captured(s)) {
             if (e instanceof Entry.Call c) {
-                taken += c.events().stream().filter(Gateway.Request.class::isInstance).count();
-                long at = taken;
-                out += c.actions().stream().filter(a -> a instanceof Gateway.Send x && at > from && at <= to
+                received += c.events().stream().filter(Gateway.Request.class::isInstance).count();
+                long at = received;
+                sends += c.actions().stream().filter(a -> a instanceof Gateway.Send x && at > from && at <= to
                         && (!toSecond || x.engine() == 2)).count();
             }
         }
-        return out;
+        return sends;
     }
 
     private static Entry.Call call(double time, List<Gateway.Event> events, Gateway.Action... actions) {
         return new Entry.Call(time, events, List.of(actions));
     }
 
-    /** Calls in which each rule is broken once, after calls in which it is kept. */
+    /** Each rule is violated once, after calls that obey it. */
     @Test
-    void eachBrokenRuleIsNamed() {
+    void eachViolationIsReported() {
         RuleChecker r = new RuleChecker();
-        r.check(World.opening(1));
-        Gateway.Engine drains = new Gateway.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
-        r.check(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(drains)))));
+        r.check(SimulatedCluster.opening(1));
+        Gateway.Engine draining = new Gateway.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
+        r.check(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(draining)))));
         Gateway.Event load = new Gateway.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
-        r.check(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace
+        r.check(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace period
         r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Gateway.Send(1, 1, 0))); // it never ran
         r.check(call(300, List.of(ended(1, 1, Outcome.ERROR))));
         assertThat(r.violationCount()).isZero();
@@ -128,30 +130,30 @@
                 "0.700 request 1 is sent after it ended", "2.000 request 2 has two attempts in flight",
                 "2.100 request 2 is sent to engine 2, which accepts no new requests");
         r.check(new Entry.Gap(2200, 5, "the queue was full"));
-        r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // nothing is known of it any more
+        r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // its state after the gap is unknown
         assertThat(r.violationCount()).isEqualTo(6);
     }
 
-    /** Captures of several processes lie in one folder, and each numbers its requests from 1. */
+    /** A folder holds captures of several processes, and each process numbers its requests from 1. */
     @Test
-    void processesAreHeldAgainstTheRulesEachByItself() {
+    void eachProcessIsCheckedSeparately() {
         RuleChecker r = new RuleChecker();
         for (long seed : List.of(7L, 8L)) {
-            List<Entry> all = new ArrayList<>(new World(seed).play(100));
-            all.add(50, all.get(0)); // the next segment of the same process begins: nothing is forgotten
+            List<Entry> all = new ArrayList<>(new SimulatedCluster(seed).run(100));
+            all.add(50, all.get(0)); // the next segment of the same process: known requests are kept
             all.forEach(r::check);
         }
         assertThat(r.violations()).isEmpty();
-        r.check(World.opening(8));
+        r.check(SimulatedCluster.opening(8));
         r.check(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
         assertThat(r.violations()).containsExactly("99.000 request 3 is sent after it ended");
     }
 
-    /** Seen in service: an attempt ends, the request is given up for it, and its client leaves, all in one call. */
+    /** In one call, an attempt ends, the request is refused, and its client leaves: that is a single answer. */
     @Test
-    void whoLeavesInTheCallInWhichItIsGivenUpHasOneAnswer() {
+    void aClientThatLeavesInTheCallThatRefusesItsRequestGetsOneAnswer() {
         RuleChecker r = new RuleChecker();
-        r.check(World.opening(1));
+        r.check(SimulatedCluster.opening(1));
         Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
         r.check(call(0, List.of(lookup), new Gateway.Send(2, 1, 0)));
         r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Gateway.Left(2)), new Gateway.Refuse(2, 0)));
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -18,7 +18,7 @@
 class StateCodecTest {
     private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
-    private static void play(Gateway module, List<Entry> entries, int from, int to) {
+    private static void replay(Gateway module, List<Entry> entries, int from, int to) {
         for (Entry e : entries.subList(from, to)) {
             if (e instanceof Entry.Call c) {
                 assertThat(module.decide(c.time(), c.events())).isEqualTo(c.actions());
@@ -26,26 +26,25 @@
         }
     }
 
-    /** At any moment of a day with all that can happen: what was read decides as what was written would have. */
     @Test
-    void aModuleInAStateThatWasReadDecidesAsTheOneThatItWasWrittenFrom() throws IOException {
-        List<Entry> entries = new World(31).play(1500);
+    void aDecodedModuleDecidesLikeTheEncodedOneAtAnyPointOfARun() throws IOException {
+        List<Entry> entries = new SimulatedCluster(31).run(1500);
         for (int at = 1; at < entries.size(); at += entries.size() / 12) {
-            Gateway module = new GcMuScheduler(World.settings(), 31);
-            play(module, entries, 1, at);
+            Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 31);
+            replay(module, entries, 1, at);
             byte[] state = codec.write(module);
             Gateway other = codec.read(state, GcMuScheduler.class);
             assertThat(codec.write(other)).isEqualTo(state);
-            play(other, entries, at, entries.size());
-            play(module, entries, at, entries.size());
-            assertThat(codec.write(other)).as("the end, from call " + at).isEqualTo(codec.write(module));
+            replay(other, entries, at, entries.size());
+            replay(module, entries, at, entries.size());
+            assertThat(codec.write(other)).as("final state after decoding at call " + at).isEqualTo(codec.write(module));
         }
     }
 
-    /** All open requests hang together through the engines: a walk that calls itself for each would not end well. */
+    /** Open requests refer to each other through engines: encoding them recursively would overflow the stack. */
     @Test
-    void thousandsOfOpenRequestsAreWrittenOnASmallStack() throws Exception {
-        Gateway module = new GcMuScheduler(World.settings(), 5);
+    void thousandsOfOpenRequestsAreEncodedOnASmallStack() throws Exception {
+        Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 5);
         List<Gateway.Engine> engines = new ArrayList<>();
         for (long e = 1; e <= 60; e++) {
             engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
@@ -63,41 +62,41 @@
     }
 
     @Test
-    void bytesThatAreNoStateAreRefusedAndNothingElseIsThrown() throws IOException {
-        World w = new World(33);
-        List<Entry> entries = w.play(40);
-        Gateway module = new GcMuScheduler(World.settings(), 33);
-        play(module, entries, 1, 60);
+    void damagedBytesThrowOnlyMalformedCaptureException() throws IOException {
+        SimulatedCluster cluster = new SimulatedCluster(33);
+        List<Entry> entries = cluster.run(40);
+        Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 33);
+        replay(module, entries, 1, 60);
         byte[] state = codec.write(module);
         SplittableRandom random = new SplittableRandom(3);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 4000; i++) {
             byte[] bad = random.nextBoolean() ? Arrays.copyOf(state, random.nextInt(state.length)) : state.clone();
             if (bad.length > 0) {
                 bad[random.nextInt(bad.length)] ^= (byte) (1 + random.nextInt(255));
             }
             try {
-                assertThat(codec.read(bad, GcMuScheduler.class)).isNotNull(); // another figure is a state too
+                assertThat(codec.read(bad, GcMuScheduler.class)).isNotNull(); // a changed number is a valid state
             } catch (MalformedCaptureException e) {
-                refused++;
+                rejected++;
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
-        assertThat(refused).isGreaterThan(2000);
+        assertThat(rejected).isGreaterThan(2000);
         assertThatThrownBy(() -> codec.read(new byte[40], GcMuScheduler.class)).isInstanceOf(MalformedCaptureException.class)
                 .hasMessageContaining("and this module reads only " + codec.schema());
     }
 
-    /** State that a snapshot would leave out must not go unnoticed: a module that has some is refused before it runs. */
+    /** A module with state that a snapshot would omit is rejected before it runs. */
     @Test
-    void whatASnapshotDoesNotKnowIsToldAndNotLeftOut() {
-        assertThatThrownBy(() -> new StateCodec(WithParent.class)).hasMessageContaining("may have state in its superclass");
+    void unsupportedStateIsRejected() {
+        assertThatThrownBy(() -> new StateCodec(WithSuperclass.class)).hasMessageContaining("may have state in its superclass");
         assertThatThrownBy(() -> new StateCodec(WithRandom.class).write(new WithRandom()))
                 .isInstanceOf(IllegalStateException.class).hasMessage("unsupported class in a module's state: java.util.Random");
     }
 }
 
-final class WithParent extends ArrayList<String> {
+final class WithSuperclass extends ArrayList<String> {
     private static final long serialVersionUID = 1;
 }
 
--- a/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
@@ -131,7 +131,7 @@
         assertThat(replay.out()).contains("broken-rules=0");
         Said explain = command("explain", captures, "--request", firstRequest(replay));
         assertThat(explain.code()).as(explain.out()).isZero();
-        assertThat(explain.out()).contains("is taken: class ", "goes to engine ", "* engine ", "ended after ");
+        assertThat(explain.out()).contains(" received: class ", "is sent to engine ", "* engine ", "ended after ");
         assertThat(command("explain", captures, "--engine", "s-1").out()).contains(" for lookup: takes work");
         assertThat(command("explain", captures).code()).isEqualTo(2);
         assertThat(command("explain", captures, "--request", 999_999).code()).isEqualTo(1);
