--- a/capture/src/test/java/quincespar/capture/ExplainerTest.java
+++ b/capture/src/test/java/quincespar/capture/ExplainerTest.java
@@ -47,15 +47,15 @@
         }
         assertThat(sends).isGreaterThan(1000);
         assertThat(explained).isEqualTo(sends);
-        assertThat(verdicts).containsKeys("chosen", "a lower figure", "it drains", "shunned for",
-                "its bound is full, or its report says so", "cold for");
+        assertThat(verdicts).containsKeys("chosen", "a lower score", "it drains", "ejected for",
+                "its thread limit is reached, or its report says that it is full", "cold for");
     }
 
     private static void check(DecisionExplainer.Choice c, Map<String, Integer> verdicts) {
         EngineView chosen = c.engines().stream().filter(v -> v.engine() == c.chosen()).findFirst().orElseThrow();
         assertThat(chosen.verdict()).as("%s", c).isEqualTo("chosen");
         for (EngineView v : c.engines()) {
-            verdicts.merge(v.verdict().replaceAll("(shunned for|cold for|: ).*", "$1").replace(": ", ""), 1, Integer::sum);
+            verdicts.merge(v.verdict().replaceAll("(ejected for|cold for|: ).*", "$1").replace(": ", ""), 1, Integer::sum);
             if (!Double.isNaN(v.score())) {
                 assertThat(v.score()).as("%s", c).isLessThanOrEqualTo(1.0101 * chosen.score());
             }
@@ -81,7 +81,7 @@
                 explained++;
                 assertThat(lines.get(0)).contains("request " + id + " received");
                 String all = String.join("\n", lines);
-                for (String word : List.of("* engine", "chosen", "a lower figure", "ended after", "it drains", "shunned",
+                for (String word : List.of("* engine", "chosen", "a lower score", "ended after", "it drains", "ejected",
                         "is cancelled", "reports on attempt", "is refused", ", target ")) {
                     if (all.contains(word)) {
                         seen.add(word);
@@ -90,7 +90,7 @@
             }
         }
         assertThat(explained).isEqualTo(58);
-        assertThat(seen).contains("* engine", "chosen", "a lower figure", "ended after", "shunned", "reports on attempt",
+        assertThat(seen).contains("* engine", "chosen", "a lower score", "ended after", "ejected", "reports on attempt",
                 "is cancelled", "is refused", ", target ");
         assertThat(new Explainer(captures, l -> { }).explainRequest(captures.segmentNames(), 99_999)).isFalse();
     }
--- a/decision/src/main/java/quincespar/decision/DecisionExplainer.java
+++ b/decision/src/main/java/quincespar/decision/DecisionExplainer.java
@@ -15,36 +15,50 @@
 import quincespar.decision.SchedulerState.Query;
 
 /**
- * Why a module chose as it did, for people: what it knew of each engine at the moment of a choice, and what ruled out the
- * others. It looks into a module of its own, made of a captured state, and decides nothing; a module that serves is never
- * handed to it, so what is not asked costs nothing.
+ * Explains the choices of a scheduler to operators: what it knew of each engine at the moment of a choice,
+ * and what excluded the others. It examines a scheduler of its own, restored from a captured state, and
+ * decides nothing; it is never given a scheduler that serves, so explanations cost nothing unless they are
+ * asked for.
  */
 public final class DecisionExplainer {
-    /** What was left of the cold allowance is found in this many halvings. */
+    /** Bisection steps in which the remaining cold allowance is found. */
     private static final int BISECTION_STEPS = 30;
 
     /**
-     * What was known of an engine for a class. Times are milliseconds; {@code reportAge} is NaN where it has told nothing,
-     * {@code report} is load for each core; {@code meanTime} is the learned time of the class there; {@code retryIn} is
-     * how long it stays shunned, NaN where it is not; {@code coldLeft} is the work that it may still get within the span,
-     * NaN where it is warm. {@code figure} is the index after all that speaks for the engine, NaN where it was ruled out;
-     * {@code verdict} says by what.
+     * What was known of an engine for a class.
+     *
+     * @param reportAge ms since its last report; NaN if there was none
+     * @param reportedLoad load per core by that report
+     * @param meanTime learned service time of the class there, in ms
+     * @param threads threads of this router's running attempts
+     * @param sharedLimit whether its thread limit is shared with other engines
+     * @param retryIn ms until it is tried again; NaN if it is not ejected
+     * @param coldWorkLeft work that it may still get within the window; NaN if it is not cold
+     * @param score the index multiplied by the preference for the engine; NaN if it was excluded
+     * @param verdict why it was chosen or not
      */
-    public record EngineView(long engine, EngineState state, double reportAge, double reportedLoad, double meanTime, int threads,
-            double threadLimit, boolean sharedLimit, double retryIn, double coldWorkLeft, double score, String verdict) { }
+    public record EngineView(long engine, EngineState state, double reportAge, double reportedLoad,
+            double meanTime, int threads, double threadLimit, boolean sharedLimit, double retryIn,
+            double coldWorkLeft, double score, String verdict) { }
 
-    /** One choice: which request, its class, age and expected time, the attempts before, and all engines. */
-    public record Choice(long request, String requestClass, double age, double expected, int attempt, long chosen,
-            List<EngineView> engines) { }
+    /**
+     * One choice: the request, its class, age and expected time, its number of earlier attempts, and all
+     * engines.
+     */
+    public record Choice(long request, String requestClass, double age, double expected, int attempt,
+            long chosen, List<EngineView> engines) { }
 
     private final GcMuScheduler scheduler;
 
-    /** Looks into this module, which must not be used for anything else: looking changes it. */
-    public DecisionExplainer(GcMuScheduler brain) {
-        this.scheduler = brain;
+    /** Examines this scheduler, which must not be used for anything else: examining changes it. */
+    public DecisionExplainer(GcMuScheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
-    /** The choices that this call makes, of a module in the state before it; {@code actions} is what it answered. */
+    /**
+     * The choices made by one call, given the scheduler in the state before it and the actions that it
+     * returned.
+     */
     public List<Choice> choices(double time, List<Event> events, List<Action> actions) {
         runUpToFirstChoice(time, events);
         List<Choice> out = new ArrayList<>();
@@ -52,7 +66,8 @@
             Query query = a instanceof Scheduler.SendAttempt s ? scheduler.queries.get(s.id()) : null;
             EngineNode chosen = a instanceof Scheduler.SendAttempt s ? scheduler.nodes.get(s.engine()) : null;
             if (query != null && query.queue != null && chosen != null) {
-                out.add(new Choice(query.id, query.spec.name(), scheduler.now - query.agedFrom, scheduler.expectedTime(query), query.sendCount, chosen.engine.id(),
+                out.add(new Choice(query.id, query.spec.name(), scheduler.now - query.agedFrom,
+                        scheduler.expectedTime(query), query.sendCount, chosen.engine.id(),
                         views(query, chosen)));
                 scheduler.send(query, chosen);
             }
@@ -60,22 +75,25 @@
         return out;
     }
 
-    /** What is known of each engine for each class, after a module's last call. */
+    /** What is known of each engine for each class after the last call, by the name of the class. */
     public Map<String, List<EngineView>> engines() {
         Map<String, List<EngineView>> out = new LinkedHashMap<>();
         for (ClassStats stats : scheduler.classStats) {
             if (stats.band == 0 && !stats.dropped) {
-                out.put(stats.spec.name(), scheduler.nodes.values().stream().map(node -> view(node, stats, Double.NaN,
-                        Objects.requireNonNullElse(reasonAgainstClass(node, stats), "takes work"))).toList());
+                out.put(stats.spec.name(), scheduler.nodes.values().stream()
+                        .map(node -> view(node, stats, Double.NaN,
+                                Objects.requireNonNullElse(reasonAgainstClass(node, stats), "takes work")))
+                        .toList());
             }
         }
         return out;
     }
 
-    /** As a call goes up to its first choice. */
+    /** Does what a call does up to its first choice. */
     private void runUpToFirstChoice(double time, List<Event> events) {
         scheduler.actions = new ArrayList<>();
-        scheduler.stalled = scheduler.timerDueAt > scheduler.now && time > scheduler.timerDueAt + 3 * scheduler.baseInterval;
+        scheduler.stalled = scheduler.timerDueAt > scheduler.now
+                && time > scheduler.timerDueAt + 3 * scheduler.baseInterval;
         scheduler.now = Math.max(scheduler.now, time);
         events.forEach(scheduler::handle);
         if (scheduler.now >= scheduler.nextSupervisionAt) {
@@ -96,20 +114,26 @@
                 reason = "request " + candidates.get(node).id + " of its queue goes there first";
             }
             long randomState = scheduler.random.state;
-            double score = reason == null ? scheduler.index(query.queue, query, node) * scheduler.preference(query, node) : Double.NaN;
-            scheduler.random.state = randomState; // the same for all, so that figures compare
-            out.add(view(node, stats, score, reason != null ? reason : node == chosen ? "chosen" : "a lower figure"));
+            double score = reason == null
+                    ? scheduler.index(query.queue, query, node) * scheduler.preference(query, node)
+                    : Double.NaN;
+            scheduler.random.state = randomState; // the same for all, so that scores can be compared
+            out.add(view(node, stats, score,
+                    reason != null ? reason : node == chosen ? "chosen" : "a lower score"));
         }
         return out;
     }
 
-    /** For each engine the request of this queue that was looked at there: the one before stays while it may go. */
+    /**
+     * For each engine the request of this queue that was considered there: one is kept while it may be sent.
+     */
     private Map<EngineNode, Query> candidatesByEngine(Query chosen) {
         Map<EngineNode, Query> out = new HashMap<>();
         Query query = null;
         for (EngineNode node : scheduler.nodes.values()) {
             if (reasonAgainstClass(node, chosen.queue.stats) == null) {
-                if (query == null || !scheduler.maySend(query, node) || scheduler.wouldWaitForLoad(query, node)) {
+                if (query == null || !scheduler.maySend(query, node)
+                        || scheduler.wouldWaitForLoad(query, node)) {
                     query = scheduler.firstEligible(chosen.queue, node);
                 }
                 out.put(node, query);
@@ -118,19 +142,22 @@
         return out;
     }
 
-    /** What keeps all requests of a kind from an engine; null where nothing does. */
+    /** What excludes an engine for all requests of a class; null if nothing does. */
     private String reasonAgainstClass(EngineNode node, ClassStats stats) {
         if (node.engine.state() != EngineState.READY) {
             return node.engine.state() == EngineState.DRAINING ? "it drains" : "it is gone";
         }
-        if (scheduler.allLimitsShared && !scheduler.hasRoom(scheduler.sharedLimit, stats) && !scheduler.hasRoomBeyondSharedLimit(node)) {
-            return limitText("the bound of all engines is full", node);
+        if (scheduler.allLimitsShared && !scheduler.hasRoom(scheduler.sharedLimit, stats)
+                && !scheduler.hasRoomBeyondSharedLimit(node)) {
+            return limitText("the thread limit of all engines is reached", node);
         }
         if (!scheduler.hasRoom(node, stats)) {
-            return node.isEjected() ? format("shunned for %.0f ms, tried again in %.0f ms", scheduler.now - node.ejectedAt,
-                    node.retryAt - scheduler.now) : limitText("its bound is full, or its report says so", node);
+            return node.isEjected() ? format("ejected for %.0f ms, tried again in %.0f ms",
+                    scheduler.now - node.ejectedAt, node.retryAt - scheduler.now)
+                    : limitText("its thread limit is reached, or its report says that it is full", node);
         }
-        return scheduler.coldAllowanceLeft(scheduler.classStats[stats.classIndex * 2], node) ? null : format("cold for %.0f ms, and its allowance is used up",
+        return scheduler.coldAllowanceLeft(scheduler.classStats[stats.classIndex * 2], node) ? null
+                : format("cold for %.0f ms, and its allowance is used up",
                 scheduler.now - node.engine.startedAt());
     }
 
@@ -138,7 +165,7 @@
         return format(text + ": %d of %.1f threads", node.limit.threads, node.limit.maxThreads);
     }
 
-    /** What keeps this request from an engine that is open to its kind; null where nothing does. */
+    /** What excludes an engine for this request, if nothing does for its class; null if nothing does. */
     private String reasonAgainstQuery(Query query, EngineNode node) {
         if (!scheduler.isAllowedPlace(query, node)) {
             return "its class does not go there";
@@ -156,13 +183,15 @@
 
     private EngineView view(EngineNode node, ClassStats stats, double score, String verdict) {
         boolean reported = !Double.isNaN(node.reportedLoad);
-        return new EngineView(node.engine.id(), node.engine.state(), reported ? scheduler.now - node.reportedAt : Double.NaN, node.reportedLoad,
-                1 / scheduler.serviceRate(stats, node), node.threads, node.limit.maxThreads, node.limit == scheduler.sharedLimit,
-                node.isEjected() ? node.retryAt - scheduler.now : Double.NaN, scheduler.isCold(node) ? coldWorkLeft(node, stats) : Double.NaN, score,
-                verdict);
+        return new EngineView(node.engine.id(), node.engine.state(),
+                reported ? scheduler.now - node.reportedAt : Double.NaN, node.reportedLoad,
+                1 / scheduler.serviceRate(stats, node), node.threads, node.limit.maxThreads,
+                node.limit == scheduler.sharedLimit,
+                node.isEjected() ? node.retryAt - scheduler.now : Double.NaN,
+                scheduler.isCold(node) ? coldWorkLeft(node, stats) : Double.NaN, score, verdict);
     }
 
-    /** Found by asking the guard itself for ever finer amounts, as if so much more had been sent. */
+    /** Finds the remaining allowance by bisection, asking the guard as if that much more had been sent. */
     private double coldWorkLeft(EngineNode node, ClassStats stats) {
         double low = 0;
         double high = 1e7;
