--- a/fleet/src/main/java/quincespar/recovery/ClassTraits.java
+++ b/fleet/src/main/java/quincespar/recovery/ClassTraits.java
@@ -1,12 +1,12 @@
 package quincespar.recovery;
 
 /**
- * What a return needs to know of a class of requests.
+ * What recovery needs to know of a class of requests.
  *
- * @param name as operators know it
- * @param repeatable whether a request may run more than once
- * @param load whether it writes
- * @param worth of one that is answered in time
- * @param aimMs how quickly it is to be answered: what is cheap is wanted soon
+ * @param name its name, as operators know it
+ * @param repeatable whether a request may be executed more than once
+ * @param load whether its requests write tables
+ * @param worth the value of a request that is answered in time
+ * @param targetLatencyMs how quickly a request should be answered; classes with a lower one are admitted earlier
  */
 public record ClassTraits(String name, boolean repeatable, boolean load, double worth, double targetLatencyMs) { }
--- a/fleet/src/main/java/quincespar/recovery/DurableFact.java
+++ b/fleet/src/main/java/quincespar/recovery/DurableFact.java
@@ -1,97 +1,103 @@
 package quincespar.recovery;
 
 /**
- * What a front end believes of what it finds from before the loss, fact by fact. A fact is used as {@link #handling} says and in no other way;
- * each line of that table has its test in {@code TrustTest}.
+ * The kinds of facts that a front end may find from before a loss of power, and how far it trusts each. A fact is used only as
+ * {@link #handling} says.
  */
 public enum DurableFact {
-    /** What the fleet has agreed on, incarnations and other numbers that only rise: kept by a majority's logs, not by this file. */
-    REPLICATED_STATE(TrustLevel.CERTAIN, "a majority had it on disk before anyone was told"),
-    /** That a load may have run: it was forced out before the load was sent. */
-    LOAD_STARTED(TrustLevel.CERTAIN, "a load goes out only once this is on disk"),
-    /** That an engine drained or was gone: it stays so until the change log tells of a later start. */
-    ENGINE_DEPARTED(TrustLevel.FAIL_SAFE, "taking nothing new there can't be wrong, only slow; the change log's numbers begin anew with each of"
-            + " its starts, so an engine's own start tells old news from new"),
-    /** What was learned of engines' rates, costs and bounds. */
-    LEARNED_ESTIMATES(TrustLevel.HINT, "true of engines as they were; never a reason to send more to one that may be cold"),
+    /**
+     * The fleet's replicated state, with incarnations and other numbers that only rise; in the logs of a quorum, not in the
+     * journal.
+     */
+    REPLICATED_STATE(TrustLevel.CERTAIN, "a quorum had it on disk before it was acknowledged"),
+    /** That a load may have run; persisted before the load is sent. */
+    LOAD_STARTED(TrustLevel.CERTAIN, "a load is sent only once this is on disk"),
+    /** That an engine had drained or was gone; it stays so until the change log reports a later start. */
+    ENGINE_DEPARTED(TrustLevel.FAIL_SAFE, "to send nothing new there costs throughput only; the change log's event numbers"
+            + " restart with it, so an engine's start time tells old events from new ones"),
+    /** Learned estimates of the engines' rates, costs and limits. */
+    LEARNED_ESTIMATES(TrustLevel.HINT, "true of the engines as they were; never a reason to send more to one that may be cold"),
     /** That an engine was warm. */
-    ENGINE_WARM(TrustLevel.UNTRUSTED, "what takes the power from here may take it from there; a cold engine that is taken for warm falls over"),
-    /** That an engine was well. */
-    ENGINE_HEALTHY(TrustLevel.UNTRUSTED, "the first answers show it, for a few requests"),
-    /** What was open at engines. */
-    OPEN_REQUESTS(TrustLevel.UNTRUSTED, "its clients have gone; loads are in the list of doubts"),
-    /** The time on the clock. */
-    CLOCK_TIME(TrustLevel.UNTRUSTED, "it may have stepped while nobody looked: waits count from this start, times are for people to read");
+    ENGINE_WARM(TrustLevel.UNTRUSTED, "a loss of power here may have hit the engine too; a cold engine that is taken for warm is"
+            + " overloaded"),
+    /** That an engine was healthy. */
+    ENGINE_HEALTHY(TrustLevel.UNTRUSTED, "the first few answers show it"),
+    /** The requests that were open at the engines. */
+    OPEN_REQUESTS(TrustLevel.UNTRUSTED, "their clients are gone; loads are in the list of doubtful loads"),
+    /** The wall clock's time. */
+    CLOCK_TIME(TrustLevel.UNTRUSTED, "it may have stepped: waits are counted from this start, and times are for people to read");
 
-    /** How far a fact from before is believed. */
+    /** How far a fact from before the loss is trusted. */
     public enum TrustLevel {
-        /** As it stands. */
+        /** As it is. */
         CERTAIN,
-        /** Where being wrong costs work and breaks nothing. */
+        /** As it is, because an error only costs throughput. */
         FAIL_SAFE,
-        /** As a first guess, which what is seen replaces. */
+        /** As an initial estimate, which observations replace. */
         HINT,
         /** Not at all. */
         UNTRUSTED
     }
 
-    /** How the folder was found. */
+    /** The condition in which the folder was found. */
     public enum FolderCondition {
         /** As this instance left it. */
         WHOLE,
-        /** There is none, or it is empty. */
+        /** Missing or empty. */
         LOST,
-        /** A copy of before: what came after it is missing. */
+        /** An older copy: what was written after it is missing. */
         OLD,
-        /** Its bytes are not what was written, from some place on. */
+        /** Corrupt from some position on. */
         CORRUPT,
-        /** It is another instance's. */
+        /** It belongs to another instance. */
         ANOTHERS
     }
 
     /** What is done with a fact. */
     public enum Handling {
-        /** It is taken as it stands. */
+        /** It is used as it is. */
         USED,
-        /** It is taken, and operators are told that some may be missing. */
+        /** It is used, and operators are told that some of it may be missing. */
         USED_PARTIALLY,
-        /** It is not taken; service goes on as after a first start, and operators are told that it is missing. */
+        /** It is not used; service goes on as after a first start, and operators are told that it is missing. */
         MISSING,
-        /** It is never taken from a folder. */
+        /** It is never read from a folder. */
         NEVER_USED
     }
 
-    private final TrustLevel belief;
+    private final TrustLevel trustLevel;
     private final String reason;
 
-    DurableFact(TrustLevel belief, String reason) {
-        this.belief = belief;
+    DurableFact(TrustLevel trustLevel, String reason) {
+        this.trustLevel = trustLevel;
         this.reason = reason;
     }
 
-    /** How far it is believed. */
+    /** How far it is trusted. */
     public TrustLevel trustLevel() {
-        return belief;
+        return trustLevel;
     }
 
-    /** Why. */
+    /** Why it is trusted so far. */
     public String reason() {
         return reason;
     }
 
     /**
-     * What is done with this fact where the folder was found so. What is left of a list of drained engines or of loads in doubt errs
-     * to the safe side, so a part is better than nothing; a hint from a folder that is not whole is none; of another's nothing is taken, as
-     * its loads are its own to tell and may be told twice.
+     * What is done with this fact if the folder was found in that condition. The remaining part of a list of drained engines
+     * or of doubtful loads is fail-safe, so a part is better than nothing. Hints from a folder that is not whole are not
+     * used. Nothing is used of another instance's folder: that instance reports its loads itself, and they would be reported
+     * twice.
      */
-    public Handling handling(FolderCondition found) {
-        if (belief == TrustLevel.UNTRUSTED || this == REPLICATED_STATE) { // what is agreed comes from the fleet, never from this file
+    public Handling handling(FolderCondition condition) {
+        // the replicated state comes from the fleet, never from the journal
+        if (trustLevel == TrustLevel.UNTRUSTED || this == REPLICATED_STATE) {
             return Handling.NEVER_USED;
         }
-        return switch (found) {
+        return switch (condition) {
             case WHOLE -> Handling.USED;
             case LOST, ANOTHERS -> Handling.MISSING;
-            case OLD, CORRUPT -> belief == TrustLevel.HINT ? Handling.MISSING : Handling.USED_PARTIALLY;
+            case OLD, CORRUPT -> trustLevel == TrustLevel.HINT ? Handling.MISSING : Handling.USED_PARTIALLY;
         };
     }
 }
--- a/fleet/src/main/java/quincespar/recovery/JournalEntry.java
+++ b/fleet/src/main/java/quincespar/recovery/JournalEntry.java
@@ -2,7 +2,7 @@
 
 import quincespar.records.StoredNames;
 
-/** One line of what an instance keeps of its work for the time after a loss, in the order in which it happened. */
+/** An entry of the journal in which an instance records, in order, what it must know after a loss of power. */
 public sealed interface JournalEntry {
     /** The stored names of entries and their components, where the code has other names; for each codec of entries. */
     StoredNames STORED_NAMES = StoredNames.none()
@@ -21,38 +21,39 @@
             .type(EngineReturned.class, "Back");
 
     /**
-     * A process begins: what is open before it is in doubt from here on.
+     * A process starts. Loads that were open before are in doubt from here on.
      *
-     * @param owner the instance that the file belongs to
-     * @param number rises with each process on this folder
+     * @param owner the name of the instance that the journal belongs to
+     * @param processNumber rises with each process that uses the folder
      */
     record ProcessStarted(String owner, long processNumber) implements JournalEntry { }
 
     /**
      * A load may run from now on.
      *
-     * @param txn the client's name for it
-     * @param cls its class
-     * @param team who sent it
-     * @param digest of its statement, to be compared by staff
-     * @param tables the group of tables that it writes, 0 where none is known
+     * @param txn the client's id of the load
+     * @param requestClass the name of its class
+     * @param team the team that sent it
+     * @param statementDigest a digest of its statement, for operators to compare
+     * @param tableGroup the group of tables that it writes, 0 if none is known
      * @param limitMs how long it may run after it was sent, in milliseconds
-     * @param at when it came, in Unix milliseconds by a clock that may step: for people to read
+     * @param startedAtUnixMs when it came, in Unix milliseconds; of a clock that may step, so only for people to read
      */
-    record LoadStarted(String txn, String requestClass, String team, String statementDigest, int tableGroup, double limitMs, long startedAtUnixMs) implements JournalEntry { }
+    record LoadStarted(String txn, String requestClass, String team, String statementDigest, int tableGroup, double limitMs,
+            long startedAtUnixMs) implements JournalEntry { }
 
-    /** It was handed to an engine. */
+    /** A load was sent to an engine. */
     record LoadSent(String txn, String engine) implements JournalEntry { }
 
-    /** Its client was told how it ended, or was told that nobody knows. */
+    /** The client was told the outcome of its load, or that the outcome is unknown. */
     record LoadEnded(String txn) implements JournalEntry { }
 
-    /** Staff have looked into a load that was in doubt. */
+    /** An operator has resolved a load in doubt. */
     record LoadAcknowledged(String txn) implements JournalEntry { }
 
-    /** An engine drains or has gone; {@code startedAt} is its start as the change log told it, 0 where it did not. */
+    /** An engine drains or is gone; {@code startedAt} is its start according to the change log, 0 if that has none. */
     record EngineDeparted(String engine, double startedAt) implements JournalEntry { }
 
-    /** That engine takes work again, or is forgotten. */
+    /** A departed engine takes work again, or is forgotten. */
     record EngineReturned(String engine) implements JournalEntry { }
 }
--- a/fleet/src/main/java/quincespar/recovery/Recovery.java
+++ b/fleet/src/main/java/quincespar/recovery/Recovery.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
@@ -14,413 +15,447 @@
 import quincespar.fleet.Standing;
 
 /**
- * One front end's way back. It takes what the folder holds, what the fleet says, what the change log tells, and time, and answers what is to be
- * done; asked, it says which requests may go now and when others may, which engines take nothing yet, and from when all count as cold.
+ * One front end's recovery after a loss of power, as a state machine. It takes the contents of the folder, the fleet's state,
+ * the change log's engines and the time, and returns the actions to carry out. It tells which requests may be sent now and
+ * when others may, which engines take no work yet, and from when an engine counts as cold.
  *
- * <p>It errs to the safe side: until it is certain that others stood through what this process did not, every engine may be cold and every
- * configured front end may be sending to it. Times are milliseconds on one clock that never runs backwards and is not that of the loss.
+ * <p>It is fail-safe: until it is certain that another instance kept running through the loss, every engine may be cold and
+ * every configured front end may be sending to it. Times are milliseconds of one monotonic clock, which is not the one of
+ * before the loss.
  */
 public final class Recovery {
-    /** Where it stands; the order is that of a return. */
+    /** The phase of a recovery, in the order in which they are passed. */
     public enum Phase {
-        /** Reads what it has kept. Nothing goes out, as drained engines and loads in doubt are not known. */
+        /** Reads the journal. Nothing is sent, because drained engines and loads in doubt are not known yet. */
         READING,
-        /** Looks for a majority of the fleet. The first class goes. */
+        /** Waits for a quorum of the fleet. Only the first class is sent. */
         FINDING,
-        /** Looks whether others stood through it. The first class goes. */
+        /** Finds out whether other instances kept running through the loss. Only the first class is sent. */
         AGREEING,
-        /** Waits for the change log's first whole answer. The first class goes. */
+        /** Waits for the change log's first complete answer. Only the first class is sent. */
         PROBING,
-        /** One class after the other goes. */
+        /** Admits one class after the other. */
         RETURNING,
-        /** All go, but loads on tables that a load in doubt may still hold. */
+        /** Everything is sent, except loads on tables that a load in doubt may still be writing. */
         FULL
     }
 
     /** What is to be done. */
     public sealed interface Action {
-        /** Call {@link Recovery#timerFired} with this number after a while. */
+        /** Call {@link Recovery#timerFired} with this id after the delay. */
         record StartTimer(long timerId, double delayMs) implements Action { }
 
-        /** Ask the fleet for what is agreed now; {@link Recovery#fleetStateRead} is told. */
+        /** Read the fleet's replicated state and call {@link Recovery#fleetStateRead}. */
         record ReadFleetState() implements Action { }
 
-        /** Keep this. */
+        /** Persist this entry in the journal. */
         record Persist(JournalEntry entry) implements Action { }
 
-        /** Tell operators. */
+        /** Log a message for operators. */
         record Log(String message) implements Action { }
 
-        /** Which engines count as cold, or take nothing, has changed: the list is to be told anew. */
+        /** Evaluate the list of engines again: which of them count as cold, or take no work, has changed. */
         record RefreshEngineList() implements Action { }
     }
 
-    /** From where a list of engines came. */
+    /** Where information about an engine comes from. */
     public enum ListSource {
-        /** The configuration, or the change log's first whole answer: it may be older than what this instance has kept. */
+        /** The configuration, or the change log's first complete answer; may be older than the journal. */
         SNAPSHOT,
-        /** News that came while the change log was followed. */
+        /** An event received while following the change log. */
         UPDATE
     }
 
-    /** An engine that nobody here has reached yet counts as started so long after this process, in milliseconds: it stays cold. */
+    /** An engine that was never reached counts as started so long after this process, so that it stays cold. */
     static final double UNREACHED_COLD_MS = 3_600_000;
 
-    private final RecoveryTimeouts pace;
+    /** Spreads the bits of a hash code; 2^32 divided by the golden ratio. */
+    private static final int HASH_MULTIPLIER = 0x9E3779B9;
+    private static final int RETRY_SPREAD_STEPS = 1000;
+
+    private final RecoveryTimeouts timeouts;
     private final String self;
-    private final boolean fleet;
-    private RecoveryState kept = RecoveryState.replay(List.of());
+    private final boolean hasFleet;
+    private RecoveryState state = RecoveryState.replay(List.of());
     private Phase phase = Phase.READING;
-    private String line = "";
-    private List<Action> acts = new ArrayList<>();
+    private String statusLine = "";
+    private List<Action> actions = new ArrayList<>();
     private List<ClassTraits> classes;
-    private List<Integer> order;
-    private final Map<Integer, Double> heldUntil = new HashMap<>();
-    /** The engines that the list has as taking work, and when each started. */
-    private final Map<String, Double> up = new HashMap<>();
-    /** When each engine was first seen to stand in this life: one that is reached late may have had its power back late. */
-    private final Map<String, Double> metAt = new HashMap<>();
-    private final Set<String> told = new HashSet<>();
+    /** Indexes of the classes in the order of their admission. */
+    private List<Integer> admissionOrder;
+    /** Until when a table group may still be written by a load in doubt. */
+    private final Map<Integer, Double> tablesHeldUntil = new HashMap<>();
+    /** When each engine that the list shows as taking work has started. */
+    private final Map<String, Double> listedEngines = new HashMap<>();
+    /** When this process first connected to each engine: one that is reached late may have got its power back late. */
+    private final Map<String, Double> connectedAt = new HashMap<>();
+    /** Withheld engines that have been logged. */
+    private final Set<String> loggedWithheld = new HashSet<>();
     private double startedAt;
     private double coldFrom;
     private double phaseUntil;
-    private int open;
-    private long number;
-    private long awaited;
-    private boolean alone;
-    private boolean answered;
+    /** How many classes of the admission order are admitted. */
+    private int openClasses;
+    private long lastTimerId;
+    private long phaseTimer;
+    private boolean withoutQuorum;
+    private boolean changeLogAnswered;
+    /** When this instance joined the fleet, in agreed time; negative before that is known. */
     private long joinedAt = -1;
 
     /**
-     * For one process.
+     * Creates the recovery of one process.
      *
      * @param self this instance's name
-     * @param fleet whether there is a fleet to ask
+     * @param hasFleet whether a fleet is configured
      */
-    public Recovery(RecoveryTimeouts pace, String self, boolean fleet, List<ClassTraits> classes) {
-        this.pace = pace;
+    public Recovery(RecoveryTimeouts timeouts, String self, boolean hasFleet, List<ClassTraits> classes) {
+        this.timeouts = timeouts;
         this.self = self;
-        this.fleet = fleet;
+        this.hasFleet = hasFleet;
         setClasses(classes);
     }
 
-    /** These classes are in force: what is cheap and may be repeated goes first, by worth; loads last. */
+    /** Sets the classes in force. Repeatable classes are admitted first, by latency target and then by worth; loads come last. */
     public void setClasses(List<ClassTraits> inForce) {
         classes = List.copyOf(inForce);
-        order = IntStream.range(0, classes.size()).boxed().sorted(Comparator
+        admissionOrder = IntStream.range(0, classes.size()).boxed().sorted(Comparator
                 .comparing((Integer c) -> classes.get(c).load() || !classes.get(c).repeatable())
                 .thenComparing(c -> classes.get(c).targetLatencyMs())
                 .thenComparing(c -> -classes.get(c).worth())).toList();
-        open = phase == Phase.FULL ? order.size() : Math.min(open, order.size());
+        openClasses = phase == Phase.FULL ? admissionOrder.size() : Math.min(openClasses, admissionOrder.size());
     }
 
     /**
-     * The first step. A process that starts {@code beside} an older one of the same name, as in an upgrade, follows no loss.
+     * Starts the recovery.
+     *
+     * @param upgrade whether the process was started beside an older one of the same name, so that there was no loss of power
      */
-    public List<Action> start(double now, boolean beside) {
+    public List<Action> start(double now, boolean upgrade) {
         startedAt = now;
-        coldFrom = beside ? 0 : now;
-        if (beside) {
-            full("it was started beside a process that serves");
+        coldFrom = upgrade ? 0 : now;
+        if (upgrade) {
+            enterFull("it was started beside a process that serves");
         } else {
-            enter(now, Phase.READING, pace.readTimeoutMs(), "reads what it has kept");
+            enter(now, Phase.READING, timeouts.readTimeoutMs(), "reads what it has kept");
         }
-        return taken();
+        return takeActions();
     }
 
     /**
-     * What the folder holds. Late, when the time for it was over, it counts all the same, as all that is taken of it errs to the safe side.
+     * The journal was read. If that comes after the time limit it still counts, because everything that is taken from it is
+     * fail-safe.
      *
-     * @param why it was found so, for operators; empty where it is whole
+     * @param why the reason for the condition, for operators; empty if the folder is whole
      */
-    public List<Action> folderRead(double now, DurableFact.FolderCondition found, List<JournalEntry> entries, String why) {
-        DurableFact.Handling doubts = DurableFact.LOAD_STARTED.handling(found);
-        RecoveryState meanwhile = kept;
-        kept = RecoveryState.replay(doubts == DurableFact.Handling.MISSING ? List.of() : entries);
-        keep(new JournalEntry.ProcessStarted(self, kept.lastProcess().processNumber() + 1));
-        meanwhile.compactedEntries().stream().filter(e -> !(e instanceof JournalEntry.ProcessStarted)).forEach(this::keep);
-        if (found != DurableFact.FolderCondition.WHOLE) {
-            acts.add(new Action.Log("its folder is " + found.name().toLowerCase(java.util.Locale.ROOT) + (why.isEmpty() ? "" : ": " + why)
-                    + (doubts == DurableFact.Handling.MISSING ? "; no list of loads in doubt or of drained engines from before" : "; loads in doubt and"
-                    + " drained engines may be missing from its lists")));
+    public List<Action> folderRead(double now, DurableFact.FolderCondition condition, List<JournalEntry> entries, String why) {
+        DurableFact.Handling loads = DurableFact.LOAD_STARTED.handling(condition);
+        RecoveryState meanwhile = state;
+        state = RecoveryState.replay(loads == DurableFact.Handling.MISSING ? List.of() : entries);
+        apply(new JournalEntry.ProcessStarted(self, state.lastProcess().processNumber() + 1));
+        meanwhile.compactedEntries().stream().filter(e -> !(e instanceof JournalEntry.ProcessStarted)).forEach(this::apply);
+        if (condition != DurableFact.FolderCondition.WHOLE) {
+            actions.add(new Action.Log("its folder is " + condition.name().toLowerCase(Locale.ROOT)
+                    + (why.isEmpty() ? "" : ": " + why) + (loads == DurableFact.Handling.MISSING
+                    ? "; the doubtful loads and drained engines of before are not known"
+                    : "; its lists of doubtful loads and drained engines may be incomplete")));
         }
-        for (RecoveryState.Load l : kept.doubtfulLoads()) {
-            heldUntil.merge(l.start().tableGroup(), startedAt + l.start().limitMs(), Math::max);
+        for (RecoveryState.Load load : state.doubtfulLoads()) {
+            tablesHeldUntil.merge(load.start().tableGroup(), startedAt + load.start().limitMs(), Math::max);
         }
-        if (!kept.doubtfulLoads().isEmpty()) {
-            acts.add(new Action.Log(kept.doubtfulLoads().size() + " loads may have run before the loss, see 'quincespar fleet doubtful'"));
+        if (!state.doubtfulLoads().isEmpty()) {
+            actions.add(new Action.Log(state.doubtfulLoads().size()
+                    + " loads may have run before the loss; 'quincespar fleet doubtful' lists them"));
         }
-        if (up.keySet().stream().anyMatch(this::isWithheld)) {
-            acts.add(new Action.RefreshEngineList());
+        if (listedEngines.keySet().stream().anyMatch(this::isWithheld)) {
+            actions.add(new Action.RefreshEngineList());
         }
-        up.keySet().forEach(this::tell);
+        listedEngines.keySet().forEach(this::logIfWithheld);
         if (phase == Phase.READING) {
-            find(now);
+            findQuorum(now);
         }
-        return taken();
+        return takeActions();
     }
 
-    private void find(double now) {
-        if (fleet) {
-            enter(now, Phase.FINDING, pace.majorityTimeoutMs(), "looks for a majority of the fleet");
+    private void findQuorum(double now) {
+        if (hasFleet) {
+            enter(now, Phase.FINDING, timeouts.majorityTimeoutMs(), "looks for a majority of the fleet");
         } else {
-            alone = true;
-            probe(now);
+            withoutQuorum = true;
+            awaitChangeLog(now);
         }
     }
 
-    private void probe(double now) {
-        if (answered) {
-            step(now);
+    private void awaitChangeLog(double now) {
+        if (changeLogAnswered) {
+            admitNextClass(now);
         } else {
-            enter(now, Phase.PROBING, pace.changeLogTimeoutMs(), "waits for the change log");
+            enter(now, Phase.PROBING, timeouts.changeLogTimeoutMs(), "waits for the change log");
         }
     }
 
     /** The view of the fleet has changed. */
     public List<Action> fleetChanged(double now, FleetView view) {
-        if (view.quorumReachable() && alone && fleet) {
-            alone = false;
-            acts.add(new Action.Log("hears a majority"));
+        if (view.quorumReachable() && withoutQuorum && hasFleet) {
+            withoutQuorum = false;
+            actions.add(new Action.Log("is in contact with a quorum"));
         }
         if (phase == Phase.FINDING && view.quorumReachable()) {
-            enter(now, Phase.AGREEING, pace.agreementTimeoutMs(), "asks whether others stood through it");
-            acts.add(new Action.ReadFleetState());
+            enter(now, Phase.AGREEING, timeouts.agreementTimeoutMs(), "asks whether others stood through it");
+            actions.add(new Action.ReadFleetState());
         }
-        return taken();
+        return takeActions();
     }
 
     /**
-     * What is agreed now, or null where nobody could say. Whoever has served for long and has renewed its session since this instance
-     * joined has stood through what this process did not; where all that are known came back as this one did, none has.
+     * The fleet's replicated state was read; null if no quorum answered. An instance that has served for long and has renewed
+     * its session since this one joined kept running through the loss. If all known instances have restarted as this one did,
+     * none did.
      */
-    public List<Action> fleetStateRead(double now, Snapshot s) {
+    public List<Action> fleetStateRead(double now, Snapshot snapshot) {
         if (phase != Phase.AGREEING) {
-            return taken();
+            return takeActions();
         }
-        Instance me = s == null ? null : s.instances().stream().filter(i -> i.name().equals(self)).findFirst().orElse(null);
-        if (me == null) {
-            acts.add(new Action.ReadFleetState());
-            return taken();
+        Instance own = snapshot == null ? null
+                : snapshot.instances().stream().filter(i -> i.name().equals(self)).findFirst().orElse(null);
+        if (own == null) {
+            actions.add(new Action.ReadFleetState());
+            return takeActions();
         }
-        joinedAt = joinedAt < 0 ? s.time() : joinedAt;
-        List<Instance> others = s.instances().stream().filter(i -> !i.name().equals(self) && i.standing().isActive()).toList();
-        String stood = others.stream().filter(i -> i.standing() == Standing.SERVING && i.renewedAt() > joinedAt
-                && s.time() - i.standingSince() >= pace.survivedAfterMs()).map(Instance::name).findFirst().orElse("");
-        if (!stood.isEmpty()) {
-            full(stood + " has served all the time");
-        } else if (others.stream().allMatch(i -> i.incarnation() > me.incarnation() || s.time() - i.standingSince() < pace.survivedAfterMs())) {
-            acts.add(new Action.Log("all others that are known came back as this one did"));
-            probe(now);
+        joinedAt = joinedAt < 0 ? snapshot.time() : joinedAt;
+        List<Instance> others = snapshot.instances().stream()
+                .filter(i -> !i.name().equals(self) && i.standing().isActive()).toList();
+        String survivor = others.stream().filter(i -> i.standing() == Standing.SERVING && i.renewedAt() > joinedAt
+                && snapshot.time() - i.standingSince() >= timeouts.survivedAfterMs()).map(Instance::name).findFirst().orElse("");
+        if (!survivor.isEmpty()) {
+            enterFull(survivor + " has served all the time");
+        } else if (others.stream().allMatch(i -> i.incarnation() > own.incarnation()
+                || snapshot.time() - i.standingSince() < timeouts.survivedAfterMs())) {
+            actions.add(new Action.Log("all other known instances have restarted, as this one has"));
+            awaitChangeLog(now);
         } else {
-            acts.add(new Action.ReadFleetState());
+            actions.add(new Action.ReadFleetState());
         }
-        return taken();
+        return takeActions();
     }
 
-    /** The change log has answered whole for the first time. */
+    /** The change log has given its first complete answer. */
     public List<Action> changeLogAnswered(double now) {
-        answered = true;
+        changeLogAnswered = true;
         if (phase == Phase.PROBING) {
-            step(now);
+            admitNextClass(now);
         }
-        return taken();
+        return takeActions();
     }
 
-    /** A wait is over: what the phase waited for did not come. */
-    public List<Action> timerFired(double now, long of) {
-        if (of != awaited) {
-            return taken();
+    /** A timer has fired: the time limit of the current phase is over. */
+    public List<Action> timerFired(double now, long timerId) {
+        if (timerId != phaseTimer) {
+            return takeActions();
         }
         switch (phase) {
             case READING -> {
-                acts.add(new Action.Log("what it has kept could not be read in time"));
-                find(now);
+                actions.add(new Action.Log("timed out reading its journal"));
+                findQuorum(now);
             }
             case FINDING -> {
-                alone = true;
-                acts.add(new Action.Log("hears of no majority: it serves alone by what is certain"));
-                probe(now);
+                withoutQuorum = true;
+                actions.add(new Action.Log("timed out waiting for a quorum; it serves alone, by what is certain"));
+                awaitChangeLog(now);
             }
             case AGREEING -> {
-                acts.add(new Action.Log("nobody is known to have stood through it: all engines count as cold"));
-                probe(now);
+                actions.add(new Action.Log("no instance is known to have kept running; all engines count as cold"));
+                awaitChangeLog(now);
             }
             case PROBING -> {
-                acts.add(new Action.Log("the change log is silent: it serves by the list that it has"));
-                step(now);
+                actions.add(new Action.Log("timed out waiting for the change log; it serves by the list of engines that it has"));
+                admitNextClass(now);
             }
-            case RETURNING -> step(now);
+            case RETURNING -> admitNextClass(now);
             case FULL -> { }
         }
-        return taken();
+        return takeActions();
     }
 
-    /** The next class goes; after the last the return is over. */
-    private void step(double now) {
-        open = phase == Phase.RETURNING ? open + 1 : 1;
-        if (open >= order.size()) {
-            full("all classes go");
+    /** Admits the next class; after the last one the recovery is complete. */
+    private void admitNextClass(double now) {
+        openClasses = phase == Phase.RETURNING ? openClasses + 1 : 1;
+        if (openClasses >= admissionOrder.size()) {
+            enterFull("all classes go");
         } else {
-            enter(now, Phase.RETURNING, pace.classIntervalMs(), "sends " + name(open - 1) + (open == 1 ? "" : " and what went before") + ", next "
-                    + name(open));
+            enter(now, Phase.RETURNING, timeouts.classIntervalMs(), "sends " + className(openClasses - 1)
+                    + (openClasses == 1 ? "" : " and what went before") + ", next " + className(openClasses));
         }
     }
 
-    private String name(int place) {
-        return classes.get(order.get(place)).name();
+    private String className(int place) {
+        return classes.get(admissionOrder.get(place)).name();
     }
 
-    private void full(String why) {
-        if (why.endsWith("all the time")) { // others have sent to these engines meanwhile: they are as warm as the change log says
+    private void enterFull(String why) {
+        // others have sent to these engines in the meantime: they are as warm as the change log says
+        if (why.endsWith("all the time")) {
             coldFrom = 0;
-            metAt.clear();
-            acts.add(new Action.RefreshEngineList());
+            connectedAt.clear();
+            actions.add(new Action.RefreshEngineList());
         }
         phase = Phase.FULL;
-        open = order.size();
-        awaited = 0;
-        say(why);
+        openClasses = admissionOrder.size();
+        phaseTimer = 0;
+        setStatus(why);
     }
 
-    private void enter(double now, Phase next, double longestMs, String what) {
+    private void enter(double now, Phase next, double timeoutMs, String status) {
         phase = next;
-        open = next == Phase.READING ? 0 : Math.max(1, open);
-        awaited = ++number;
-        phaseUntil = now + longestMs;
-        acts.add(new Action.StartTimer(awaited, longestMs));
-        say(what);
+        openClasses = next == Phase.READING ? 0 : Math.max(1, openClasses);
+        phaseTimer = ++lastTimerId;
+        phaseUntil = now + timeoutMs;
+        actions.add(new Action.StartTimer(phaseTimer, timeoutMs));
+        setStatus(status);
     }
 
-    private void say(String what) {
-        line = what;
-        acts.add(new Action.Log(phase + ": " + what));
+    private void setStatus(String status) {
+        statusLine = status;
+        actions.add(new Action.Log(phase + ": " + status));
     }
 
     /**
-     * Milliseconds until a request of that class may go, 0 where it may now. An honest guess: the class's own turn in this return, and for a
-     * load the time until none in doubt can hold its tables any more.
+     * Milliseconds until a request of that class may be sent, 0 if it may now. An estimate: the time until its class is
+     * admitted and, for a load, until no load in doubt can be writing its tables any more.
      */
-    public double waitMs(double now, int cls, int tables) {
+    public double waitMs(double now, int cls, int tableGroup) {
         boolean load = cls < classes.size() && classes.get(cls).load();
-        double held = load ? Math.max(0, heldUntil.getOrDefault(tables, 0.0) - now) : 0;
+        double held = load ? Math.max(0, tablesHeldUntil.getOrDefault(tableGroup, 0.0) - now) : 0;
         if (phase == Phase.FULL) {
             return held;
         }
-        int place = order.indexOf(cls);
-        if (place >= 0 && place < open) {
+        int place = admissionOrder.indexOf(cls);
+        if (place >= 0 && place < openClasses) {
             return held;
         }
-        double stages = switch (phase) {
-            case READING -> 1 + pace.majorityTimeoutMs() / 2 + pace.agreementTimeoutMs() / 2;
-            case FINDING -> pace.agreementTimeoutMs() / 2;
+        double laterPhases = switch (phase) {
+            case READING -> 1 + timeouts.majorityTimeoutMs() / 2 + timeouts.agreementTimeoutMs() / 2;
+            case FINDING -> timeouts.agreementTimeoutMs() / 2;
             default -> 0;
         };
-        return Math.max(held, Math.max(1, phaseUntil - now) + stages + Math.max(0, place - Math.max(open, 1)) * pace.classIntervalMs());
+        return Math.max(held, Math.max(1, phaseUntil - now) + laterPhases
+                + Math.max(0, place - Math.max(openClasses, 1)) * timeouts.classIntervalMs());
     }
 
-    /** A wait as one client is told it: spread by the request's own name, so that those turned away don't return in one wave. */
+    /** The wait that a client is told: spread by the request's id, so that refused clients do not retry all at once. */
     public double retryAfterMs(double waitMs, String txn) {
-        return waitMs + Math.floorMod(txn.hashCode() * 0x9E3779B9, 1000) / 1000.0 * pace.retrySpreadMs();
+        return waitMs + Math.floorMod(txn.hashCode() * HASH_MULTIPLIER, RETRY_SPREAD_STEPS) / (double) RETRY_SPREAD_STEPS
+                * timeouts.retrySpreadMs();
     }
 
-    /** Whether anything may be sent: before that this front end is not ready. */
+    /** Whether anything may be sent; until then this front end is not ready. */
     public boolean maySend() {
-        return open > 0;
+        return openClasses > 0;
     }
 
-    /** What the change log, or the configuration, says of an engine that takes work or no longer does. */
-    public List<Action> engineListed(ListSource from, String id, boolean takes, double started) {
-        if (!takes) {
-            up.remove(id);
-            keep(new JournalEntry.EngineDeparted(id, started));
+    /**
+     * The change log, or the configuration, has reported an engine.
+     *
+     * @param takesWork whether it takes work
+     * @param engineStartedAt when it started according to the change log, 0 if that is not known
+     */
+    public List<Action> engineListed(ListSource source, String id, boolean takesWork, double engineStartedAt) {
+        if (!takesWork) {
+            listedEngines.remove(id);
+            apply(new JournalEntry.EngineDeparted(id, engineStartedAt));
         } else {
-            up.put(id, started);
-            if (kept.departure(id) != null && (from == ListSource.UPDATE || started > kept.departure(id).startedAt())) {
-                keep(new JournalEntry.EngineReturned(id));
+            listedEngines.put(id, engineStartedAt);
+            if (state.departure(id) != null
+                    && (source == ListSource.UPDATE || engineStartedAt > state.departure(id).startedAt())) {
+                apply(new JournalEntry.EngineReturned(id));
             }
-            tell(id);
+            logIfWithheld(id);
         }
-        return taken();
+        return takeActions();
     }
 
-    private void tell(String id) {
-        if (isWithheld(id) && told.add(id)) {
-            acts.add(new Action.Log("engine " + id + " takes nothing: it drained or was gone before the loss, and the list that has it may be"
-                    + " older"));
+    private void logIfWithheld(String id) {
+        if (isWithheld(id) && loggedWithheld.add(id)) {
+            actions.add(new Action.Log("engine " + id + " takes no work: it had drained or was gone before the loss, and the list"
+                    + " that has it may be older"));
         }
     }
 
-    /** Whether an engine that the list has as taking work gets none all the same. */
+    /** Whether an engine gets no work although the list shows it as taking work. */
     public boolean isWithheld(String id) {
-        return kept.departure(id) != null && up.containsKey(id);
+        return state.departure(id) != null && listedEngines.containsKey(id);
     }
 
-    /** A connection to an engine has come up: it stands, and may have its power back only just now. */
+    /** A connection to an engine was established; the engine may have got its power back only just now. */
     public List<Action> engineConnected(double now, String id) {
-        if (coldFrom > 0 && metAt.putIfAbsent(id, now) == null) {
-            acts.add(new Action.RefreshEngineList());
+        if (coldFrom > 0 && connectedAt.putIfAbsent(id, now) == null) {
+            actions.add(new Action.RefreshEngineList());
         }
-        return taken();
+        return takeActions();
     }
 
     /**
-     * From when on an engine counts as just started, by the reducer's clock: the change log's word, or when this process first reached it.
-     * That this process has run for a while says nothing of an engine whose power came back later.
+     * From when an engine counts as just started, by the reducer's clock: its start according to the change log, or when this
+     * process first connected to it if that is later. How long this process has run says nothing of an engine whose power
+     * came back later.
      */
-    public double coldFrom(String id, double started) {
-        return coldFrom == 0 ? started : Math.max(started, metAt.getOrDefault(id, coldFrom + UNREACHED_COLD_MS));
+    public double coldFrom(String id, double engineStartedAt) {
+        return coldFrom == 0 ? engineStartedAt
+                : Math.max(engineStartedAt, connectedAt.getOrDefault(id, coldFrom + UNREACHED_COLD_MS));
     }
 
-    /** A load may run once this is kept. */
-    public JournalEntry.LoadStarted loadStarted(String txn, int cls, String team, String digest, int tables, double limitMs, long at) {
-        return new JournalEntry.LoadStarted(txn, classes.get(cls).name(), team, digest, tables, limitMs, at);
+    /** The entry to persist before a load may run. */
+    public JournalEntry.LoadStarted loadStarted(String txn, int cls, String team, String statementDigest, int tableGroup,
+            double limitMs, long startedAtUnixMs) {
+        return new JournalEntry.LoadStarted(txn, classes.get(cls).name(), team, statementDigest, tableGroup, limitMs,
+                startedAtUnixMs);
     }
 
-    /** Takes an entry; the acts say whether it is to be kept. */
-    public List<Action> recordEntry(JournalEntry e) {
-        keep(e);
-        return taken();
+    /** Applies an entry; the returned actions persist it if it changes anything. */
+    public List<Action> recordEntry(JournalEntry entry) {
+        apply(entry);
+        return takeActions();
     }
 
-    private void keep(JournalEntry e) {
-        if (kept.apply(e)) {
-            acts.add(new Action.Persist(e));
+    private void apply(JournalEntry entry) {
+        if (state.apply(entry)) {
+            actions.add(new Action.Persist(entry));
         }
     }
 
-    /** Whether a load of that name is in doubt, so that staff can say that they have looked into it. */
+    /** Whether a load of that id is in doubt and may be acknowledged. */
     public boolean isDoubtful(String txn) {
-        return kept.doubtfulLoads().stream().anyMatch(l -> l.start().txn().equals(txn));
+        return state.doubtfulLoads().stream().anyMatch(load -> load.start().txn().equals(txn));
     }
 
-    /** What is kept. */
+    /** The state that the journal should hold. */
     public RecoveryState state() {
-        return kept;
+        return state;
     }
 
-    /** What is known now, for whoever asks. */
+    /** The current status of the recovery. */
     public View view(double now) {
-        return new View(phase, line, alone, IntStream.range(0, open).mapToObj(this::name).toList(), kept.doubtfulLoads().size(),
-                (int) up.keySet().stream().filter(this::isWithheld).count(),
+        return new View(phase, statusLine, withoutQuorum, IntStream.range(0, openClasses).mapToObj(this::className).toList(),
+                state.doubtfulLoads().size(), (int) listedEngines.keySet().stream().filter(this::isWithheld).count(),
                 coldFrom, now - startedAt);
     }
 
     /**
-     * Where a return stands.
+     * The status of a recovery.
      *
-     * @param sends the classes that go
-     * @param doubtful how many loads are in doubt
-     * @param withheld how many listed engines take nothing
-     * @param coldFrom since when engines count as started at the least, 0 where the change log's word counts
-     * @param ageMs since the start, in milliseconds
+     * @param withoutQuorum whether it goes on without a quorum of the fleet
+     * @param openClasses the names of the classes that are admitted
+     * @param doubtfulLoads how many loads are in doubt
+     * @param withheldEngines how many listed engines get no work
+     * @param coldFrom the earliest time from which engines count as just started, 0 if the change log's start times count
+     * @param uptimeMs since the start, in milliseconds
      */
-    public record View(Phase phase, String statusLine, boolean withoutQuorum, List<String> openClasses, int doubtfulLoads, int withheldEngines, double coldFrom,
-            double uptimeMs) { }
+    public record View(Phase phase, String statusLine, boolean withoutQuorum, List<String> openClasses, int doubtfulLoads,
+            int withheldEngines, double coldFrom, double uptimeMs) { }
 
-    private List<Action> taken() {
-        List<Action> out = acts;
-        acts = new ArrayList<>();
+    private List<Action> takeActions() {
+        List<Action> out = actions;
+        actions = new ArrayList<>();
         return out;
     }
 }
--- a/fleet/src/main/java/quincespar/recovery/RecoveryState.java
+++ b/fleet/src/main/java/quincespar/recovery/RecoveryState.java
@@ -6,21 +6,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the entries of a file come to; the same entries give the same, and {@link #compactedEntries} are the fewest that do. One thread uses it. */
+/**
+ * The state that a sequence of journal entries amounts to. Equal entries give equal states, and {@link #compactedEntries} are the
+ * fewest entries that give this one. Not thread-safe.
+ */
 public final class RecoveryState {
-    /** Loads in doubt that are listed at the most; beyond it the oldest go, and are counted. */
+    /** The most loads in doubt that are kept; beyond it the oldest are dropped and counted. */
     static final int MAX_DOUBTFUL_LOADS = 10_000;
-    /** Engines that have left and are remembered; beyond it the longest ago are forgotten. */
+    /** The most departed engines that are kept; beyond it the one added first is forgotten. */
     static final int MAX_DEPARTED_ENGINES = 4096;
 
     /**
-     * A load that may run, or may have.
+     * A load that is running, or may have run.
      *
-     * @param engine where it was sent, empty where that is not known
+     * @param engine the engine that it was sent to, empty if that is not known
      */
     public record Load(JournalEntry.LoadStarted start, String engine) {
-        /** Its entries. */
-        private void into(List<JournalEntry> out) {
+        private void addEntriesTo(List<JournalEntry> out) {
             out.add(start);
             if (!engine.isEmpty()) {
                 out.add(new JournalEntry.LoadSent(start.txn(), engine));
@@ -28,98 +30,98 @@
         }
     }
 
-    private final Map<String, Load> open = new LinkedHashMap<>();
-    private final Map<String, Load> doubtful = new LinkedHashMap<>();
-    private final Map<String, JournalEntry.EngineDeparted> left = new LinkedHashMap<>();
-    private JournalEntry.ProcessStarted life = new JournalEntry.ProcessStarted("", 0);
-    private long forgotten;
+    private final Map<String, Load> openLoads = new LinkedHashMap<>();
+    private final Map<String, Load> doubtfulLoads = new LinkedHashMap<>();
+    private final Map<String, JournalEntry.EngineDeparted> departures = new LinkedHashMap<>();
+    private JournalEntry.ProcessStarted lastProcess = new JournalEntry.ProcessStarted("", 0);
+    private long droppedLoads;
 
-    /** What these entries come to. */
+    /** The state that these entries amount to. */
     public static RecoveryState replay(List<JournalEntry> entries) {
         RecoveryState out = new RecoveryState();
         entries.forEach(out::apply);
         return out;
     }
 
-    /** Takes the next entry; false where it changes nothing, so that it need not be kept. */
-    public boolean apply(JournalEntry e) {
-        if (e instanceof JournalEntry.ProcessStarted x) {
-            life = x;
-            doubtful.putAll(open);
-            open.clear();
-            bound();
+    /** Applies the next entry; false if it changes nothing, so that it need not be persisted. */
+    public boolean apply(JournalEntry entry) {
+        if (entry instanceof JournalEntry.ProcessStarted process) {
+            lastProcess = process;
+            doubtfulLoads.putAll(openLoads);
+            openLoads.clear();
+            dropOldestDoubtful();
             return true;
-        } else if (e instanceof JournalEntry.LoadStarted x) {
-            open.put(x.txn(), new Load(x, ""));
+        } else if (entry instanceof JournalEntry.LoadStarted start) {
+            openLoads.put(start.txn(), new Load(start, ""));
             return true;
-        } else if (e instanceof JournalEntry.LoadSent x) {
-            return open.computeIfPresent(x.txn(), (txn, l) -> new Load(l.start(), x.engine())) != null;
-        } else if (e instanceof JournalEntry.LoadEnded x) {
-            return open.remove(x.txn()) != null;
-        } else if (e instanceof JournalEntry.LoadAcknowledged x) {
-            return doubtful.remove(x.txn()) != null;
-        } else if (e instanceof JournalEntry.EngineDeparted x) {
-            return departure(x);
+        } else if (entry instanceof JournalEntry.LoadSent sent) {
+            return openLoads.computeIfPresent(sent.txn(), (txn, load) -> new Load(load.start(), sent.engine())) != null;
+        } else if (entry instanceof JournalEntry.LoadEnded ended) {
+            return openLoads.remove(ended.txn()) != null;
+        } else if (entry instanceof JournalEntry.LoadAcknowledged acknowledged) {
+            return doubtfulLoads.remove(acknowledged.txn()) != null;
+        } else if (entry instanceof JournalEntry.EngineDeparted departed) {
+            return addDeparture(departed);
         }
-        return left.remove(((JournalEntry.EngineReturned) e).engine()) != null;
+        return departures.remove(((JournalEntry.EngineReturned) entry).engine()) != null;
     }
 
-    private boolean departure(JournalEntry.EngineDeparted x) {
-        JournalEntry.EngineDeparted before = left.get(x.engine());
-        if (before != null && before.startedAt() >= x.startedAt()) {
+    private boolean addDeparture(JournalEntry.EngineDeparted departed) {
+        JournalEntry.EngineDeparted before = departures.get(departed.engine());
+        if (before != null && before.startedAt() >= departed.startedAt()) {
             return false;
         }
-        left.put(x.engine(), x);
-        if (left.size() > MAX_DEPARTED_ENGINES) {
-            left.remove(left.keySet().iterator().next());
+        departures.put(departed.engine(), departed);
+        if (departures.size() > MAX_DEPARTED_ENGINES) {
+            departures.remove(departures.keySet().iterator().next());
         }
         return true;
     }
 
-    private void bound() {
-        while (doubtful.size() > MAX_DOUBTFUL_LOADS) {
-            doubtful.remove(doubtful.keySet().iterator().next());
-            forgotten++;
+    private void dropOldestDoubtful() {
+        while (doubtfulLoads.size() > MAX_DOUBTFUL_LOADS) {
+            doubtfulLoads.remove(doubtfulLoads.keySet().iterator().next());
+            droppedLoads++;
         }
     }
 
-    /** The process that the file was last written by. */
+    /** The process that last wrote the journal. */
     public JournalEntry.ProcessStarted lastProcess() {
-        return life;
+        return lastProcess;
     }
 
-    /** Loads of this life that have not ended. */
+    /** How many loads of the current process have not ended. */
     public int openLoads() {
-        return open.size();
+        return openLoads.size();
     }
 
-    /** Loads of earlier lives of which nobody knows whether they ran, until staff have looked into them. */
+    /** Loads of earlier processes that may or may not have run and that no operator has acknowledged yet. */
     public Collection<Load> doubtfulLoads() {
-        return List.copyOf(doubtful.values());
+        return List.copyOf(doubtfulLoads.values());
     }
 
-    /** Loads in doubt that had to be dropped from the list, as it was full. */
+    /** How many loads in doubt were dropped because the list was full. */
     public long droppedLoads() {
-        return forgotten;
+        return droppedLoads;
     }
 
-    /** An engine that drained or was gone, null where it did not leave. */
+    /** The departure of an engine that has drained or is gone, null if it has not departed. */
     public JournalEntry.EngineDeparted departure(String engine) {
-        return left.get(engine);
+        return departures.get(engine);
     }
 
-    /** How many engines are remembered to have left. */
+    /** How many departed engines are kept. */
     public int departedEngines() {
-        return left.size();
+        return departures.size();
     }
 
-    /** The fewest entries that come to this. */
+    /** The fewest entries that give this state. */
     public List<JournalEntry> compactedEntries() {
         List<JournalEntry> out = new ArrayList<>();
-        doubtful.values().forEach(l -> l.into(out));
-        out.add(life);
-        open.values().forEach(l -> l.into(out));
-        out.addAll(left.values());
+        doubtfulLoads.values().forEach(load -> load.addEntriesTo(out));
+        out.add(lastProcess);
+        openLoads.values().forEach(load -> load.addEntriesTo(out));
+        out.addAll(departures.values());
         return out;
     }
 }
--- a/fleet/src/main/java/quincespar/recovery/RecoveryTimeouts.java
+++ b/fleet/src/main/java/quincespar/recovery/RecoveryTimeouts.java
@@ -1,15 +1,16 @@
 package quincespar.recovery;
 
 /**
- * How long each step of a return may last, in milliseconds; at its end the next one begins with what is known then.
+ * Time limits of the phases of a recovery, in milliseconds. At the end of its limit a phase gives way to the next one, with what
+ * is known by then.
  *
- * @param readingMs for the folder
- * @param findingMs for a majority of the fleet
- * @param agreeingMs until it is certain that all were lost, or that some stood
- * @param probingMs for the change log's first whole answer
- * @param stepMs between one class of requests and the next
- * @param spreadMs over which clients that are turned away come back
- * @param stoodMs whoever has served for so long, in agreed time, has stood through what this instance has not
+ * @param readTimeoutMs for reading the folder
+ * @param majorityTimeoutMs for reaching a quorum of the fleet
+ * @param agreementTimeoutMs for deciding whether another instance kept running through the loss
+ * @param changeLogTimeoutMs for the change log's first complete answer
+ * @param classIntervalMs between the admission of one class of requests and the next
+ * @param retrySpreadMs the interval over which the retries of refused clients are spread
+ * @param survivedAfterMs an instance that has served for at least so long, in agreed time, kept running through the loss
  */
-public record RecoveryTimeouts(double readTimeoutMs, double majorityTimeoutMs, double agreementTimeoutMs, double changeLogTimeoutMs, double classIntervalMs, double retrySpreadMs,
-        double survivedAfterMs) { }
+public record RecoveryTimeouts(double readTimeoutMs, double majorityTimeoutMs, double agreementTimeoutMs,
+        double changeLogTimeoutMs, double classIntervalMs, double retrySpreadMs, double survivedAfterMs) { }
--- a/fleet/src/main/java/quincespar/recovery/package-info.java
+++ b/fleet/src/main/java/quincespar/recovery/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How a front end comes back after a loss of power, alone or with its whole fleet: what it believes of what it finds, and in which order it
- * serves again. Pure: what is on disk, what others say and time go in, a phase, permissions and acts come out. Knows the fleet's agreed state.
+ * How a front end recovers after a loss of power, alone or with its whole fleet: which facts on its disk it trusts, and in which
+ * order it admits requests again. Pure: the contents of the disk, the fleet's state, the change log and the time go in; a phase,
+ * permissions and actions come out. Knows the fleet's replicated state.
  */
 package quincespar.recovery;
--- a/fleet/src/main/java/quincespar/store/Disk.java
+++ b/fleet/src/main/java/quincespar/store/Disk.java
@@ -2,40 +2,40 @@
 
 import java.io.IOException;
 
-/** Files of one folder. Everything that a disk can refuse comes as an {@link IOException} with a plain message. */
+/** The files of one folder. Whatever the disk refuses is thrown as an {@link IOException} with a one-line message. */
 public interface Disk extends AutoCloseable {
 
-    /** Takes the folder for this process, until {@link #close} or its end; false where another process has it. */
+    /** Locks the folder for this process until {@link #close} or its end; false if another process holds the lock. */
     boolean lock() throws IOException;
 
-    /** A file's bytes, null where there is no such file. */
+    /** The contents of a file, null if there is no such file. */
     byte[] read(String name) throws IOException;
 
     /**
-     * Replaces a file whole: after it returns the new bytes are there after a loss of power; after it throws, either the
-     * old or the new ones are.
+     * Replaces a file atomically and durably: after it returns, the new contents survive a loss of power; after it throws, the
+     * file has either the old or the new contents.
      */
     void replace(String name, byte[] bytes) throws IOException;
 
-    /** A file that is written at its end. */
+    /** A file that is open for appending. */
     interface Appender extends AutoCloseable {
-        /** Adds bytes; after it throws, any first part of them may be there. */
+        /** Appends bytes; after it throws, any prefix of them may have been written. */
         void write(byte[] bytes) throws IOException;
 
-        /** After it returns, what was added is there after a loss of power. */
+        /** Forces the file to disk: after it returns, what was appended survives a loss of power. */
         void force() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** Opens a file to add to it, made where it is missing. */
+    /** Opens a file for appending, and creates it if it is missing. */
     Appender openForAppend(String name) throws IOException;
 
-    /** Bytes that are free for files of this folder. */
+    /** The bytes that are free for files of this folder. */
     long freeBytes() throws IOException;
 
-    /** Bytes that all files of the folder and below hold. */
+    /** The total size of all files in the folder and its subfolders, in bytes. */
     long usedBytes() throws IOException;
 
     @Override
--- a/fleet/src/main/java/quincespar/store/FolderDisk.java
+++ b/fleet/src/main/java/quincespar/store/FolderDisk.java
@@ -13,14 +13,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.stream.Stream;
 
-/** A folder of the file system, made where it is missing. */
+/** A folder of the file system, created if it is missing. */
 public class FolderDisk implements Disk {
     private static final String LOCK = "lock", NEXT = ".next";
 
     private final Path folder;
     private FileChannel lock;
 
-    /** The folder is not touched before the first call. */
+    /** Does not touch the folder yet. */
     public FolderDisk(Path folder) {
         this.folder = folder;
     }
@@ -35,14 +35,14 @@
                     lock = c;
                     return true;
                 }
-            } catch (OverlappingFileLockException e) { // another part of this process has it
+            } catch (OverlappingFileLockException e) { // this process holds the lock already
                 c.close();
                 return false;
             }
             c.close();
             return false;
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
     }
 
@@ -53,7 +53,7 @@
         } catch (NoSuchFileException e) {
             return null;
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
     }
 
@@ -66,27 +66,27 @@
             while (b.hasRemaining()) {
                 c.write(b);
             }
-            c.force(true); // before the name: else the name may be there after a loss of power and the bytes not
+            c.force(true); // before the rename: else the new name, but not the contents, may survive a loss of power
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
         Files.move(next, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel c = FileChannel.open(folder, StandardOpenOption.READ)) {
-            c.force(true); // the name itself
+            c.force(true); // makes the rename durable
         }
     }
 
     @Override
     public Appender openForAppend(String name) throws IOException {
         try {
-            return new End(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+            return new FileAppender(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                     StandardOpenOption.APPEND));
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
     }
 
-    private record End(FileChannel file) implements Appender {
+    private record FileAppender(FileChannel file) implements Appender {
         @Override
         public void write(byte[] bytes) throws IOException {
             ByteBuffer b = ByteBuffer.wrap(bytes);
@@ -123,7 +123,7 @@
     private static long size(Path file) {
         try {
             return Files.size(file);
-        } catch (NoSuchFileException e) { // dropped meanwhile
+        } catch (NoSuchFileException e) { // deleted in the meantime
             return 0;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -138,8 +138,8 @@
         }
     }
 
-    /** The library's message is the path alone. */
-    private static IOException plain(FileSystemException e) {
+    /** Adds the reason, because the message of the exception has only the path. */
+    private static IOException withReason(FileSystemException e) {
         return new IOException(e.getFile() + ": " + (e.getReason() == null ? e.getClass().getSimpleName() : e.getReason()), e);
     }
 }
--- a/fleet/src/main/java/quincespar/store/Journal.java
+++ b/fleet/src/main/java/quincespar/store/Journal.java
@@ -8,38 +8,40 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records in one file, each behind its length and CRC32C, appended in groups and rewritten whole when it has grown. What {@link #append} has
- * returned from is there after a loss of power. One thread uses it.
+ * A write-ahead log in one file. Each record is preceded by its length and CRC32C; records are appended in groups, and the file
+ * is rewritten as a whole to compact it. What {@link #append} has returned from survives a loss of power. Not thread-safe.
  */
 public final class Journal implements AutoCloseable {
-    private static final int HEAD = 2 * Integer.BYTES, LONGEST = 1 << 20;
+    private static final int HEADER_BYTES = 2 * Integer.BYTES;
+    private static final int MAX_RECORD_BYTES = 1 << 20;
+    private static final String BACKUP_SUFFIX = "-spoilt";
 
-    /** How a file was found. */
+    /** The condition in which the file was found. */
     public enum Condition {
-        /** There was none. */
+        /** There is no file. */
         MISSING,
-        /** As it was written. */
+        /** All records are as they were written. */
         INTACT,
-        /** Its last record is not whole: nobody was told that it was there. */
+        /** The last record is incomplete: its write was never acknowledged. */
         TORN,
-        /** A record in its midst is not what was written; those before it are given. */
+        /** A record before the last is corrupt; the records before it are returned. */
         CORRUPT
     }
 
-    /** What was found. */
+    /** The contents of the file. */
     public record Contents(Condition condition, List<byte[]> records) { }
 
     private final Disk disk;
     private final String name;
     private Disk.Appender file;
 
-    /** The file of that name; nothing is read or written yet. */
+    /** Does not read or write the file yet. */
     public Journal(Disk disk, String name) {
         this.disk = disk;
         this.name = name;
     }
 
-    /** What the file holds. */
+    /** Reads the file. */
     public Contents read() throws IOException {
         byte[] all = disk.read(name);
         return all == null ? new Contents(Condition.MISSING, List.of()) : parse(all);
@@ -50,30 +52,31 @@
         ByteBuffer in = ByteBuffer.wrap(all);
         while (in.remaining() > 0) {
             int at = in.position();
-            int length = in.remaining() < HEAD ? -1 : in.getInt();
-            int sum = length < 0 ? 0 : in.getInt();
-            boolean whole = length >= 0 && length <= LONGEST && length <= in.remaining();
-            byte[] record = new byte[whole ? length : 0];
+            int length = in.remaining() < HEADER_BYTES ? -1 : in.getInt();
+            int checksum = length < 0 ? 0 : in.getInt();
+            boolean complete = length >= 0 && length <= MAX_RECORD_BYTES && length <= in.remaining();
+            byte[] record = new byte[complete ? length : 0];
             in.get(record);
-            if (!whole || sum != sum(record)) {
-                // a write that was cut off ends the file; a record that is followed by another was whole once
-                return new Contents(whole && in.remaining() > 0 || isSpoiltLength(all, at) ? Condition.CORRUPT : Condition.TORN, out);
+            if (!complete || checksum != checksum(record)) {
+                // an interrupted write is at the end of the file; a record that another one follows was complete once
+                boolean corrupt = complete && in.remaining() > 0 || intactRecordFollows(all, at);
+                return new Contents(corrupt ? Condition.CORRUPT : Condition.TORN, out);
             }
             out.add(record);
         }
         return new Contents(Condition.INTACT, out);
     }
 
-    /** Whether somewhere behind {@code at} a whole record stands: then the one at {@code at} was once written whole too. */
-    private static boolean isSpoiltLength(byte[] all, int at) {
-        for (int i = at + 1; i + HEAD < all.length; i++) {
+    /** Whether an intact record follows anywhere after {@code at}; then the one at {@code at} was complete once, too. */
+    private static boolean intactRecordFollows(byte[] all, int at) {
+        for (int i = at + 1; i + HEADER_BYTES < all.length; i++) {
             ByteBuffer b = ByteBuffer.wrap(all, i, all.length - i);
             int length = b.getInt();
-            int sum = b.getInt();
+            int checksum = b.getInt();
             if (length > 0 && length <= b.remaining()) {
                 byte[] record = new byte[length];
                 b.get(record);
-                if (sum == sum(record)) {
+                if (checksum == checksum(record)) {
                     return true;
                 }
             }
@@ -81,7 +84,7 @@
         return false;
     }
 
-    private static int sum(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
@@ -90,28 +93,28 @@
     private static byte[] frames(List<byte[]> records) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] r : records) {
-            out.writeBytes(ByteBuffer.allocate(HEAD).putInt(r.length).putInt(sum(r)).array());
+            out.writeBytes(ByteBuffer.allocate(HEADER_BYTES).putInt(r.length).putInt(checksum(r)).array());
             out.writeBytes(r);
         }
         return out.toByteArray();
     }
 
-    /** Keeps a copy of the file as it is, beside it: what is spoilt may still be of use to people. */
+    /** Copies the file as it is to a backup beside it, for people to look at. */
     public void backUp() throws IOException {
         byte[] all = disk.read(name);
         if (all != null) {
-            disk.replace(name + "-spoilt", all);
+            disk.replace(name + BACKUP_SUFFIX, all);
         }
     }
 
-    /** Replaces the file by these records, whole; after it throws, either the old ones or these are there. */
+    /** Replaces the file atomically by these records; after it throws, it has either the old records or these. */
     public void rewrite(List<byte[]> records) throws IOException {
         close();
         disk.replace(name, frames(records));
         file = disk.openForAppend(name);
     }
 
-    /** Adds a group of records, forced out once; after it throws, any first part of them may be there. */
+    /** Appends a group of records with one force to disk; after it throws, any prefix of them may have been written. */
     public void append(List<byte[]> records) throws IOException {
         if (file == null) {
             file = disk.openForAppend(name);
--- a/fleet/src/main/java/quincespar/store/StateFolder.java
+++ b/fleet/src/main/java/quincespar/store/StateFolder.java
@@ -9,28 +9,30 @@
 import quincespar.records.StoredNames;
 
 /**
- * The facts that an instance keeps for itself: who its folder is, and the last incarnation that it was given. A fact counts
- * as kept only once {@link #persist} has returned. One thread uses it.
+ * An instance's durable facts: the identity of its folder, and the last incarnation that it was assigned. They are durable only
+ * once {@link #persist} has returned. Not thread-safe.
  */
 public final class StateFolder implements AutoCloseable {
     /** The file that holds the facts. */
     static final String FACTS = "facts";
-    /** The file that holds the mark: a number that rises while the folder is in use. */
+    /** The file that holds the mark: a counter that rises while the folder is in use, by which an older copy is detected. */
     static final String MARK = "mark";
-    /** The form of that file; a reader refuses one that it does not know. */
+    /** The format version of the facts; a reader refuses any that it does not know. */
     static final int FORMAT = 1;
 
     /**
-     * What is kept.
+     * The contents of the facts file.
      *
-     * @param format the form of this record
-     * @param identity drawn once for the folder
-     * @param name the instance that it belongs to
-     * @param incarnation the last that it was given, 0 for none
-     * @param nonce of the join under way since, which may have been granted; 0 where there is none
-     * @param votes whether it was begun as a voter's, before the fleet's first start; one that is found empty later is not
+     * @param format the format version of this record
+     * @param identity random, drawn once for the folder
+     * @param name the name of the instance that the folder belongs to
+     * @param incarnation the last incarnation that the instance was assigned, 0 for none
+     * @param pendingNonce the nonce of a join that was submitted since and may have been granted; 0 for none
+     * @param initializedForVoting whether it was created as a voter's folder before the fleet's first start; a folder that is
+     *     found empty later is not
      */
-    public record Facts(int format, String identity, String name, long incarnation, long pendingNonce, boolean initializedForVoting) { }
+    public record Facts(int format, String identity, String name, long incarnation, long pendingNonce,
+            boolean initializedForVoting) { }
 
     /** The stored names of {@link Facts} and its components, where the code has other names. */
     private static final StoredNames STORED_NAMES = StoredNames.none()
@@ -48,11 +50,11 @@
     }
 
     /**
-     * Opens a folder that is locked already, or begins one; {@code identity} and {@code votes} are for a new one. Throws
-     * {@link IOException} in one plain line where it can't be read, is spoilt, or is another instance's.
+     * Opens a folder that is locked already, or initializes an empty one with {@code identity} and {@code forVoting}. Throws an
+     * {@link IOException} with a one-line message if the folder can't be read, is corrupt, or belongs to another instance.
      */
-    public static StateFolder open(Disk disk, String name, String identity, boolean votes) throws IOException {
-        StateFolder f = new StateFolder(disk, new Facts(FORMAT, identity, name, 0, 0, votes));
+    public static StateFolder open(Disk disk, String name, String identity, boolean forVoting) throws IOException {
+        StateFolder f = new StateFolder(disk, new Facts(FORMAT, identity, name, 0, 0, forVoting));
         byte[] bytes = disk.read(FACTS);
         if (bytes == null) {
             disk.replace(FACTS, f.frame());
@@ -60,23 +62,22 @@
         }
         f.facts = f.read(bytes);
         if (f.facts.format() != FORMAT) {
-            throw new IOException("the folder is of format " + f.facts.format() + ", and this program knows " + FORMAT
-                    + " only");
+            throw new IOException("the folder has format " + f.facts.format() + ", but this program reads only " + FORMAT);
         }
         if (!f.facts.name().equals(name)) {
-            throw new IOException("the folder is that of " + f.facts.name() + ", not of " + name);
+            throw new IOException("the folder belongs to " + f.facts.name() + ", not to " + name);
         }
         byte[] marked = disk.read(MARK);
         if (marked != null) {
-            if (marked.length != Integer.BYTES + Long.BYTES || ByteBuffer.wrap(marked).getInt() != sum(record(marked))) {
-                throw new IOException("the folder's mark is not what was written");
+            if (marked.length != Integer.BYTES + Long.BYTES || ByteBuffer.wrap(marked).getInt() != checksum(record(marked))) {
+                throw new IOException("the folder's mark does not match its checksum");
             }
             f.mark = ByteBuffer.wrap(marked).getLong(Integer.BYTES);
         }
         return f;
     }
 
-    /** The schema of the stored record, for the check that it stays as it is in stored data. */
+    /** The schema of the stored record; a test checks that it stays as it is in stored data. */
     String schema() {
         return codec.schema();
     }
@@ -86,7 +87,7 @@
     }
 
     private static byte[] frame(byte[] record) {
-        return ByteBuffer.allocate(Integer.BYTES + record.length).putInt(sum(record)).put(record).array();
+        return ByteBuffer.allocate(Integer.BYTES + record.length).putInt(checksum(record)).put(record).array();
     }
 
     private static byte[] record(byte[] framed) {
@@ -95,42 +96,42 @@
 
     private Facts read(byte[] bytes) throws IOException {
         if (bytes.length < Integer.BYTES) {
-            throw new IOException("the folder's facts are cut off");
+            throw new IOException("the folder's facts are truncated");
         }
         byte[] record = record(bytes);
-        if (ByteBuffer.wrap(bytes).getInt() != sum(record)) {
-            throw new IOException("the folder's facts are not what was written");
+        if (ByteBuffer.wrap(bytes).getInt() != checksum(record)) {
+            throw new IOException("the folder's facts do not match their checksum");
         }
         try {
             return codec.read(record, Facts.class);
         } catch (MalformedRecordException e) {
-            throw new IOException("the folder's facts can't be read: " + e.getMessage(), e);
+            throw new IOException("the folder's facts can't be decoded: " + e.getMessage(), e);
         }
     }
 
-    private static int sum(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
     }
 
-    /** The last mark, 0 for none. */
+    /** The last mark that is durable, 0 for none. */
     public long mark() {
         return mark;
     }
 
-    /** Marks the folder; once this has returned, a copy from before can be told by its lower mark. */
+    /** Persists a mark; once this has returned, an older copy can be detected by its lower mark. */
     public void persistMark(long number) throws IOException {
         disk.replace(MARK, frame(ByteBuffer.allocate(Long.BYTES).putLong(number).array()));
         mark = number;
     }
 
-    /** What is kept, for certain. */
+    /** The facts that are durable. */
     public Facts facts() {
         return facts;
     }
 
-    /** Keeps these; after it throws, what was kept before may still be found at the next start, or these. */
+    /** Persists these; after it throws, the next start may find either the old facts or these. */
     public void persist(long incarnation, long nonce) throws IOException {
         Facts before = facts;
         facts = new Facts(FORMAT, before.identity(), before.name(), incarnation, nonce, before.initializedForVoting());
--- a/fleet/src/main/java/quincespar/store/package-info.java
+++ b/fleet/src/main/java/quincespar/store/package-info.java
@@ -1,2 +1,5 @@
-/** An instance's durable folder: facts that are there again after a kill, or are said to be not; knows files and nothing of fleets. */
+/**
+ * An instance's durable folder: what was written to it survives a kill and a loss of power, or is found to be missing. Knows
+ * files only, nothing of fleets.
+ */
 package quincespar.store;
--- a/fleet/src/test/java/quincespar/store/StateFolderTest.java
+++ b/fleet/src/test/java/quincespar/store/StateFolderTest.java
@@ -39,7 +39,7 @@
             assertThat(f.facts()).isEqualTo(new StateFolder.Facts(StateFolder.FORMAT, "drawn", "a", 7, 8, true));
             assertThat(f.mark()).isEqualTo(9);
         }
-        assertThatThrownBy(() -> open("b")).hasMessage("the folder is that of a, not of b");
+        assertThatThrownBy(() -> open("b")).hasMessage("the folder belongs to a, not to b");
     }
 
     /** Folders of earlier versions stay readable: a renamed component needs its stored name in the table. */
