--- a/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
@@ -54,7 +54,7 @@
     }
 
     /** A snapshot of all counts, together with gauges of the current state. */
-    public MetricsSnapshot snapshot(int openRequests, int listedEngines, int avoidedEngines,
+    public MetricsSnapshot snapshot(int openRequests, int listedEngines, int ejectedEngines,
             MetricsSnapshot.ChangeLogStatus changeLog) {
         if (answersChanged) {
             Map<String, MetricsSnapshot.AnswerCounts> byClass = new LinkedHashMap<>();
@@ -65,7 +65,7 @@
             answersByClass = Collections.unmodifiableMap(byClass);
             answersChanged = false;
         }
-        return new MetricsSnapshot(answersByClass, attemptsSent, openRequests, listedEngines, avoidedEngines,
+        return new MetricsSnapshot(answersByClass, attemptsSent, openRequests, listedEngines, ejectedEngines,
                 configurationsLoaded, configurationsRejected, changeLog);
     }
 }
--- a/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
+++ b/frontend/src/main/java/quincespar/routing/RecoveryCoordinator.java
@@ -9,9 +9,9 @@
 import quincespar.protocol.FleetEvent;
 import quincespar.recovery.ClassTraits;
 import quincespar.recovery.JournalEntry;
+import quincespar.recovery.Recovery;
 import quincespar.recovery.Recovery.Action;
 import quincespar.recovery.Recovery.ListSource;
-import quincespar.recovery.Recovery;
 
 /**
  * Connects the reducer to the {@link Recovery} from a power loss: passes on what happens, and carries out what it asks for.
@@ -37,29 +37,29 @@
     }
 
     /** What recovery needs to know of the classes in these settings. */
-    static List<ClassTraits> terms(RoutingSettings settings) {
-        return settings.decision().classes().stream().map(c -> new ClassTraits(c.name(), c.effect() != Gateway.Effect.UNSAFE, c.loads(),
-                c.worth(), c.aim())).toList();
+    static List<ClassTraits> classTraits(RoutingSettings settings) {
+        return settings.decision().classes().stream().map(c -> new ClassTraits(c.name(),
+                c.effect() != Gateway.Effect.UNSAFE, c.loads(), c.worth(), c.aim())).toList();
     }
 
     private boolean enabled() {
         return recovery != null;
     }
 
-    private void perform(List<Action> acts) {
-        for (Action act : acts) {
+    private void perform(List<Action> actions) {
+        for (Action action : actions) {
             // the course of a single load is not reported, so that the list of doubtful loads is not copied for each
-            reportOutdated |= !(act instanceof Action.Persist k
-                    && (k.entry() instanceof JournalEntry.LoadSent || k.entry() instanceof JournalEntry.LoadEnded));
-            if (act instanceof Action.StartTimer a) {
+            reportOutdated |= !(action instanceof Action.Persist a
+                    && (a.entry() instanceof JournalEntry.LoadSent || a.entry() instanceof JournalEntry.LoadEnded));
+            if (action instanceof Action.StartTimer a) {
                 context.startTimer(new TimerKey.Recovery(a.timerId()), a.delayMs());
-            } else if (act instanceof Action.ReadFleetState) {
-                context.addEffect(new Effect.FetchFleetState());
-            } else if (act instanceof Action.Persist a) {
+            } else if (action instanceof Action.ReadFleetState) {
+                context.addEffect(new Effect.ReadFleetState());
+            } else if (action instanceof Action.Persist a) {
                 context.addEffect(new Effect.PersistEntry(a.entry(), 0));
-            } else if (act instanceof Action.Log a) {
+            } else if (action instanceof Action.Log a) {
                 context.addEffect(new Effect.Log("recovery: " + a.message()));
-            } else if (act instanceof Action.RefreshEngineList) {
+            } else if (action instanceof Action.RefreshEngineList) {
                 relist = true;
             }
         }
@@ -71,16 +71,16 @@
         }
     }
 
-    void logRead(Input.RecoveryLogRead input) {
-        perform(recovery.folderRead(context.now, input.finding(), input.entries(), input.reason()));
+    void journalRead(Input.RecoveryJournalRead input) {
+        perform(recovery.folderRead(context.now, input.condition(), input.entries(), input.reason()));
     }
 
     void fleetStateReceived(Input.FleetStateReceived input) {
         perform(recovery.fleetStateRead(context.now, input.state()));
     }
 
-    void timerFired(long number) {
-        perform(recovery.timerFired(context.now, number));
+    void timerFired(long timerId) {
+        perform(recovery.timerFired(context.now, timerId));
     }
 
     void fleetChanged(FleetView view) {
@@ -91,7 +91,7 @@
 
     void setClasses(RoutingSettings settings) {
         if (enabled()) {
-            recovery.setClasses(terms(settings));
+            recovery.setClasses(classTraits(settings));
             reportOutdated = true;
         }
     }
@@ -166,7 +166,8 @@
         JournalEntry.LoadStarted entry = recovery.loadStarted(query.txn(), query.classNumber(),
                 context.settings.decision().tenants().get(query.tenantNumber()).name(), digest(query.statement()), query.tables(),
                 query.timeoutMs(), Math.round(context.now));
-        recovery.recordEntry(entry); // its acts are not needed: the effect below writes the entry and names the request that waits
+        // the actions are not needed: the effect below writes the entry, and names the request that waits for it
+        recovery.recordEntry(entry);
         context.addEffect(new Effect.PersistEntry(entry, request.id));
     }
 
@@ -216,7 +217,8 @@
     RecoveryReport report() {
         if (enabled() && reportOutdated) {
             reportOutdated = false;
-            report = new RecoveryReport(recovery.view(context.now), List.copyOf(recovery.state().doubtfulLoads()), unpersistedLoads);
+            report = new RecoveryReport(recovery.view(context.now), List.copyOf(recovery.state().doubtfulLoads()),
+                    unpersistedLoads);
         }
         return report;
     }
--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -60,8 +60,8 @@
         usableClasses.keySet().retainAll(classNumbers.keySet());
         Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Gateway.Tenant::name));
         usableTenants.keySet().retainAll(tenantNumbers.keySet());
-        return new RoutingSettings(decision.withClassesAndTenants(mergedClasses, mergedTenants), zones, kinds, linkIdleMs, maxStreamsPerLink,
-                Map.copyOf(usableClasses), Map.copyOf(usableTenants));
+        return new RoutingSettings(decision.withClassesAndTenants(mergedClasses, mergedTenants), zones, kinds, linkIdleMs,
+                maxStreamsPerLink, Map.copyOf(usableClasses), Map.copyOf(usableTenants));
     }
 
     /** These settings for the front end at place {@code index} among {@code count}. */
