--- a/frontend/src/main/java/quincespar/transport/Connection.java
+++ b/frontend/src/main/java/quincespar/transport/Connection.java
@@ -88,8 +88,11 @@
     /** Limit on the bytes that are read and discarded during a graceful close. */
     private static final int MAX_LINGER_BYTES = 64 * 1024;
 
-    /** Close cause of a connection that was not established within its timeout. */
-    public static final String CONNECT_TIMEOUT = "connect: timed out";
+    /**
+     * Close cause of a connection that was not established within its timeout. The text is fixed: the program's counters
+     * derive the key {@code failures.SIDE.connect.not_up_in_time} from it.
+     */
+    public static final String CONNECT_TIMEOUT = "connect: not up in time";
 
     private final EventLoop loop;
     private final String name;
