--- a/capture/src/test/java/quincespar/capture/SimulatedCluster.java
+++ b/capture/src/test/java/quincespar/capture/SimulatedCluster.java
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.decision.SettingsParser;
 
 /**
@@ -60,7 +60,7 @@
         private static final int FAULT_ENDS_AT_REQUEST = 160;
     }
 
-    private record ScheduledEvent(double at, long order, Gateway.Event event) { }
+    private record ScheduledEvent(double at, long order, Scheduler.Event event) { }
 
     private record Attempt(long id, int attempt, long engine) { }
 
@@ -68,7 +68,7 @@
     private final PriorityQueue<ScheduledEvent> scheduled = new PriorityQueue<>(
             Comparator.comparingDouble(ScheduledEvent::at).thenComparingLong(ScheduledEvent::order));
     private final Map<Long, Integer> attemptCounts = new LinkedHashMap<>();
-    private final Map<Long, Gateway.Engine> engines = new LinkedHashMap<>();
+    private final Map<Long, Scheduler.Engine> engines = new LinkedHashMap<>();
     private final List<Entry> entries = new ArrayList<>();
     private final EntryCodec codec = new EntryCodec();
     private final CapturedGateway module;
@@ -106,17 +106,17 @@
         return new Entry.Opening("w" + seed, 1000, seed, "test", ModuleDigest.of(GcMuScheduler.class), settings());
     }
 
-    static Gateway.Settings settings() {
+    static Scheduler.Settings settings() {
         return SettingsParser.parse(SETTINGS);
     }
 
     /** Sends this many requests, runs until all have ended, and returns the captured entries. */
     List<Entry> run(int requests) {
         for (long e = 1; e <= ENGINES; e++) {
-            engines.put(e, new Gateway.Engine(e, 0, 0, (int) e % 2, EngineState.READY, 1, 0));
+            engines.put(e, new Scheduler.Engine(e, 0, 0, (int) e % 2, EngineState.READY, 1, 0));
         }
         if (scenario != Scenario.LIST_COMES_LATE) {
-            deliver(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.copyOf(engines.values())));
+            deliver(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, List.copyOf(engines.values())));
         }
         while (lastRequest < requests || !scheduled.isEmpty()) {
             if (lastRequest < requests && (scheduled.isEmpty() || random.nextInt(3) == 0)) {
@@ -129,7 +129,7 @@
                     case 2 -> -0.0;
                     default -> random.nextDouble() * (cls == 0 ? 80 : 900);
                 };
-                deliver(new Gateway.Request(++lastRequest, cls, -1, cls == 0 ? 1300 : 5000, work, random.nextInt(100),
+                deliver(new Scheduler.Request(++lastRequest, cls, -1, cls == 0 ? 1300 : 5000, work, random.nextInt(100),
                         random.nextInt(4), 0, random.nextInt(20) == 0, cls == 2));
             } else {
                 ScheduledEvent next = scheduled.poll();
@@ -144,7 +144,7 @@
     void runTimers(BooleanSupplier condition) {
         while (condition.getAsBoolean()) {
             now += 1;
-            deliver(new Gateway.Timer(1));
+            deliver(new Scheduler.TimerFired(1));
         }
     }
 
@@ -156,19 +156,19 @@
     private void injectScenarioFault() {
         boolean starts = lastRequest == Scenario.FAULT_STARTS_AT_REQUEST;
         boolean ends = lastRequest == Scenario.FAULT_ENDS_AT_REQUEST;
-        Gateway.Engine second = engines.get(2L);
+        Scheduler.Engine second = engines.get(2L);
         if (starts && scenario == Scenario.LIST_COMES_LATE) {
-            deliver(new Gateway.Listed(Gateway.ListKind.FULL, 1, List.copyOf(engines.values())));
+            deliver(new Scheduler.EngineList(Scheduler.ListKind.FULL, 1, List.copyOf(engines.values())));
         } else if (scenario == Scenario.DIES_AND_RETURNS_COLD && (starts || ends)) {
             hangingEngine = starts ? 2 : -1;
-            announce(new Gateway.Engine(2, 0, 0, second.cell(), starts ? EngineState.GONE : EngineState.READY, 1,
+            announce(new Scheduler.Engine(2, 0, 0, second.cell(), starts ? EngineState.GONE : EngineState.READY, 1,
                     starts ? 0 : now));
         } else if (scenario == Scenario.HANGS && (starts || ends)) {
             hangingEngine = starts ? 2 : -1;
         } else if (scenario == Scenario.SLOWS_DOWN && (starts || ends)) {
             slowEngine = starts ? 2 : -1;
         } else if (scenario == Scenario.DRAINS_UNDER_LOADS && (starts || ends)) {
-            announce(new Gateway.Engine(2, 0, 0, second.cell(), starts ? EngineState.DRAINING : EngineState.GONE, 1, 0));
+            announce(new Scheduler.Engine(2, 0, 0, second.cell(), starts ? EngineState.DRAINING : EngineState.GONE, 1, 0));
         } else if (scenario == Scenario.CLOCK_STEPS && starts) {
             now += 30_000;
         }
@@ -180,32 +180,32 @@
             return;
         }
         long e = 1 + random.nextInt(ENGINES);
-        Gateway.Engine old = engines.get(e);
+        Scheduler.Engine old = engines.get(e);
         switch (random.nextInt(400)) {
-            case 0 -> announce(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, now)); // restarted, and cold
-            case 1 -> announce(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.DRAINING, 1, old.startedAt()));
-            case 2 -> announce(new Gateway.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, old.startedAt()));
+            case 0 -> announce(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, now)); // restarted, and cold
+            case 1 -> announce(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.DRAINING, 1, old.startedAt()));
+            case 2 -> announce(new Scheduler.Engine(e, 0, 0, old.cell(), EngineState.READY, 1, old.startedAt()));
             case 3 -> hangingEngine = e;
             case 4 -> hangingEngine = -1;
-            case 5 -> deliver(new Gateway.Left(1 + random.nextLong(Math.max(1, lastRequest))));
-            case 6 -> deliver(new Gateway.Probed(e, random.nextBoolean(), Double.NaN, List.of(1.0, Double.NaN)));
+            case 5 -> deliver(new Scheduler.ClientLeft(1 + random.nextLong(Math.max(1, lastRequest))));
+            case 6 -> deliver(new Scheduler.ProbeResult(e, random.nextBoolean(), Double.NaN, List.of(1.0, Double.NaN)));
             default -> { }
         }
     }
 
-    private void announce(Gateway.Engine e) {
+    private void announce(Scheduler.Engine e) {
         engines.put(e.id(), e);
-        deliver(new Gateway.Listed(Gateway.ListKind.DELTA, ++order, List.of(e)));
+        deliver(new Scheduler.EngineList(Scheduler.ListKind.DELTA, ++order, List.of(e)));
     }
 
-    private void deliver(Gateway.Event event) {
+    private void deliver(Scheduler.Event event) {
         calls++;
-        for (Gateway.Action a : module.decide(now, List.of(event))) {
-            if (a instanceof Gateway.Send s) {
+        for (Scheduler.Action a : module.decide(now, List.of(event))) {
+            if (a instanceof Scheduler.SendAttempt s) {
                 startAttempt(new Attempt(s.id(), attemptCounts.merge(s.id(), 1, Integer::sum) - 1, s.engine()));
-            } else if (a instanceof Gateway.SetTimer t) {
-                schedule(t.delay(), new Gateway.Timer(t.token()));
-            } else if (a instanceof Gateway.Cancel c) {
+            } else if (a instanceof Scheduler.SetTimer t) {
+                schedule(t.delay(), new Scheduler.TimerFired(t.token()));
+            } else if (a instanceof Scheduler.CancelAttempt c) {
                 schedule(1, end(new Attempt(c.id(), c.attempt(), 0), Outcome.CANCELLED, 1));
             }
         }
@@ -214,7 +214,7 @@
     private void startAttempt(Attempt attempt) {
         double latency = 10 + random.nextDouble() * 90 * (attempt.engine() == slowEngine ? 8 : 1);
         if (random.nextInt(12) == 0) {
-            schedule(2, new Gateway.Note(attempt.id(), attempt.attempt(), attempt.engine(), Gateway.NoteKind.WAIT, 2));
+            schedule(2, new Scheduler.AttemptNote(attempt.id(), attempt.attempt(), attempt.engine(), Scheduler.NoteKind.WAIT, 2));
             latency += 400;
         }
         Outcome outcome = attempt.engine() == hangingEngine ? Outcome.TIMEOUT : switch (random.nextInt(40)) {
@@ -226,12 +226,12 @@
         schedule(attempt.engine() == hangingEngine ? 1300 : latency, end(attempt, outcome, latency));
     }
 
-    private static Gateway.Ended end(Attempt attempt, Outcome outcome, double latency) {
-        return new Gateway.Ended(attempt.id(), attempt.attempt(), attempt.engine(), outcome, latency, outcome == Outcome.OK,
+    private static Scheduler.AttemptEnded end(Attempt attempt, Outcome outcome, double latency) {
+        return new Scheduler.AttemptEnded(attempt.id(), attempt.attempt(), attempt.engine(), outcome, latency, outcome == Outcome.OK,
                 Double.NaN, Double.NaN, List.of());
     }
 
-    private void schedule(double delay, Gateway.Event e) {
+    private void schedule(double delay, Scheduler.Event e) {
         scheduled.add(new ScheduledEvent(now + delay, order++, e));
     }
 
@@ -250,17 +250,17 @@
         Replay.ModuleFactory factory = new CurrentModuleFactory();
         Replay replay = new Replay(new Replay.ModuleFactory() {
             @Override
-            public Gateway create(Entry.Opening o) {
+            public Scheduler create(Entry.Opening o) {
                 return new GcMuScheduler(o.settings(), o.seed() + seedOffset);
             }
 
             @Override
-            public Gateway restore(Entry.State s) throws IOException {
+            public Scheduler restore(Entry.State s) throws IOException {
                 return factory.restore(s);
             }
 
             @Override
-            public byte[] stateOf(Gateway module) {
+            public byte[] stateOf(Scheduler module) {
                 return factory.stateOf(module);
             }
         });
--- a/capture/src/test/java/quincespar/capture/StateCodecTest.java
+++ b/capture/src/test/java/quincespar/capture/StateCodecTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
 
 @Timeout(120)
 class StateCodecTest {
     private final StateCodec codec = new StateCodec(GcMuScheduler.class);
 
-    private static void replay(Gateway module, List<Entry> entries, int from, int to) {
+    private static void replay(Scheduler module, List<Entry> entries, int from, int to) {
         for (Entry e : entries.subList(from, to)) {
             if (e instanceof Entry.Call c) {
                 assertThat(module.decide(c.time(), c.events())).isEqualTo(c.actions());
@@ -30,10 +30,10 @@
     void aDecodedModuleDecidesLikeTheEncodedOneAtAnyPointOfARun() throws IOException {
         List<Entry> entries = new SimulatedCluster(31).run(1500);
         for (int at = 1; at < entries.size(); at += entries.size() / 12) {
-            Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 31);
+            Scheduler module = new GcMuScheduler(SimulatedCluster.settings(), 31);
             replay(module, entries, 1, at);
             byte[] state = codec.write(module);
-            Gateway other = codec.read(state, GcMuScheduler.class);
+            Scheduler other = codec.read(state, GcMuScheduler.class);
             assertThat(codec.write(other)).isEqualTo(state);
             replay(other, entries, at, entries.size());
             replay(module, entries, at, entries.size());
@@ -44,14 +44,14 @@
     /** Open requests refer to each other through engines: encoding them recursively would overflow the stack. */
     @Test
     void thousandsOfOpenRequestsAreEncodedOnASmallStack() throws Exception {
-        Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 5);
-        List<Gateway.Engine> engines = new ArrayList<>();
+        Scheduler module = new GcMuScheduler(SimulatedCluster.settings(), 5);
+        List<Scheduler.Engine> engines = new ArrayList<>();
         for (long e = 1; e <= 60; e++) {
-            engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
+            engines.add(new Scheduler.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
         }
-        module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
+        module.decide(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, engines)));
         for (int i = 1; i <= 5000; i++) {
-            module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
+            module.decide(i / 10.0, List.of(new Scheduler.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
         }
         List<byte[]> out = new ArrayList<>();
         Thread small = new Thread(null, () -> out.add(codec.write(module)), "small", 64 * 1024);
@@ -65,7 +65,7 @@
     void damagedBytesThrowOnlyMalformedCaptureException() throws IOException {
         SimulatedCluster cluster = new SimulatedCluster(33);
         List<Entry> entries = cluster.run(40);
-        Gateway module = new GcMuScheduler(SimulatedCluster.settings(), 33);
+        Scheduler module = new GcMuScheduler(SimulatedCluster.settings(), 33);
         replay(module, entries, 1, 60);
         byte[] state = codec.write(module);
         SplittableRandom random = new SplittableRandom(3);
--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Outcome;
 import quincespar.membership.PollFailure;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
@@ -26,8 +26,8 @@
     /** The number that the reducer gives to the first request. */
     private static final long REQUEST = 1;
 
-    private final List<Gateway.Event> events = new ArrayList<>();
-    private final List<Gateway.Action> plannedActions = new ArrayList<>();
+    private final List<Scheduler.Event> events = new ArrayList<>();
+    private final List<Scheduler.Action> plannedActions = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
     private final Map<String, String> pairs = new HashMap<>();
     private Reducer reducer;
@@ -45,7 +45,7 @@
                 new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)), (time, newEvents) -> {
             decisions++;
             events.addAll(newEvents);
-            List<Gateway.Action> actions = List.copyOf(plannedActions);
+            List<Scheduler.Action> actions = List.copyOf(plannedActions);
             plannedActions.clear();
             return actions;
         });
@@ -81,7 +81,7 @@
     }
 
     private long engine(int index) {
-        return of(Gateway.Listed.class, events).get(0).engines().get(index).id();
+        return of(Scheduler.EngineList.class, events).get(0).engines().get(index).id();
     }
 
     private static Query query(String txn, int classNumber) {
@@ -94,7 +94,7 @@
 
     /** Receives a request of a class and sends it to the first engine, over a link that is up. */
     private Effect.Send sendRequest(int classNumber) {
-        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(REQUEST, engine(0), 0));
         step(new Input.RequestReceived(CALLER, query("00000000000000aa", classNumber), now));
         if (of(Effect.Send.class, effects).isEmpty()) {
             step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
@@ -103,7 +103,7 @@
     }
 
     private Outcome lastOutcome() {
-        List<Gateway.Ended> ends = of(Gateway.Ended.class, events);
+        List<Scheduler.AttemptEnded> ends = of(Scheduler.AttemptEnded.class, events);
         return ends.isEmpty() ? null : ends.get(ends.size() - 1).outcome();
     }
 
@@ -146,7 +146,7 @@
         assertThat(deadline.key()).isEqualTo(new TimerKey.RequestDeadline(REQUEST));
         assertThat(deadline.delayMs()).isEqualTo(1000);
         step(request(new Caller(1, 2), "00000000000000ab", now + 10));
-        assertThat(of(Gateway.Request.class, events).get(1).patience()).isLessThan(1000); // the module is told the new deadline
+        assertThat(of(Scheduler.Request.class, events).get(1).clientTimeout()).isLessThan(1000); // the module is told the new deadline
         step(new Input.TimerFired(deadline.key()));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
     }
@@ -175,8 +175,8 @@
         beginWrite(send);
         step(new Input.LinkDown(send.link(), "reset"));
         assertThat(lastOutcome()).isEqualTo(Outcome.RESET);
-        plannedActions.add(new Gateway.Send(REQUEST, engine(1), 0));
-        plannedActions.add(new Gateway.Refuse(REQUEST, 0));
+        plannedActions.add(new Scheduler.SendAttempt(REQUEST, engine(1), 0));
+        plannedActions.add(new Scheduler.RefuseRequest(REQUEST, 0));
         decide();
         assertThat(of(Effect.Send.class, effects)).hasSize(1);
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
@@ -190,7 +190,7 @@
         assertThat(reducer.engineCounters()).containsEntry("a.sent", 1L).containsEntry("a.ok", 1L).containsEntry("a.links", 1L)
                 .doesNotContainKeys("a.refused", "b.sent");
         step(request(new Caller(CALLER.connection(), 2), "00000000000000ab", now));
-        plannedActions.add(new Gateway.Send(of(Gateway.Request.class, events).get(1).id(), engine(1), 0));
+        plannedActions.add(new Scheduler.SendAttempt(of(Scheduler.Request.class, events).get(1).id(), engine(1), 0));
         decide();
         step(new Input.LinkDown(last(Effect.OpenLink.class).link(), "refused"));
         assertThat(reducer.engineCounters()).containsEntry("b.refused", 1L).containsEntry("b.connect_failed", 1L)
@@ -208,7 +208,7 @@
     void aCancelledAttemptEndsOnlyWhenItsCancelIsWritten() {
         Effect.Send send = sendRequest(SAFE_CLASS);
         beginWrite(send);
-        plannedActions.add(new Gateway.Cancel(REQUEST, 0, Gateway.Why.SLOW));
+        plannedActions.add(new Scheduler.CancelAttempt(REQUEST, 0, Scheduler.CancelReason.SLOW_PROGRESS));
         decide();
         assertThat(of(Effect.Cancel.class, effects)).hasSize(1);
         assertThat(lastOutcome()).isNull();
@@ -220,9 +220,9 @@
     void aRetryOnTheSameEngineFollowsTheCancelOnItsLink() {
         Effect.Send send = sendRequest(SAFE_CLASS);
         beginWrite(send);
-        plannedActions.add(new Gateway.Cancel(REQUEST, 0, Gateway.Why.SLOW));
+        plannedActions.add(new Scheduler.CancelAttempt(REQUEST, 0, Scheduler.CancelReason.SLOW_PROGRESS));
         decide();
-        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(REQUEST, engine(0), 0));
         step(new Input.CancelWritten(send.key()));
         assertThat(last(Effect.Send.class).key().attempt()).isEqualTo(1);
         assertThat(last(Effect.Send.class).link()).isEqualTo(send.link());
@@ -238,7 +238,7 @@
 
     @Test
     void aLinkThatIsNotEstablishedInTimeIsClosed() {
-        plannedActions.add(new Gateway.Send(REQUEST, engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(REQUEST, engine(0), 0));
         step(request(CALLER, "00000000000000aa", now));
         long link = last(Effect.OpenLink.class).link();
         step(new Input.TimerFired(new TimerKey.ConnectTimeout(link)));
@@ -261,7 +261,7 @@
     void aLateAnswerToAnEndedAttemptIsDropped() {
         Effect.Send send = sendRequest(SAFE_CLASS);
         beginWrite(send);
-        plannedActions.add(new Gateway.Refuse(REQUEST, 0));
+        plannedActions.add(new Scheduler.RefuseRequest(REQUEST, 0));
         step(new Input.TimerFired(new TimerKey.AttemptTimeout(send.key())));
         step(new Input.CancelWritten(send.key()));
         step(done(send, 1));
@@ -274,7 +274,7 @@
         step(request(CALLER, "00000000000000aa", now));
         step(new Input.TimerFired(new TimerKey.RequestDeadline(REQUEST)));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
-        assertThat(of(Gateway.Left.class, events)).hasSize(1);
+        assertThat(of(Scheduler.ClientLeft.class, events)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
@@ -282,7 +282,7 @@
     void theModuleIsToldOfClientsThatDisconnect() {
         sendRequest(SAFE_CLASS);
         step(new Input.CallerDisconnected(CALLER.connection()));
-        assertThat(of(Gateway.Left.class, events)).hasSize(1);
+        assertThat(of(Scheduler.ClientLeft.class, events)).hasSize(1);
         assertThat(reducer.openRequests()).isZero();
     }
 
@@ -296,7 +296,7 @@
         assertThat(decisions).isEqualTo(before + 1);
         effects.addAll(reducer.step(now + 15, List.of(new Input.TimerFired(new TimerKey.DecisionTick()))));
         assertThat(decisions).isEqualTo(before + 2);
-        assertThat(of(Gateway.Request.class, events)).hasSize(3);
+        assertThat(of(Scheduler.Request.class, events)).hasSize(3);
     }
 
     private static FleetEvent started(long seq, String id, double startedAt) {
@@ -305,7 +305,7 @@
     }
 
     private double lastStartedAt() {
-        return last(Gateway.Listed.class, events).engines().get(0).startedAt();
+        return last(Scheduler.EngineList.class, events).engines().get(0).startedAt();
     }
 
     @ParameterizedTest
@@ -446,11 +446,11 @@
         Effect.Send malformed = sendRequest(SAFE_CLASS);
         beginWrite(malformed);
         step(received(malformed, new EngineMessage.Malformed(malformed.txn(), "invalid")));
-        plannedActions.add(new Gateway.Send(receiveUnsafe("c"), engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(receiveUnsafe("c"), engine(0), 0));
         decide();
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
         Effect.Send first = last(Effect.Send.class);
-        plannedActions.add(new Gateway.Send(receiveUnsafe("b"), engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(receiveUnsafe("b"), engine(0), 0));
         decide();
         assertThat(of(Effect.OpenLink.class, effects)).hasSize(3);
         step(new Input.LinkUp(last(Effect.OpenLink.class).link()));
@@ -462,7 +462,7 @@
     @Test
     void unsafeRequestsShareALinkWhileNoAnswerWasMalformed() {
         Effect.Send first = sendRequest(UNSAFE_CLASS);
-        plannedActions.add(new Gateway.Send(receiveUnsafe("b"), engine(0), 0));
+        plannedActions.add(new Scheduler.SendAttempt(receiveUnsafe("b"), engine(0), 0));
         decide();
         assertThat(last(Effect.Send.class).txn()).isEqualTo("b");
         assertThat(last(Effect.Send.class).link()).isEqualTo(first.link());
@@ -471,8 +471,8 @@
 
     /** Receives a further unsafe request; returns its number. */
     private long receiveUnsafe(String txn) {
-        step(new Input.RequestReceived(new Caller(1, 2 + of(Gateway.Request.class, events).size()), query(txn, UNSAFE_CLASS),
+        step(new Input.RequestReceived(new Caller(1, 2 + of(Scheduler.Request.class, events).size()), query(txn, UNSAFE_CLASS),
                 now));
-        return last(Gateway.Request.class, events).id();
+        return last(Scheduler.Request.class, events).id();
     }
 }
