--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -9,8 +9,8 @@
 import quincespar.decision.SchedulerState.*;
 
 /**
- * Makes every decision of one router by D-Gcμ, the generalized c-mu rule with deadlines. Settings, events and
- * actions are declared in {@link Scheduler}. The sections stand in this order: request intake and queues,
+ * Makes every decision of one router by D-Gcμ, the generalized c-mu rule with deadlines. Settings, events
+ * and actions are declared in {@link Scheduler}. The sections stand in this order: request intake and queues,
  * index and rates, concurrency limits, choice of the engine, terms of an attempt, attempts and engine health,
  * the list of engines, rule guards, final answers. Time comes with the events, and the same events give the
  * same actions. Not thread-safe.
@@ -352,7 +352,7 @@
     }
 
     /**
-     * The learned service rate μ on an engine: one over its mean time there, shrunk towards the class's mean.
+     * The learned service rate μ on an engine: one over its mean time there, shrunk towards the class mean.
      */
     double serviceRate(ClassStats stats, EngineNode node) {
         DecayingMean here = node.serviceTimes[stats.index];
@@ -458,10 +458,10 @@
     /**
      * Whether a limit has room for a query of a class. Half of the query's threads must be free: if all had
      * to be, narrow queries would starve wide ones. Parts that other routers leave idle may be used, so the
-     * shared limit is wider while the fleet runs less. A shared limit is a few threads, which one or two long
-     * queries fill for seconds: threads of classes of lower γμ count less, or the shortest and most valuable
-     * queries would wait for what can't be stopped. Under an engine's own limit this holds for the class of
-     * the highest γμ only, which is the smaller part of the work.
+     * shared limit is wider while the fleet runs less. A shared limit is a few threads, which one or two
+     * long queries fill for seconds: threads of classes of lower γμ count less, or the shortest and most
+     * valuable queries would wait for what can't be stopped. Under an engine's own limit this holds for the
+     * class of the highest γμ only, which is the smaller part of the work.
      */
     boolean hasRoom(ConcurrencyLimit limit, ClassStats stats) {
         double used = limit.threads;
