--- a/agreement/src/main/java/quincespar/agreement/CorrelationToken.java
+++ b/agreement/src/main/java/quincespar/agreement/CorrelationToken.java
@@ -6,36 +6,36 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 
 /**
- * Eight bytes before each question, which its answer brings back. The transport hands answers out in the order in which they
- * come: one that was lost on the way shifts all that follow on that connection, and each would pass for another's.
+ * Eight random bytes in front of each request, which its reply repeats. The transport matches replies to requests by their order
+ * on a connection: after a lost reply each one that follows would be taken for the reply to another request.
  */
 final class CorrelationToken {
-    private static final int LENGTH = Long.BYTES;
+    private static final int LENGTH_BYTES = Long.BYTES;
 
     private CorrelationToken() { }
 
-    /** A question with a token of its own. */
+    /** A request with a new token. */
     static ByteString tagRequest(byte[] bytes) {
-        return with(ByteString.copyFrom(ByteBuffer.allocate(LENGTH).putLong(ThreadLocalRandom.current().nextLong()).flip()),
-                bytes);
+        ByteBuffer token = ByteBuffer.allocate(LENGTH_BYTES).putLong(ThreadLocalRandom.current().nextLong()).flip();
+        return prepend(ByteString.copyFrom(token), bytes);
     }
 
-    private static ByteString with(ByteString token, byte[] bytes) {
+    private static ByteString prepend(ByteString token, byte[] bytes) {
         return token.concat(ByteString.copyFrom(bytes));
     }
 
-    /** An answer to a question. */
-    static Message tagReply(ByteString question, byte[] bytes) {
-        return Message.valueOf(with(question.substring(0, Math.min(LENGTH, question.size())), bytes));
+    /** A reply with the token of its request. */
+    static Message tagReply(ByteString request, byte[] bytes) {
+        return Message.valueOf(prepend(request.substring(0, Math.min(LENGTH_BYTES, request.size())), bytes));
     }
 
-    /** What is behind the token; empty where there is none. */
+    /** The bytes after the token; empty if there is no token. */
     static byte[] payload(ByteString bytes) {
-        return bytes.size() < LENGTH ? new byte[0] : bytes.substring(LENGTH).toByteArray();
+        return bytes.size() < LENGTH_BYTES ? new byte[0] : bytes.substring(LENGTH_BYTES).toByteArray();
     }
 
-    /** Whether an answer is to this question. */
-    static boolean matches(ByteString question, ByteString answer) {
-        return answer.size() >= LENGTH && answer.substring(0, LENGTH).equals(question.substring(0, LENGTH));
+    /** Whether a reply has the token of this request. */
+    static boolean matches(ByteString request, ByteString reply) {
+        return reply.size() >= LENGTH_BYTES && reply.substring(0, LENGTH_BYTES).equals(request.substring(0, LENGTH_BYTES));
     }
 }
--- a/agreement/src/main/java/quincespar/agreement/FleetRpcType.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetRpcType.java
@@ -30,26 +30,27 @@
 import quincespar.fleet.FleetConfig;
 
 /**
- * The library's transport, which reaches each voter where the plan says that it is reached from here, and on a new
- * connection after each failure. The agreed list of voters
- * holds one address for each, the leader's word for it; from another network that may be another.
+ * Ratis's Netty transport with three changes: it connects to each voter at the address that this instance's configuration gives,
+ * it opens a new connection after each failure, and it does not pass on replies that the library handles wrongly. The library's
+ * own list of voters, which the leader replicates, has one address for each; from another network the address may differ.
  */
 public final class FleetRpcType implements RpcType {
-    private static final String PLAN = "quincespar.plan", CLOSING = "quincespar.closing";
+    private static final String CONFIG_PARAMETER = "quincespar.plan";
+    private static final String CLOSER_PARAMETER = "quincespar.closing";
 
-    /** Called by the library, which knows it by its class's name. */
+    /** Called by the library, which finds this class by its name. */
     public FleetRpcType() { }
 
     /**
-     * What the library hands to {@link #newFactory}.
+     * The parameters that the library hands to {@link #newFactory}.
      *
-     * @param closing ends connections after failures: the library waits up to 5 s for that where an answer comes in just then, which is
-     *                longer than a session lasts
+     * @param closer closes connections after failures: the library waits up to 5 s for that if a reply arrives at the same time,
+     *     which is longer than a session lasts
      */
-    static Parameters parameters(FleetConfig plan, Executor closing) {
+    static Parameters parameters(FleetConfig config, Executor closer) {
         Parameters out = new Parameters();
-        out.put(PLAN, plan, FleetConfig.class);
-        out.put(CLOSING, closing, Executor.class);
+        out.put(CONFIG_PARAMETER, config, FleetConfig.class);
+        out.put(CLOSER_PARAMETER, closer, Executor.class);
         return out;
     }
 
@@ -60,48 +61,51 @@
 
     @Override
     public RpcFactory newFactory(Parameters parameters) {
-        return new Factory(parameters.get(PLAN, FleetConfig.class), parameters.get(CLOSING, Executor.class), parameters);
+        return new Factory(parameters.get(CONFIG_PARAMETER, FleetConfig.class),
+                parameters.get(CLOSER_PARAMETER, Executor.class), parameters);
     }
 
-    private static RaftPeer reached(FleetConfig plan, RaftPeer p) {
-        String at = plan.addressOf(p.getId().toString());
-        return at == null ? p : RaftPeer.newBuilder(p).setAddress(at).build();
+    private static RaftPeer withConfiguredAddress(FleetConfig config, RaftPeer peer) {
+        String address = config.addressOf(peer.getId().toString());
+        return address == null ? peer : RaftPeer.newBuilder(peer).setAddress(address).build();
     }
 
     /**
-     * What a follower has answered to a leader, as far as the leader may take it.
+     * Checks a follower's reply to a leader, and returns what the leader may be given.
      *
-     * <p>One that says that this leader leads no more is not handed on: the library's thread that hears it waits for the voter's lock, and a
-     * voter that steps down at that moment holds the lock while it waits for that thread to end; it then hears and says nothing any more, for
-     * good. As a failed call it ends nothing: the others' questions for votes and the missing majority tell the leader the same within an
-     * election's time.
+     * <p>A reply that says that this voter is not the leader any more becomes a failed call. The library's thread that receives
+     * it waits for the voter's lock, and a voter that steps down at that moment holds the lock while it waits for that thread
+     * to end: a deadlock, after which the voter neither receives nor sends anything. The failed call loses nothing, as the
+     * others' vote requests and the missing quorum make the leader step down within an election timeout.
      *
-     * <p>One that says yes to a message without entries names the end of its own log, and the library takes all before that for matched; but
-     * behind the entry that was asked for, a follower that led until just now has entries of its own that nobody agreed on. Such a leader would
-     * count that follower for what it does not have, and never give it what it lacks. Seen on the rig with library 3.2.0 and 3.2.1.
+     * <p>A successful reply to a request without entries names the end of the follower's log, and the library takes everything
+     * before that as matched. But a follower that led until just now has entries after the one that was asked for that were
+     * never committed. The leader would count it for entries that it does not have, and never send it those that it lacks. So
+     * the index is limited to what the request covers. Seen with Ratis 3.2.0 and 3.2.1.
      */
-    static Object checkReply(Object question, Object answer) throws IOException {
-        if (answer instanceof AppendEntriesReplyProto a && a.getResult() == AppendResult.NOT_LEADER
-                || answer instanceof InstallSnapshotReplyProto i && i.getResult() == InstallSnapshotResult.NOT_LEADER) {
-            throw new IOException("the follower knows of another leader, or of a later term");
+    static Object checkReply(Object request, Object reply) throws IOException {
+        if (reply instanceof AppendEntriesReplyProto a && a.getResult() == AppendResult.NOT_LEADER
+                || reply instanceof InstallSnapshotReplyProto i && i.getResult() == InstallSnapshotResult.NOT_LEADER) {
+            throw new IOException("the follower knows of another leader or of a later term");
         }
-        if (answer instanceof AppendEntriesReplyProto a && question instanceof AppendEntriesRequestProto q && q.getEntriesCount() == 0
-                && a.getResult() == AppendResult.SUCCESS) {
-            long matched = q.hasPreviousLog() ? q.getPreviousLog().getIndex() + 1 : 0;
-            return a.getNextIndex() <= matched ? a : a.toBuilder().setNextIndex(matched).build();
+        if (reply instanceof AppendEntriesReplyProto a && request instanceof AppendEntriesRequestProto q
+                && q.getEntriesCount() == 0 && a.getResult() == AppendResult.SUCCESS) {
+            long matchedEnd = q.hasPreviousLog() ? q.getPreviousLog().getIndex() + 1 : 0;
+            return a.getNextIndex() <= matchedEnd ? a : a.toBuilder().setNextIndex(matchedEnd).build();
         }
-        return answer;
+        return reply;
     }
 
+    /** Makes the Netty transport and wraps it in a proxy. */
     private static final class Factory implements ServerFactory, ClientFactory {
         private final Logger log = LoggerFactory.getLogger(FleetRpcType.class);
-        private final FleetConfig plan;
-        private final Executor closing;
+        private final FleetConfig config;
+        private final Executor closer;
         private final NettyFactory netty;
 
-        Factory(FleetConfig plan, Executor closing, Parameters parameters) {
-            this.plan = plan;
-            this.closing = closing;
+        Factory(FleetConfig config, Executor closer, Parameters parameters) {
+            this.config = config;
+            this.closer = closer;
             netty = new NettyFactory(parameters);
         }
 
@@ -112,41 +116,41 @@
 
         @Override
         public RaftServerRpc newRaftServerRpc(RaftServer server) {
-            return through(RaftServerRpc.class, netty.newRaftServerRpc(server));
+            return wrap(RaftServerRpc.class, netty.newRaftServerRpc(server));
         }
 
         @Override
         public RaftClientRpc newRaftClientRpc(ClientId id, RaftProperties properties) {
-            return through(RaftClientRpc.class, netty.newRaftClientRpc(id, properties));
+            return wrap(RaftClientRpc.class, netty.newRaftClientRpc(id, properties));
         }
 
-        private <T> T through(Class<T> type, T to) {
-            return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, given) -> {
-                Object[] args = given;
+        private <T> T wrap(Class<T> type, T rpc) {
+            return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, givenArgs) -> {
+                Object[] args = givenArgs;
                 if (method.getName().equals("addRaftPeers")) {
-                    Collection<?> peers = given[0] instanceof Object[] a ? List.of(a) : (Collection<?>) given[0];
-                    List<RaftPeer> reached = peers.stream().map(p -> reached(plan, (RaftPeer) p)).toList();
-                    args = new Object[] {given[0] instanceof Object[] ? reached.toArray(new RaftPeer[0]) : reached};
+                    Collection<?> peers = givenArgs[0] instanceof Object[] a ? List.of(a) : (Collection<?>) givenArgs[0];
+                    List<RaftPeer> configured = peers.stream().map(p -> withConfiguredAddress(config, (RaftPeer) p)).toList();
+                    args = new Object[] {givenArgs[0] instanceof Object[] ? configured.toArray(new RaftPeer[0]) : configured};
                 }
                 if (method.getName().equals("handleException")) {
-                    // a peer that waits for the rest of a message that was spoilt answers nothing on that connection any more,
-                    // and a time-out alone would leave the connection in use for good
-                    closing.execute(() -> end(method, to, given[0], given[1]));
+                    // a peer that waits for the rest of a corrupted message never replies on that connection again, and the
+                    // library would keep the connection in use after a mere timeout
+                    closer.execute(() -> closeConnection(method, rpc, givenArgs[0], givenArgs[1]));
                     return method.getReturnType() == boolean.class ? true : null;
                 }
                 try {
-                    return checkReply(args == null ? null : args[0], method.invoke(to, args));
+                    return checkReply(args == null ? null : args[0], method.invoke(rpc, args));
                 } catch (InvocationTargetException e) {
                     throw e.getCause();
                 }
             }));
         }
 
-        private void end(Method handle, Object of, Object peer, Object why) {
+        private void closeConnection(Method handleException, Object rpc, Object peer, Object cause) {
             try {
-                handle.invoke(of, peer, why, true);
-            } catch (ReflectiveOperationException e) { // the next failure there ends it
-                log.warn("a connection to {} could not be ended: {}", peer, String.valueOf(e.getCause()));
+                handleException.invoke(rpc, peer, cause, true);
+            } catch (ReflectiveOperationException e) { // the next failure on it closes it
+                log.warn("could not close the connection to {}: {}", peer, String.valueOf(e.getCause()));
             }
         }
     }
--- a/agreement/src/main/java/quincespar/agreement/FleetStateMachine.java
+++ b/agreement/src/main/java/quincespar/agreement/FleetStateMachine.java
@@ -30,16 +30,17 @@
 import quincespar.fleet.Snapshot;
 import quincespar.records.MalformedRecordException;
 
-/** The fleet's state as the library calls it: one command after the other, answers, snapshots. */
+/** The replicated state machine in the form that the library calls: applies log entries, answers queries and takes snapshots. */
 final class FleetStateMachine extends BaseStateMachine {
-    private static final String NEXT = ".next";
+    private static final String TEMPORARY_SUFFIX = ".next";
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final Consumer<Snapshot> applied;
     private FleetCodec codec = new FleetCodec();
     private FleetState state = FleetState.restore(Snapshot.EMPTY);
-    private long told;
-    private boolean spoilt;
+    /** The version of the last state that was published. */
+    private long publishedVersion;
+    private boolean corrupt;
     private volatile boolean logFailed;
 
     FleetStateMachine(Consumer<Snapshot> applied) {
@@ -80,17 +81,17 @@
         }
         state = FleetState.restore(codec.readSnapshot(Files.readAllBytes(file.toPath())));
         updateLastAppliedTermIndex(SimpleStateMachineStorage.getTermIndexFromSnapshotFile(file));
-        tell();
+        publishIfChanged();
     }
 
     @Override
     public synchronized long takeSnapshot() throws IOException {
         TermIndex last = getLastAppliedTermIndex();
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-        File next = new File(file.getPath() + NEXT); // what a disk took in part must not be found under a snapshot's name
+        File next = new File(file.getPath() + TEMPORARY_SUFFIX); // a partial write must not be found under a snapshot's name
         try (FileOutputStream out = new FileOutputStream(next)) {
             out.write(codec.write(state.snapshot()));
-            out.getFD().sync(); // the log before it may go once this has returned
+            out.getFD().sync(); // the library may truncate the log before it once this has returned
         }
         Files.move(next.toPath(), file.toPath(), StandardCopyOption.ATOMIC_MOVE);
         MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
@@ -103,79 +104,80 @@
         return storage;
     }
 
-    /** The library takes part in votes on, though it can keep nothing of what it says there. */
+    /** The library goes on voting although it can't persist its votes any more. */
     @Override
     public void notifyLogFailed(Throwable cause, LogEntryProto failed) {
         logFailed = true;
     }
 
-    /** Whether its log has ended, as on a disk that refuses. */
+    /** Whether the log has failed, for example at a failed write. */
     boolean hasLogFailed() {
         return logFailed;
     }
 
-    /** A command that was spoilt on its way here is turned down before it is in any log. */
+    /** Refuses a command that was corrupted in transit, before it is appended to any log. */
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
         TransactionContext trx = super.startTransaction(request);
         if (!FleetCodec.isIntact(CorrelationToken.payload(request.getMessage().getContent()))) {
-            trx.setException(new IOException("a command that is not what was sent"));
+            trx.setException(new IOException("the command does not match its checksum"));
         }
         return trx;
     }
 
     /**
-     * A command that was good at the leader and is spoilt here was spoilt on the way between them: this voter's state would
-     * part from the others', so it applies nothing more.
+     * Applies a command. A command that is corrupt here, but was intact at the leader, was corrupted between them: this replica
+     * would diverge from the others, so it applies nothing more.
      */
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext trx) {
         LogEntryProto entry = trx.getLogEntry();
-        ByteString question = entry.getStateMachineLogEntry().getLogData();
-        byte[] command = CorrelationToken.payload(question);
-        byte[] answer;
+        ByteString request = entry.getStateMachineLogEntry().getLogData();
+        byte[] command = CorrelationToken.payload(request);
+        byte[] reply;
         synchronized (this) {
-            spoilt |= !FleetCodec.isIntact(command);
-            if (spoilt) {
-                return CompletableFuture.failedFuture(new IOException("an entry of the log is not what was agreed"));
+            corrupt |= !FleetCodec.isIntact(command);
+            if (corrupt) {
+                return CompletableFuture.failedFuture(new IOException("a log entry does not match its checksum"));
             }
-            answer = apply(command);
+            reply = apply(command);
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
-            tell();
+            publishIfChanged();
         }
-        return CompletableFuture.completedFuture(CorrelationToken.tagReply(question, answer));
+        return CompletableFuture.completedFuture(CorrelationToken.tagReply(request, reply));
     }
 
     private byte[] apply(byte[] command) {
         try {
             return codec.write((Record) state.apply(codec.readCommand(command)));
-        } catch (MalformedRecordException e) { // the same bytes are refused everywhere, so that states stay the same
+        } catch (MalformedRecordException e) { // every replica refuses the same bytes, so that their states stay equal
             return codec.write(new Result.Refused(Result.Reason.LIMIT_REACHED, "no command: " + e.getMessage()));
         }
     }
 
-    private void tell() {
-        if (state.version() != told) {
-            told = state.version();
+    /** Hands the state to the listener if its version has changed. */
+    private void publishIfChanged() {
+        if (state.version() != publishedVersion) {
+            publishedVersion = state.version();
             applied.accept(state.snapshot());
         }
     }
 
     @Override
     public CompletableFuture<Message> query(Message request) {
-        return CompletableFuture.completedFuture(CorrelationToken.tagReply(request.getContent(), bytes()));
+        return CompletableFuture.completedFuture(CorrelationToken.tagReply(request.getContent(), encodedSnapshot()));
     }
 
-    private synchronized byte[] bytes() {
+    private synchronized byte[] encodedSnapshot() {
         return codec.write(state.snapshot());
     }
 
-    /** Whether its log holds what was not agreed, so that it must take no part in votes. */
+    /** Whether the log has a corrupt entry, so that this replica must not vote. */
     synchronized boolean isCorrupt() {
-        return spoilt;
+        return corrupt;
     }
 
-    /** Agreed time as far as this voter has applied it. */
+    /** The agreed time, as far as this replica has applied it. */
     synchronized long agreedTime() {
         return state.time();
     }
--- a/agreement/src/main/java/quincespar/agreement/LeaderClock.java
+++ b/agreement/src/main/java/quincespar/agreement/LeaderClock.java
@@ -1,27 +1,28 @@
 package quincespar.agreement;
 
 /**
- * Agreed time as a leader tells it: what was agreed when it came to lead, and what has passed since on a clock that can't be
- * set. A leader that stood still does not count that time: nobody could renew a session with it meanwhile.
+ * The agreed time as the leader advances it: the time agreed when it started to lead, plus what has elapsed since on a monotonic
+ * clock. A pause of the leader's process counts only up to the longest step, because nobody could renew a session during it.
  */
 final class LeaderClock {
-    private final double longestStepMs;
+    private final double maxStepMs;
+    /** The agreed time in milliseconds, negative while this instance does not lead. */
     private double time = -1;
-    private double toldAt;
+    private double advancedAt;
 
-    LeaderClock(double longestStepMs) {
-        this.longestStepMs = longestStepMs;
+    LeaderClock(double maxStepMs) {
+        this.maxStepMs = maxStepMs;
     }
 
-    /** This instance does not lead. */
+    /** Resets the clock, when this instance does not lead. */
     void reset() {
         time = -1;
     }
 
-    /** The time to tell at {@code now}, both in milliseconds, where {@code agreed} is what has been agreed so far. */
+    /** Returns the time to agree on at {@code now}, where {@code agreed} is the time agreed so far; all in milliseconds. */
     long advance(double now, long agreed) {
-        time = Math.max(agreed, time < 0 ? agreed : time + Math.min(Math.max(0, now - toldAt), longestStepMs));
-        toldAt = now;
+        time = Math.max(agreed, time < 0 ? agreed : time + Math.min(Math.max(0, now - advancedAt), maxStepMs));
+        advancedAt = now;
         return Math.round(time);
     }
 }
--- a/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
+++ b/agreement/src/main/java/quincespar/agreement/RatisAgreement.java
@@ -44,55 +44,69 @@
 import quincespar.fleet.FleetConfig;
 import quincespar.fleet.Snapshot;
 
-/** One instance's part in the agreement: a client always, a server where it votes. */
+/** The replicated log by Apache Ratis: always a Ratis client, and a Ratis server while this instance votes. */
 final class RatisAgreement implements Agreement {
-    /** A command or a state in one message; registers and instances are bounded by the state itself. */
-    private static final String BUFFER = "2MB", LOG_BUFFER = "3MB", SEGMENT = "4MB", PREALLOCATED = "64KB";
-    /** Commands after which a snapshot is taken, so that the log stays short. */
-    private static final long SNAPSHOT_EVERY = 4000;
-    private static final int SNAPSHOTS_KEPT = 2, CALLERS = 4, COMMANDS = 2, SERVERS = 4;
-    private static final int TRIES = 6, CLOSERS = 3, CLOSINGS = 16;
-    /** A voter that was down is tried again so often in an election's time; the library's own pause grows to 5 s. */
-    private static final int RETRIES_AN_ELECTION = 4, RETRIES_AT_ONCE = 10;
-    private static final long TRY_MS = 100, TICK_MS = 200, COMPACT_MS = 3000;
+    /** Holds one command or one snapshot per message; the state itself limits registers and instances. */
+    private static final String APPENDER_BUFFER_SIZE = "2MB";
+    private static final String LOG_WRITE_BUFFER_SIZE = "3MB";
+    private static final String LOG_SEGMENT_SIZE = "4MB";
+    private static final String LOG_PREALLOCATED_SIZE = "64KB";
+    /** Number of commands after which a snapshot is taken, so that the log stays short. */
+    private static final long SNAPSHOT_INTERVAL_COMMANDS = 4000;
+    private static final int RETAINED_SNAPSHOTS = 2;
+    private static final int READ_THREADS = 4;
+    private static final int COMMAND_THREADS = 2;
+    private static final int SERVER_THREADS = 4;
+    private static final int CLIENT_ATTEMPTS = 6;
+    private static final long CLIENT_RETRY_DELAY_MS = 100;
+    private static final int CLOSER_THREADS = 3;
+    private static final int CLOSER_QUEUE_LENGTH = 16;
+    private static final int CLOSER_IDLE_S = 10;
+    /** Retries of a voter that is down, per election timeout, after the first fast ones; Ratis's own delay grows to 5 s. */
+    private static final int RETRIES_PER_ELECTION_TIMEOUT = 4;
+    private static final int FAST_RETRIES = 10;
+    private static final long TICK_INTERVAL_MS = 200;
+    private static final long COMPACTION_TIMEOUT_MS = 3000;
 
     private final Logger log = LoggerFactory.getLogger(RatisAgreement.class);
-    private final FleetConfig plan;
+    private final FleetConfig config;
     private final String self;
     private final Consumer<Snapshot> applied;
     private final RaftGroup group;
     private final RaftClient client;
-    private final ExecutorService calls = Executors.newFixedThreadPool(CALLERS, daemons("fleet-call"));
-    /** Of their own, so that a session is not lost behind reads that wait for a leader. */
-    private final ExecutorService commands = Executors.newFixedThreadPool(COMMANDS, daemons("fleet-command"));
-    /** Ends connections; where more fail than it can end, whoever found that waits for it. */
-    private final ExecutorService closing = new ThreadPoolExecutor(CLOSERS, CLOSERS, 10, TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(CLOSINGS), daemons("fleet-close"), new ThreadPoolExecutor.CallerRunsPolicy());
-    private final ScheduledExecutorService ticks = Executors.newSingleThreadScheduledExecutor(daemons("fleet-tick"));
-    private final LeaderClock clock = new LeaderClock(2.0 * TICK_MS);
+    private final ExecutorService readThreads = Executors.newFixedThreadPool(READ_THREADS, daemonThreads("fleet-call"));
+    /** Separate threads, so that no session expires behind reads that wait for a leader. */
+    private final ExecutorService commandThreads = Executors.newFixedThreadPool(COMMAND_THREADS, daemonThreads("fleet-command"));
+    /** Closes failed connections; if its queue is full, the thread that has found the failure closes the connection itself. */
+    private final ExecutorService connectionCloser = new ThreadPoolExecutor(CLOSER_THREADS, CLOSER_THREADS, CLOSER_IDLE_S,
+            TimeUnit.SECONDS, new ArrayBlockingQueue<>(CLOSER_QUEUE_LENGTH), daemonThreads("fleet-close"),
+            new ThreadPoolExecutor.CallerRunsPolicy());
+    private final ScheduledExecutorService tickThread = Executors.newSingleThreadScheduledExecutor(daemonThreads("fleet-tick"));
+    private final LeaderClock clock = new LeaderClock(2.0 * TICK_INTERVAL_MS);
     private final FleetCodec codec = new FleetCodec();
-    /** Null where this instance does not vote; read without a lock, as a start may wait for its disk. */
+    /** Null while this instance does not vote; volatile, because starting it may hold the lock for as long as the disk takes. */
     private volatile RaftServer server;
     private volatile FleetStateMachine machine;
 
-    RatisAgreement(FleetConfig plan, String self, Consumer<Snapshot> applied) {
-        this.plan = plan;
+    RatisAgreement(FleetConfig config, String self, Consumer<Snapshot> applied) {
+        this.config = config;
         this.self = self;
         this.applied = applied;
-        List<RaftPeer> voters = plan.voters().entrySet().stream().map(v -> RaftPeer.newBuilder().setId(v.getKey())
+        List<RaftPeer> voters = config.voters().entrySet().stream().map(v -> RaftPeer.newBuilder().setId(v.getKey())
                 .setAddress(v.getValue()).build()).toList();
-        group = RaftGroup.valueOf(RaftGroupId.valueOf(UUID.nameUUIDFromBytes(plan.group().getBytes(
+        group = RaftGroup.valueOf(RaftGroupId.valueOf(UUID.nameUUIDFromBytes(config.group().getBytes(
                 StandardCharsets.UTF_8))), voters);
         RaftProperties p = properties();
-        RaftClientConfigKeys.Rpc.setRequestTimeout(p, ms(3 * plan.electionTimeoutMs()));
+        RaftClientConfigKeys.Rpc.setRequestTimeout(p, ms(3 * config.electionTimeoutMs()));
         client = RaftClient.newBuilder().setProperties(p).setRaftGroup(group)
-                .setParameters(FleetRpcType.parameters(plan, closing))
-                .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(TRIES, TimeDuration.valueOf(TRY_MS,
+                .setParameters(FleetRpcType.parameters(config, connectionCloser))
+                .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(CLIENT_ATTEMPTS,
+                        TimeDuration.valueOf(CLIENT_RETRY_DELAY_MS,
                         TimeUnit.MILLISECONDS))).build();
-        ticks.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        tickThread.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static ThreadFactory daemons(String name) {
+    private static ThreadFactory daemonThreads(String name) {
         return r -> {
             Thread t = new Thread(r, name);
             t.setDaemon(true);
@@ -103,7 +117,7 @@
     private static RaftProperties properties() {
         RaftProperties p = new RaftProperties();
         RaftConfigKeys.Rpc.setType(p, new FleetRpcType());
-        NettyConfigKeys.Server.setUseEpoll(p, false); // no native parts are packed
+        NettyConfigKeys.Server.setUseEpoll(p, false); // the jar has no native libraries
         NettyConfigKeys.Client.setUseEpoll(p, false);
         return p;
     }
@@ -114,48 +128,48 @@
 
     @Override
     public CompletionStage<byte[]> submit(byte[] command) {
-        return ask(commands, command, client.io()::send);
+        return send(commandThreads, command, client.io()::send);
     }
 
     @Override
     public CompletionStage<byte[]> readLinearizable() {
-        return ask(calls, new byte[0], client.io()::sendReadOnly);
+        return send(readThreads, new byte[0], client.io()::sendReadOnly);
     }
 
     @Override
     public CompletionStage<byte[]> readStale(String voter) {
-        return ask(calls, new byte[0], m -> client.io().sendStaleRead(m, 0, RaftPeerId.valueOf(voter)));
+        return send(readThreads, new byte[0], m -> client.io().sendStaleRead(m, 0, RaftPeerId.valueOf(voter)));
     }
 
-    private interface Call {
-        RaftClientReply make() throws IOException;
+    private interface ClientCall {
+        RaftClientReply run() throws IOException;
     }
 
-    private interface Question {
-        RaftClientReply ask(Message m) throws IOException;
+    private interface ClientMethod {
+        RaftClientReply send(Message message) throws IOException;
     }
 
-    private CompletionStage<byte[]> ask(ExecutorService on, byte[] bytes, Question q) {
-        ByteString question = CorrelationToken.tagRequest(bytes);
-        return call(on, () -> checked(question, q.ask(Message.valueOf(question)))).thenApply(answer -> CorrelationToken.payload(
-                ByteString.copyFrom(answer)));
+    private CompletionStage<byte[]> send(ExecutorService threads, byte[] bytes, ClientMethod method) {
+        ByteString request = CorrelationToken.tagRequest(bytes);
+        return call(threads, () -> checkToken(request, method.send(Message.valueOf(request))))
+                .thenApply(reply -> CorrelationToken.payload(ByteString.copyFrom(reply)));
     }
 
-    /** An answer to another question: nothing on that connection can be told apart any more, so it is given up. */
-    private RaftClientReply checked(ByteString question, RaftClientReply r) throws IOException {
-        if (r.isSuccess() && !CorrelationToken.matches(question, r.getMessage().getContent())) {
-            IOException e = new IOException("an answer to another question from " + r.getServerId());
-            client.getClientRpc().handleException(r.getServerId(), e, true);
+    /** Closes the connection if the reply is to another request: all further replies on it would be matched wrongly, too. */
+    private RaftClientReply checkToken(ByteString request, RaftClientReply reply) throws IOException {
+        if (reply.isSuccess() && !CorrelationToken.matches(request, reply.getMessage().getContent())) {
+            IOException e = new IOException("reply to another request from " + reply.getServerId());
+            client.getClientRpc().handleException(reply.getServerId(), e, true);
             throw e;
         }
-        return r;
+        return reply;
     }
 
-    private static CompletionStage<byte[]> call(ExecutorService on, Call c) {
+    private static CompletionStage<byte[]> call(ExecutorService threads, ClientCall call) {
         CompletableFuture<byte[]> out = new CompletableFuture<>();
-        on.execute(() -> {
+        threads.execute(() -> {
             try {
-                RaftClientReply r = c.make();
+                RaftClientReply r = call.run();
                 if (r.isSuccess()) {
                     out.complete(r.getMessage().getContent().toByteArray());
                 } else {
@@ -170,46 +184,46 @@
 
     @Override
     public synchronized void startVoting(Path folder) throws IOException {
-        String address = plan.voters().get(self);
+        String address = config.voters().get(self);
         int colon = address.lastIndexOf(':');
         RaftProperties p = properties();
         NettyConfigKeys.Server.setHost(p, address.substring(0, colon));
         NettyConfigKeys.Server.setPort(p, Integer.parseInt(address.substring(colon + 1)));
         RaftServerConfigKeys.setStorageDir(p, List.of(folder.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(p, ms(plan.electionTimeoutMs()));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(p, ms(2 * plan.electionTimeoutMs()));
-        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(p, ms(plan.electionTimeoutMs()));
-        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(p, ms(2 * plan.electionTimeoutMs()));
-        RaftServerConfigKeys.Rpc.setRequestTimeout(p, ms(2 * plan.electionTimeoutMs()));
-        RaftServerConfigKeys.Rpc.setSleepTime(p, ms(plan.electionTimeoutMs() / 10));
-        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(p, SizeInBytes.valueOf(BUFFER));
-        RaftServerConfigKeys.Log.Appender.setRetryPolicy(p, "1ms," + RETRIES_AT_ONCE + ", " + Math.round(plan.electionTimeoutMs()
-                / RETRIES_AN_ELECTION) + "ms," + Integer.MAX_VALUE);
-        RaftServerConfigKeys.Log.setWriteBufferSize(p, SizeInBytes.valueOf(LOG_BUFFER));
-        RaftServerConfigKeys.Log.setSegmentSizeMax(p, SizeInBytes.valueOf(SEGMENT));
-        RaftServerConfigKeys.Log.setPreallocatedSize(p, SizeInBytes.valueOf(PREALLOCATED));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(p, ms(config.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(p, ms(2 * config.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(p, ms(config.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(p, ms(2 * config.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setRequestTimeout(p, ms(2 * config.electionTimeoutMs()));
+        RaftServerConfigKeys.Rpc.setSleepTime(p, ms(config.electionTimeoutMs() / 10));
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(p, SizeInBytes.valueOf(APPENDER_BUFFER_SIZE));
+        RaftServerConfigKeys.Log.Appender.setRetryPolicy(p, "1ms," + FAST_RETRIES + ", " + Math.round(config.electionTimeoutMs()
+                / RETRIES_PER_ELECTION_TIMEOUT) + "ms," + Integer.MAX_VALUE);
+        RaftServerConfigKeys.Log.setWriteBufferSize(p, SizeInBytes.valueOf(LOG_WRITE_BUFFER_SIZE));
+        RaftServerConfigKeys.Log.setSegmentSizeMax(p, SizeInBytes.valueOf(LOG_SEGMENT_SIZE));
+        RaftServerConfigKeys.Log.setPreallocatedSize(p, SizeInBytes.valueOf(LOG_PREALLOCATED_SIZE));
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(p, true);
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(p, true);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, SNAPSHOT_EVERY);
-        RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, SNAPSHOTS_KEPT);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(p, SNAPSHOT_INTERVAL_COMMANDS);
+        RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, RETAINED_SNAPSHOTS);
         RaftServerConfigKeys.Read.setOption(p, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        RaftServerConfigKeys.Read.setTimeout(p, ms(3 * plan.electionTimeoutMs()));
-        RaftServerConfigKeys.ThreadPool.setServerSize(p, SERVERS);
-        RaftServerConfigKeys.ThreadPool.setClientSize(p, SERVERS);
-        RaftServerConfigKeys.ThreadPool.setProxySize(p, SERVERS);
+        RaftServerConfigKeys.Read.setTimeout(p, ms(3 * config.electionTimeoutMs()));
+        RaftServerConfigKeys.ThreadPool.setServerSize(p, SERVER_THREADS);
+        RaftServerConfigKeys.ThreadPool.setClientSize(p, SERVER_THREADS);
+        RaftServerConfigKeys.ThreadPool.setProxySize(p, SERVER_THREADS);
         FleetStateMachine m = new FleetStateMachine(applied);
-        Path own = folder.resolve(group.getGroupId().getUuid().toString());
-        boolean begun = Files.exists(own);
-        Path lastVote = own.resolve("current").resolve("raft-meta");
-        if (Files.exists(lastVote) && Files.size(lastVote) == 0) { // the library empties it before it finds that the disk refuses
+        Path groupFolder = folder.resolve(group.getGroupId().getUuid().toString());
+        boolean hasLog = Files.exists(groupFolder);
+        Path lastVote = groupFolder.resolve("current").resolve("raft-meta");
+        if (Files.exists(lastVote) && Files.size(lastVote) == 0) { // Ratis truncates the file before a write that fails
             throw new IOException("its last vote was lost on a disk that refused it: it follows until it is made a voter anew");
         }
         RaftServer s = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(self)).setGroup(group).setProperties(p)
-                .setParameters(FleetRpcType.parameters(plan, closing)).setStateMachine(m)
-                .setOption(begun ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT).build();
+                .setParameters(FleetRpcType.parameters(config, connectionCloser)).setStateMachine(m)
+                .setOption(hasLog ? RaftStorage.StartupOption.RECOVER : RaftStorage.StartupOption.FORMAT).build();
         try {
             s.start();
-        } catch (IOException | RuntimeException e) { // as where another process has the address: nothing of it may go on
+        } catch (IOException | RuntimeException e) { // as if the address is in use: no part of the server may keep running
             s.close();
             throw e;
         }
@@ -229,7 +243,7 @@
                 old.close();
             }
         } catch (IOException e) {
-            log.warn("the end of votes here: {}", e.toString());
+            log.warn("could not stop the Ratis server cleanly: {}", e.toString());
         }
     }
 
@@ -237,10 +251,10 @@
     public void transferLeadership() {
         Status s = status();
         if (s.voting() && s.leader().equals(self)) {
-            call(commands, () -> client.admin().transferLeadership(null, RaftPeerId.valueOf(self), Math.round(2
-                    * plan.electionTimeoutMs()))).whenComplete((done, e) -> {
-                        if (e != null) { // then the others find out by the silence, as with a kill
-                            log.info("the lead was not handed over: {}", e.toString());
+            call(commandThreads, () -> client.admin().transferLeadership(null, RaftPeerId.valueOf(self), Math.round(2
+                    * config.electionTimeoutMs()))).whenComplete((done, e) -> {
+                        if (e != null) { // then the others elect a leader after the election timeout, as after a crash
+                            log.info("could not transfer the leadership: {}", e.toString());
                         }
                     });
         }
@@ -249,14 +263,14 @@
     @Override
     public void compactLog() throws IOException {
         if (server != null) {
-            RaftClientReply r = client.getSnapshotManagementApi(RaftPeerId.valueOf(self)).create(COMPACT_MS);
+            RaftClientReply r = client.getSnapshotManagementApi(RaftPeerId.valueOf(self)).create(COMPACTION_TIMEOUT_MS);
             if (!r.isSuccess()) {
-                throw new IOException("no snapshot: " + r.getException());
+                throw new IOException("could not take a snapshot: " + r.getException());
             }
         }
     }
 
-    /** Null where it takes no part in votes, or can't any more: its log ends at the first write that the disk refuses. */
+    /** Null if this instance does not vote, or can't any more: its log is closed at the first write that fails. */
     private DivisionInfo info() throws IOException {
         RaftServer s = server;
         FleetStateMachine m = machine;
@@ -276,13 +290,13 @@
                 return new Status(true, i.getLeaderId() == null ? "" : i.getLeaderId().toString(), i.getCurrentTerm(),
                         i.getLastAppliedIndex());
             }
-        } catch (IOException e) { // its group is not there yet, or no more
-            log.debug("no status: {}", e.toString());
+        } catch (IOException e) { // the server has no group yet, or has none any more
+            log.debug("could not read the status: {}", e.toString());
         }
         return new Status(false, client.getLeaderId() == null ? "" : client.getLeaderId().toString(), 0, 0);
     }
 
-    /** The leader alone tells the time; whoever is none rests. */
+    /** Advances the agreed time if this instance is the leader; otherwise resets the clock. */
     private void tick() {
         try {
             DivisionInfo i = info();
@@ -291,28 +305,28 @@
                 return;
             }
             long time = clock.advance(System.nanoTime() / 1e6, machine.agreedTime());
-            RaftClientReply r = client.io().send(Message.valueOf(CorrelationToken.tagRequest(codec.write(new Command.Tick(time, Math.round(plan.suspectAfterMs()),
-                    Math.round(plan.goneAfterMs()))))));
+            Command.Tick command = new Command.Tick(time, Math.round(config.suspectAfterMs()), Math.round(config.goneAfterMs()));
+            RaftClientReply r = client.io().send(Message.valueOf(CorrelationToken.tagRequest(codec.write(command))));
             if (!r.isSuccess()) {
                 clock.reset();
             }
-        } catch (IOException | RuntimeException e) { // the next one tells
+        } catch (IOException | RuntimeException e) { // retried at the next tick
             clock.reset();
-            log.debug("no tick: {}", e.toString());
+            log.debug("could not submit a tick: {}", e.toString());
         }
     }
 
     @Override
     public void close() {
-        ticks.shutdownNow();
-        calls.shutdownNow();
-        commands.shutdownNow();
+        tickThread.shutdownNow();
+        readThreads.shutdownNow();
+        commandThreads.shutdownNow();
         stopVoting();
         try {
             client.close();
         } catch (IOException e) {
-            log.debug("closing: {}", e.toString());
+            log.debug("could not close the client: {}", e.toString());
         }
-        closing.shutdownNow();
+        connectionCloser.shutdownNow();
     }
 }
--- a/agreement/src/main/java/quincespar/agreement/RatisProvider.java
+++ b/agreement/src/main/java/quincespar/agreement/RatisProvider.java
@@ -6,15 +6,15 @@
 import quincespar.fleet.FleetConfig;
 import quincespar.fleet.Snapshot;
 
-/** Found by the front end where a fleet is switched on. */
+/** Provides {@link RatisAgreement}; loaded by the front end if a fleet is configured. */
 public final class RatisProvider implements Agreement.Provider {
     @Override
-    public Agreement open(FleetConfig plan, String self, Consumer<Snapshot> applied) throws IOException {
+    public Agreement open(FleetConfig config, String self, Consumer<Snapshot> applied) throws IOException {
         Thread caller = Thread.currentThread();
         ClassLoader before = caller.getContextClassLoader();
-        caller.setContextClassLoader(RatisProvider.class.getClassLoader()); // by which the library finds its parts, for good
+        caller.setContextClassLoader(RatisProvider.class.getClassLoader()); // the library loads its parts with it, and keeps it
         try {
-            return new RatisAgreement(plan, self, applied);
+            return new RatisAgreement(config, self, applied);
         } finally {
             caller.setContextClassLoader(before);
         }
--- a/agreement/src/main/java/quincespar/agreement/package-info.java
+++ b/agreement/src/main/java/quincespar/agreement/package-info.java
@@ -1,2 +1,2 @@
-/** Agreement by Apache Ratis; knows that library and the fleet's commands as bytes, and decides nothing. */
+/** The replicated log by Apache Ratis. Knows that library and the fleet's commands as bytes, and makes no decisions. */
 package quincespar.agreement;
