--- a/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
+++ b/frontend/src/test/java/quincespar/routing/PeerSharesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.fleet.FleetView;
 import quincespar.fleet.Instance;
 import quincespar.fleet.Participation;
@@ -23,11 +23,11 @@
 class PeerSharesTest {
     private static final double SHARE_HOLD_MS = 10_000;
 
-    private final List<Gateway.Configured> configured = new ArrayList<>();
+    private final List<Scheduler.SettingsChanged> configured = new ArrayList<>();
     private final Reducer reducer = new Reducer(SimulatedRouter.settings(3, new Spec("a", "safe")),
             new Bounds(100, 1000, 2000, 2500, 8, 8, 500, new PollTiming(2000, 1000, 250, 1000, 250, 400, 5000, 10_000)),
             (now, events) -> {
-                events.stream().filter(Gateway.Configured.class::isInstance).map(Gateway.Configured.class::cast)
+                events.stream().filter(Scheduler.SettingsChanged.class::isInstance).map(Scheduler.SettingsChanged.class::cast)
                         .forEach(configured::add);
                 return List.of();
             });
@@ -49,7 +49,7 @@
         step(new Input.FleetChanged(new FleetView(Participation.Phase.IN_TOUCH, "", 1, state, now, inTouch), "b", SHARE_HOLD_MS));
     }
 
-    private Gateway.Settings lastConfigured() {
+    private Scheduler.Settings lastConfigured() {
         return configured.get(configured.size() - 1).settings();
     }
 
@@ -58,7 +58,7 @@
         reducer.start(now, "127.0.0.1:1", List.of());
         fleetChanges(true, "a", "b", "c");
         assertThat(lastConfigured().routers()).isEqualTo(3);
-        assertThat(configured.get(0).settings().me()).isEqualTo(1);
+        assertThat(configured.get(0).settings().routerIndex()).isEqualTo(1);
         fleetChanges(true, "a", "b", "c");
         assertThat(configured).hasSize(1); // nothing new for the module
         fleetChanges(true, "b", "c");
@@ -67,7 +67,7 @@
         now += SHARE_HOLD_MS;
         step(new Input.TimerFired(new TimerKey.ShareGrowth()));
         assertThat(lastConfigured().routers()).isEqualTo(2);
-        assertThat(lastConfigured().me()).isZero();
+        assertThat(lastConfigured().routerIndex()).isZero();
         step(new Input.ReloadRequested());
         long reloadId = lastEffects.stream().filter(Effect.ReloadConfiguration.class::isInstance)
                 .mapToLong(e -> ((Effect.ReloadConfiguration) e).reloadId()).findFirst().orElseThrow();
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.decision.GcMuScheduler;
 import quincespar.membership.PollTiming;
 import quincespar.protocol.FleetEvent;
@@ -41,7 +41,7 @@
     final Map<String, Effect.Send> running = new LinkedHashMap<>();
     final List<Effect> effects = new ArrayList<>();
     /** Each engine as the decision module was last told of it. */
-    final Map<Long, Gateway.Engine> listedEngines = new HashMap<>();
+    final Map<Long, Scheduler.Engine> listedEngines = new HashMap<>();
     final Reducer reducer;
     RoutingSettings settings;
     double now = 1000;
@@ -64,11 +64,11 @@
     }
 
     /** Wraps a module to record the lists of engines that it is told. */
-    private Gateway recordingLists(Gateway module) {
-        return new Gateway() {
+    private Scheduler recordingLists(Scheduler module) {
+        return new Scheduler() {
             @Override
-            public List<Gateway.Action> decide(double time, List<Gateway.Event> events) {
-                events.stream().filter(Gateway.Listed.class::isInstance).flatMap(e -> ((Gateway.Listed) e).engines().stream())
+            public List<Scheduler.Action> decide(double time, List<Scheduler.Event> events) {
+                events.stream().filter(Scheduler.EngineList.class::isInstance).flatMap(e -> ((Scheduler.EngineList) e).engines().stream())
                         .forEach(e -> listedEngines.put(e.id(), e));
                 return module.decide(time, events);
             }
@@ -132,7 +132,7 @@
     Caller request(String className) {
         Caller caller = new Caller(1, ++requests);
         int classNumber = settings.classNumbers().get(className);
-        classEffects.put(caller, settings.decision().classes().get(classNumber).effect().name());
+        classEffects.put(caller, settings.decision().classes().get(classNumber).idempotency().name());
         step(new Input.RequestReceived(caller,
                 new Query(String.format("%016x", requests), classNumber, 0, 4000, false, 10, 0, 0, new byte[0]), now));
         return caller;
