--- a/capture/src/main/java/quincespar/capture/Explainer.java
+++ b/capture/src/main/java/quincespar/capture/Explainer.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import quincespar.decision.DecisionExplainer;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.Event;
 import quincespar.decision.GcMuScheduler;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.Event;
+import quincespar.decision.Scheduler;
 
 /** Explains to operators, from a capture, what happened to a request and why, or what the module knew of an engine. */
 public final class Explainer {
@@ -17,8 +17,8 @@
     private final CaptureReader captures;
     private final CurrentModuleFactory modules = new CurrentModuleFactory();
     private final Consumer<String> output;
-    private Gateway.Settings settings;
-    private Gateway.Request received;
+    private Scheduler.Settings settings;
+    private Scheduler.Request received;
     private double receivedAt;
     private int lines;
 
@@ -37,15 +37,15 @@
             boolean more = replay.play(e);
             if (e instanceof Entry.Call c) {
                 c.events().stream().filter(x -> concerns(x, id)).forEach(x -> {
-                    received = x instanceof Gateway.Request r ? r : received;
-                    receivedAt = x instanceof Gateway.Request ? c.time() : receivedAt;
+                    received = x instanceof Scheduler.Request r ? r : received;
+                    receivedAt = x instanceof Scheduler.Request ? c.time() : receivedAt;
                     printAt(c.time(), describe(x));
                 });
                 if (before != null) {
                     before.choices(c.time(), c.events(), c.actions()).stream().filter(x -> x.request() == id)
                             .forEach(x -> printChoice(c.time(), x));
                 }
-                c.actions().stream().filter(a -> concerns(a, id) && (before == null || !(a instanceof Gateway.Send)))
+                c.actions().stream().filter(a -> concerns(a, id) && (before == null || !(a instanceof Scheduler.SendAttempt)))
                         .forEach(a -> printAt(c.time(), describe(a) + describeTimeLeft(a, c.time())));
             } else if (e instanceof Entry.Opening o && settings == null) {
                 settings = o.settings();
@@ -72,7 +72,7 @@
     }
 
     private static boolean sends(Entry.Call c, long id) {
-        return c.actions().stream().anyMatch(a -> a instanceof Gateway.Send s && s.id() == id);
+        return c.actions().stream().anyMatch(a -> a instanceof Scheduler.SendAttempt s && s.id() == id);
     }
 
     private void printLimits(Replay.Result r) {
@@ -113,44 +113,44 @@
     }
 
     private static boolean concerns(Event e, long id) {
-        return e instanceof Gateway.Request r && r.id() == id || e instanceof Gateway.Ended x && x.id() == id
-                || e instanceof Gateway.Note n && n.id() == id || e instanceof Gateway.Left l && l.id() == id
-                || e instanceof Gateway.Started s && s.id() == id;
+        return e instanceof Scheduler.Request r && r.id() == id || e instanceof Scheduler.AttemptEnded x && x.id() == id
+                || e instanceof Scheduler.AttemptNote n && n.id() == id || e instanceof Scheduler.ClientLeft l && l.id() == id
+                || e instanceof Scheduler.AnswerStarted s && s.id() == id;
     }
 
     private static boolean concerns(Action a, long id) {
-        return a instanceof Gateway.Send s && s.id() == id || a instanceof Gateway.Refuse r && r.id() == id
-                || a instanceof Gateway.Fail f && f.id() == id || a instanceof Gateway.Cancel c && c.id() == id;
+        return a instanceof Scheduler.SendAttempt s && s.id() == id || a instanceof Scheduler.RefuseRequest r && r.id() == id
+                || a instanceof Scheduler.FailRequest f && f.id() == id || a instanceof Scheduler.CancelAttempt c && c.id() == id;
     }
 
     private static String describe(Event e) {
-        if (e instanceof Gateway.Request r) {
+        if (e instanceof Scheduler.Request r) {
             return String.format(Locale.ROOT, "request %d received: class %d, time limit %.0f ms, estimated work %.0f ms%s",
-                    r.id(), r.cls(), r.patience(), r.work(), r.retry() ? ", marked as a retry" : "");
-        } else if (e instanceof Gateway.Ended x) {
+                    r.id(), r.requestClass(), r.clientTimeout(), r.estimatedWork(), r.retry() ? ", marked as a retry" : "");
+        } else if (e instanceof Scheduler.AttemptEnded x) {
             return String.format(Locale.ROOT, "attempt %d at engine %d ended after %.0f ms: %s", x.attempt(), x.engine(),
                     x.latency(), x.outcome().name().toLowerCase(Locale.ROOT));
-        } else if (e instanceof Gateway.Note n) {
+        } else if (e instanceof Scheduler.AttemptNote n) {
             return String.format(Locale.ROOT, "engine %d reports on attempt %d: %s %.2f", n.engine(), n.attempt(),
                     n.kind().name().toLowerCase(Locale.ROOT), n.value());
         }
-        return e instanceof Gateway.Left ? "the client has left" : "the engine has started to answer";
+        return e instanceof Scheduler.ClientLeft ? "the client has left" : "the engine has started to answer";
     }
 
     /** For an answer without a result: the request's age, its target and its time left; empty for any other action. */
     private String describeTimeLeft(Action a, double now) {
-        boolean withoutResult = a instanceof Gateway.Refuse || a instanceof Gateway.Fail;
-        return !withoutResult || received == null || settings == null || received.cls() >= settings.classes().size() ? ""
+        boolean withoutResult = a instanceof Scheduler.RefuseRequest || a instanceof Scheduler.FailRequest;
+        return !withoutResult || received == null || settings == null || received.requestClass() >= settings.classes().size() ? ""
                 : String.format(Locale.ROOT, "; age %.0f ms, target %.0f ms, time left %.0f ms", now - receivedAt,
-                settings.classes().get(received.cls()).aim(), received.patience() - (now - receivedAt));
+                settings.classes().get(received.requestClass()).latencyTarget(), received.clientTimeout() - (now - receivedAt));
     }
 
     private static String describe(Action a) {
-        if (a instanceof Gateway.Cancel c) {
-            return "attempt " + c.attempt() + " is cancelled: " + c.why().name().toLowerCase(Locale.ROOT);
-        } else if (a instanceof Gateway.Refuse r) {
-            return String.format(Locale.ROOT, "the request is refused; retry after %.0f ms", r.comeBack());
+        if (a instanceof Scheduler.CancelAttempt c) {
+            return "attempt " + c.attempt() + " is cancelled: " + c.reason().label;
+        } else if (a instanceof Scheduler.RefuseRequest r) {
+            return String.format(Locale.ROOT, "the request is refused; retry after %.0f ms", r.retryAfter());
         }
-        return a instanceof Gateway.Send s ? "an attempt is sent to engine " + s.engine() : "the request is failed";
+        return a instanceof Scheduler.SendAttempt s ? "an attempt is sent to engine " + s.engine() : "the request is failed";
     }
 }
--- a/capture/src/main/java/quincespar/capture/RuleChecker.java
+++ b/capture/src/main/java/quincespar/capture/RuleChecker.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.Action;
-import quincespar.decision.Gateway.ClassSpec;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Event;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Action;
+import quincespar.decision.Scheduler.ClassSpec;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Event;
 
 /**
  * Checks captured calls against the rules that they show:
@@ -36,7 +36,7 @@
     private static final class OpenRequest {
         private final ClassSpec spec;
         /** The outcome of each attempt, by its number; null while it is in flight. */
-        private final List<Gateway.Outcome> attempts = new ArrayList<>();
+        private final List<Scheduler.Outcome> attempts = new ArrayList<>();
         private boolean answered;
         /** The client has left: no answer is due, and no attempt may be sent. */
         private boolean clientLeft;
@@ -59,7 +59,7 @@
     private final Map<Long, Double> notReadySince = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private Entry.Opening opening;
-    private Gateway.Settings settings;
+    private Scheduler.Settings settings;
     private long violationCount;
 
     /** Checks the next entry. */
@@ -87,11 +87,11 @@
     }
 
     private void checkEvent(double now, Event e) {
-        if (e instanceof Gateway.Request r && r.cls() >= 0 && r.cls() < settings.classes().size()) {
-            requests.putIfAbsent(r.id(), new OpenRequest(settings.classes().get(r.cls())));
-        } else if (e instanceof Gateway.Configured c) {
+        if (e instanceof Scheduler.Request r && r.requestClass() >= 0 && r.requestClass() < settings.classes().size()) {
+            requests.putIfAbsent(r.id(), new OpenRequest(settings.classes().get(r.requestClass())));
+        } else if (e instanceof Scheduler.SettingsChanged c) {
             settings = c.settings();
-        } else if (e instanceof Gateway.Listed l) {
+        } else if (e instanceof Scheduler.EngineList l) {
             l.engines().forEach(n -> {
                 if (n.state() == EngineState.READY) {
                     notReadySince.remove(n.id());
@@ -99,47 +99,47 @@
                     notReadySince.putIfAbsent(n.id(), now);
                 }
             });
-        } else if (e instanceof Gateway.Ended x) {
+        } else if (e instanceof Scheduler.AttemptEnded x) {
             attemptEnded(x, requests.get(x.id()));
-        } else if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
+        } else if (e instanceof Scheduler.ClientLeft l && requests.containsKey(l.id())) {
             requests.get(l.id()).clientLeft = true;
         }
     }
 
-    private void attemptEnded(Gateway.Ended x, OpenRequest r) {
+    private void attemptEnded(Scheduler.AttemptEnded x, OpenRequest r) {
         if (r != null && x.attempt() >= 0 && x.attempt() < r.attempts.size() && r.attempts.get(x.attempt()) == null) {
             r.attempts.set(x.attempt(), x.outcome()); // a repeated report is ignored
-            r.answered |= x.over();
+            r.answered |= x.requestOver();
             removeIfFinished(x.id(), r);
         }
     }
 
     private void clientLeft(Event e) {
-        if (e instanceof Gateway.Left l && requests.containsKey(l.id())) {
+        if (e instanceof Scheduler.ClientLeft l && requests.containsKey(l.id())) {
             requests.get(l.id()).answered = true;
             removeIfFinished(l.id(), requests.get(l.id()));
         }
     }
 
     private void checkAction(double now, Action a) {
-        if (a instanceof Gateway.Send x) {
+        if (a instanceof Scheduler.SendAttempt x) {
             checkSend(now, x, requests.get(x.id()));
-        } else if (a instanceof Gateway.Refuse x) {
+        } else if (a instanceof Scheduler.RefuseRequest x) {
             checkAnswer(now, x.id(), requests.get(x.id()), true);
-        } else if (a instanceof Gateway.Fail x) {
+        } else if (a instanceof Scheduler.FailRequest x) {
             checkAnswer(now, x.id(), requests.get(x.id()), false);
         }
     }
 
-    private void checkSend(double now, Gateway.Send s, OpenRequest r) {
+    private void checkSend(double now, Scheduler.SendAttempt s, OpenRequest r) {
         require(!finished.contains(s.id()), now, s.id(), "is sent after it ended");
         if (r == null) {
             return; // finished, or open since before the first checked call
         }
         require(!r.answered && !r.clientLeft, now, s.id(), "is sent after it ended");
-        require(r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, s.id(),
+        require(r.spec.idempotency() != Scheduler.Idempotency.UNSAFE || !r.mayHaveRun(), now, s.id(),
                 "is sent again although it may have run and must not run twice");
-        require(r.inFlight() == 0 || settings.limits().secondCopies(), now, s.id(), "has two attempts in flight");
+        require(r.inFlight() == 0 || settings.limits().mayRunConcurrentAttempts(), now, s.id(), "has two attempts in flight");
         Double since = notReadySince.get(s.engine());
         require(since == null || now - since <= settings.rules().drainGrace(), now, s.id(),
                 "is sent to engine " + s.engine() + ", which accepts no new requests");
@@ -151,7 +151,7 @@
         if (r == null) {
             return;
         }
-        require(!refused || r.spec.effect() != Gateway.Effect.UNSAFE || !r.mayHaveRun(), now, id,
+        require(!refused || r.spec.idempotency() != Scheduler.Idempotency.UNSAFE || !r.mayHaveRun(), now, id,
                 "is refused after it may have run");
         require(!r.answered, now, id, "has two final answers");
         r.answered = true;
--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -19,8 +19,8 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
 
 /** The cost of a capture to the module's thread and to the writer thread, and the duration of a snapshot; not run in CI. */
 @BenchmarkMode(Mode.AverageTime)
@@ -36,7 +36,7 @@
         @Param({"off", "on"})
         public String capture;
         private List<Entry.Call> calls;
-        private Gateway module;
+        private Scheduler module;
         private Recorder recorder;
         private Thread writer;
         private int position;
@@ -79,7 +79,7 @@
             }
         }
 
-        List<Gateway.Action> next() {
+        List<Scheduler.Action> next() {
             if (position == calls.size()) {
                 reset();
             }
@@ -125,20 +125,20 @@
         @Param({"6x100", "60x500", "60x2000"})
         public String size;
         private final StateCodec codec = new StateCodec(GcMuScheduler.class);
-        private Gateway module;
+        private Scheduler module;
 
         /** Fills the module. */
         @Setup(Level.Trial)
         public void fill() {
             String[] parts = size.split("x");
-            List<Gateway.Engine> engines = new ArrayList<>();
+            List<Scheduler.Engine> engines = new ArrayList<>();
             for (long e = 1; e <= Integer.parseInt(parts[0]); e++) {
-                engines.add(new Gateway.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
+                engines.add(new Scheduler.Engine(e, 0, 0, 0, EngineState.READY, 1, 0));
             }
             module = new GcMuScheduler(SimulatedCluster.settings(), 5);
-            module.decide(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, engines)));
+            module.decide(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, engines)));
             for (int i = 1; i <= Integer.parseInt(parts[1]); i++) {
-                module.decide(i / 10.0, List.of(new Gateway.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
+                module.decide(i / 10.0, List.of(new Scheduler.Request(i, i % 3, -1, 5000, 50, 10, i, 0, false, i % 3 == 2)));
             }
             System.out.println(size + ": " + codec.write(module).length + " bytes");
         }
@@ -146,7 +146,7 @@
 
     /** One call of the module, with the events of a run in order. */
     @Benchmark
-    public List<Gateway.Action> call(Workload workload) {
+    public List<Scheduler.Action> call(Workload workload) {
         return workload.next();
     }
 
--- a/capture/src/test/java/quincespar/capture/CaptureWriterTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureWriterTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /** Segments on a store that works, fails or fills up, deletion of old segments, and replay of what is stored. */
 class CaptureWriterTest {
--- a/capture/src/test/java/quincespar/capture/ScenarioTest.java
+++ b/capture/src/test/java/quincespar/capture/ScenarioTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import quincespar.capture.SimulatedCluster.Scenario;
-import quincespar.decision.Gateway;
-import quincespar.decision.Gateway.EngineState;
-import quincespar.decision.Gateway.Outcome;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.decision.Scheduler.Outcome;
 
 /**
  * Regression test on captured scenarios: the module decides as it did when they were captured. After a deliberate change of
@@ -92,16 +92,16 @@
         long sends = 0;
         for (Entry e : captured(s)) {
             if (e instanceof Entry.Call c) {
-                received += c.events().stream().filter(Gateway.Request.class::isInstance).count();
+                received += c.events().stream().filter(Scheduler.Request.class::isInstance).count();
                 long at = received;
-                sends += c.actions().stream().filter(a -> a instanceof Gateway.Send x && at > from && at <= to
+                sends += c.actions().stream().filter(a -> a instanceof Scheduler.SendAttempt x && at > from && at <= to
                         && (!toSecond || x.engine() == 2)).count();
             }
         }
         return sends;
     }
 
-    private static Entry.Call call(double time, List<Gateway.Event> events, Gateway.Action... actions) {
+    private static Entry.Call call(double time, List<Scheduler.Event> events, Scheduler.Action... actions) {
         return new Entry.Call(time, events, List.of(actions));
     }
 
@@ -110,27 +110,27 @@
     void eachViolationIsReported() {
         RuleChecker r = new RuleChecker();
         r.check(SimulatedCluster.opening(1));
-        Gateway.Engine draining = new Gateway.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
-        r.check(call(0, List.of(new Gateway.Listed(Gateway.ListKind.CACHED, 1, List.of(draining)))));
-        Gateway.Event load = new Gateway.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
-        r.check(call(100, List.of(load), new Gateway.Send(1, 2, 0))); // within the grace period
-        r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Gateway.Send(1, 1, 0))); // it never ran
+        Scheduler.Engine draining = new Scheduler.Engine(2, 0, 0, 0, EngineState.DRAINING, 1, 0);
+        r.check(call(0, List.of(new Scheduler.EngineList(Scheduler.ListKind.CACHED, 1, List.of(draining)))));
+        Scheduler.Event load = new Scheduler.Request(1, 2, -1, 8000, 9, 1, 1, 0, false, true);
+        r.check(call(100, List.of(load), new Scheduler.SendAttempt(1, 2, 0))); // within the grace period
+        r.check(call(200, List.of(ended(1, 0, Outcome.FULL)), new Scheduler.SendAttempt(1, 1, 0))); // it never ran
         r.check(call(300, List.of(ended(1, 1, Outcome.ERROR))));
         assertThat(r.violationCount()).isZero();
-        r.check(call(400, List.of(), new Gateway.Send(1, 1, 0)));
-        r.check(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Gateway.Refuse(1, 0)));
-        r.check(call(600, List.of(), new Gateway.Fail(1)));
-        r.check(call(700, List.of(), new Gateway.Send(1, 1, 0)));
-        Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.check(call(2000, List.of(lookup), new Gateway.Send(2, 1, 0), new Gateway.Send(2, 1, 0)));
-        r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Gateway.Send(2, 2, 0)));
+        r.check(call(400, List.of(), new Scheduler.SendAttempt(1, 1, 0)));
+        r.check(call(500, List.of(ended(1, 2, Outcome.ERROR)), new Scheduler.RefuseRequest(1, 0)));
+        r.check(call(600, List.of(), new Scheduler.FailRequest(1)));
+        r.check(call(700, List.of(), new Scheduler.SendAttempt(1, 1, 0)));
+        Scheduler.Event lookup = new Scheduler.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
+        r.check(call(2000, List.of(lookup), new Scheduler.SendAttempt(2, 1, 0), new Scheduler.SendAttempt(2, 1, 0)));
+        r.check(call(2100, List.of(ended(2, 0, Outcome.ERROR), ended(2, 1, Outcome.ERROR)), new Scheduler.SendAttempt(2, 2, 0)));
         assertThat(r.violations()).containsExactly(
                 "0.400 request 1 is sent again although it may have run and must not run twice",
                 "0.500 request 1 is refused after it may have run", "0.600 request 1 has two final answers",
                 "0.700 request 1 is sent after it ended", "2.000 request 2 has two attempts in flight",
                 "2.100 request 2 is sent to engine 2, which accepts no new requests");
         r.check(new Entry.Gap(2200, 5, "the queue was full"));
-        r.check(call(2300, List.of(), new Gateway.Send(2, 2, 0))); // its state after the gap is unknown
+        r.check(call(2300, List.of(), new Scheduler.SendAttempt(2, 2, 0))); // its state after the gap is unknown
         assertThat(r.violationCount()).isEqualTo(6);
     }
 
@@ -145,7 +145,7 @@
         }
         assertThat(r.violations()).isEmpty();
         r.check(SimulatedCluster.opening(8));
-        r.check(call(99_000, List.of(), new Gateway.Send(3, 1, 0)));
+        r.check(call(99_000, List.of(), new Scheduler.SendAttempt(3, 1, 0)));
         assertThat(r.violations()).containsExactly("99.000 request 3 is sent after it ended");
     }
 
@@ -154,18 +154,18 @@
     void aClientThatLeavesInTheCallThatRefusesItsRequestGetsOneAnswer() {
         RuleChecker r = new RuleChecker();
         r.check(SimulatedCluster.opening(1));
-        Gateway.Event lookup = new Gateway.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
-        r.check(call(0, List.of(lookup), new Gateway.Send(2, 1, 0)));
-        r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Gateway.Left(2)), new Gateway.Refuse(2, 0)));
+        Scheduler.Event lookup = new Scheduler.Request(2, 0, -1, 1300, 9, 1, 1, 0, false, false);
+        r.check(call(0, List.of(lookup), new Scheduler.SendAttempt(2, 1, 0)));
+        r.check(call(10, List.of(ended(2, 0, Outcome.ERROR), new Scheduler.ClientLeft(2)), new Scheduler.RefuseRequest(2, 0)));
         assertThat(r.violations()).isEmpty();
-        r.check(call(20, List.of(), new Gateway.Refuse(2, 0)));
-        r.check(call(30, List.of(new Gateway.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
-        r.check(call(40, List.of(new Gateway.Left(3)), new Gateway.Send(3, 1, 0)));
+        r.check(call(20, List.of(), new Scheduler.RefuseRequest(2, 0)));
+        r.check(call(30, List.of(new Scheduler.Request(3, 0, -1, 1300, 9, 1, 1, 0, false, false))));
+        r.check(call(40, List.of(new Scheduler.ClientLeft(3)), new Scheduler.SendAttempt(3, 1, 0)));
         assertThat(r.violations()).containsExactly("0.020 request 2 has two final answers",
                 "0.040 request 3 is sent after it ended");
     }
 
-    private static Gateway.Event ended(long id, int attempt, Outcome how) {
-        return new Gateway.Ended(id, attempt, 1, how, 5, false, Double.NaN, Double.NaN, List.of());
+    private static Scheduler.Event ended(long id, int attempt, Outcome how) {
+        return new Scheduler.AttemptEnded(id, attempt, 1, how, 5, false, Double.NaN, Double.NaN, List.of());
     }
 }
