--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -164,7 +164,8 @@
     @Property(tries = 3000, seed = "20261201")
     void anyBytesAreAnEntryOrRejected(@ForAll byte[] bytes, @ForAll int at, @ForAll byte with) {
         byte[] record = codec.write(new Entry.Call(5,
-                List.of(new Scheduler.TimerFired(3), new Scheduler.PeerMessage(1, new byte[9])), List.of(new Scheduler.SendAttempt(1, 2, 0))));
+                List.of(new Scheduler.TimerFired(3), new Scheduler.PeerMessage(1, new byte[9])),
+                List.of(new Scheduler.SendAttempt(1, 2, 0))));
         record[Math.floorMod(at, record.length)] = with;
         for (byte[] some : List.of(bytes, record, Arrays.copyOf(record, Math.floorMod(at, record.length)))) {
             try {
--- a/frontend/src/main/java/quincespar/metrics/PrometheusText.java
+++ b/frontend/src/main/java/quincespar/metrics/PrometheusText.java
@@ -22,7 +22,7 @@
         text.metric("gw_sends_total", "counter", "Attempts written whole to engines.", metrics.attemptsSent());
         text.metric("gw_current", "gauge", "Requests taken and not ended.", metrics.openRequests());
         text.metric("gw_cluster_size", "gauge", "Engines in the list.", metrics.listedEngines());
-        text.metric("gw_cluster_unhealthy", "gauge", "Listed engines that the front end now avoids.", metrics.avoidedEngines());
+        text.metric("gw_cluster_unhealthy", "gauge", "Listed engines that the front end now avoids.", metrics.ejectedEngines());
         text.metric("gw_conf_loaded_total", "counter", "Configurations taken at SIGHUP.", metrics.configurationsLoaded());
         text.metric("gw_conf_invalid_total", "counter", "Configurations turned down at SIGHUP.",
                 metrics.configurationsRejected());
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
@@ -145,7 +145,7 @@
             found(f.condition(), entries);
             return true;
         } catch (MalformedRecordException e) { // whole, and yet not what this program writes
-            to.accept(new Input.RecoveryLogRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
+            to.accept(new Input.RecoveryJournalRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
             refused(e);
@@ -183,7 +183,7 @@
         }
         DurableFact.FolderCondition found = foreign ? DurableFact.FolderCondition.ANOTHERS : state == Journal.Condition.CORRUPT ? DurableFact.FolderCondition.CORRUPT
                 : state == Journal.Condition.MISSING ? DurableFact.FolderCondition.LOST : DurableFact.FolderCondition.WHOLE;
-        to.accept(new Input.RecoveryLogRead(found, entries, switch (found) {
+        to.accept(new Input.RecoveryJournalRead(found, entries, switch (found) {
             case ANOTHERS -> "it is that of " + other + ", and nothing is kept";
             case CORRUPT -> "what stands behind " + entries.size() + " entries is not what was written, and was set aside";
             case LOST -> "there is no file";
--- a/frontend/src/main/java/quincespar/routing/Input.java
+++ b/frontend/src/main/java/quincespar/routing/Input.java
@@ -59,7 +59,7 @@
     /** The process ends at that time even if requests are open: each must be answered before. */
     record ShutdownScheduled(double time) implements Input { }
 
-    /** New requests are refused from now on. They have not run, so that clients may repeat them elsewhere. */
+    /** Clients have had time to move to another front end: new requests are refused from now on, as they have not run. */
     record RefuseNewRequests() implements Input { }
 
     /** The operators ask for the configuration to be read again (SIGHUP). */
@@ -76,13 +76,14 @@
     record ConfigurationRejected(long reloadId, String cause) implements Input { }
 
     /**
-     * What is known of the fleet has changed; {@code instanceName} is this instance's name there, and {@code shareHoldMs} how
-     * long fewer front ends must be known before this one's share of the engines grows.
+     * What is known of the fleet has changed; {@code instanceName} is this instance's name there, and
+     * {@code shareGrowthDelayMs} how long fewer front ends must be known before this one's share of the engines grows.
      */
-    record FleetChanged(FleetView view, String instanceName, double shareHoldMs) implements Input { }
+    record FleetChanged(FleetView view, String instanceName, double shareGrowthDelayMs) implements Input { }
 
-    /** The recovery folder has been read; {@code reason} explains the finding and is empty where the folder is intact. */
-    record RecoveryLogRead(DurableFact.FolderCondition finding, List<JournalEntry> entries, String reason) implements Input { }
+    /** The recovery journal has been read; {@code reason} explains the condition and is empty where the folder is intact. */
+    record RecoveryJournalRead(DurableFact.FolderCondition condition, List<JournalEntry> entries, String reason)
+            implements Input { }
 
     /** Writing the entry that a request waits for has ended; {@code durable} where it is certainly on disk. */
     record PersistFinished(long request, boolean durable) implements Input { }
