--- a/capture/src/main/java/quincespar/capture/Explainer.java
+++ b/capture/src/main/java/quincespar/capture/Explainer.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 import quincespar.decision.DecisionExplainer;
 import quincespar.decision.GcMuScheduler;
+import quincespar.decision.Scheduler;
 import quincespar.decision.Scheduler.Action;
 import quincespar.decision.Scheduler.Event;
-import quincespar.decision.Scheduler;
 
 /** Explains to operators, from a capture, what happened to a request and why, or what the module knew of an engine. */
 public final class Explainer {
--- a/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -20,7 +20,7 @@
 /** The simulator protocol: decoded and encoded sample frames, and truncated or invalid input. */
 class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
-            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
+            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunknownSetting=1\n";
     private final List<Scheduler.Event> receivedEvents = new ArrayList<>();
     private List<Scheduler.Action> actions = List.of();
     private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
