--- a/capture/src/test/java/quincespar/capture/SimulatedCluster.java
+++ b/capture/src/test/java/quincespar/capture/SimulatedCluster.java
@@ -227,8 +227,8 @@
     }
 
     private static Scheduler.AttemptEnded end(Attempt attempt, Outcome outcome, double latency) {
-        return new Scheduler.AttemptEnded(attempt.id(), attempt.attempt(), attempt.engine(), outcome, latency, outcome == Outcome.OK,
-                Double.NaN, Double.NaN, List.of());
+        return new Scheduler.AttemptEnded(attempt.id(), attempt.attempt(), attempt.engine(), outcome, latency,
+                outcome == Outcome.OK, Double.NaN, Double.NaN, List.of());
     }
 
     private void schedule(double delay, Scheduler.Event e) {
