--- a/capture/src/main/java/quincespar/capture/CapturedGateway.java
+++ b/capture/src/main/java/quincespar/capture/CapturedScheduler.java
@@ -6,7 +6,7 @@
 import quincespar.decision.Scheduler;
 
 /** A decision module whose calls are reported to a listener; its answers and exceptions are passed on unchanged. */
-public final class CapturedGateway implements Scheduler {
+public final class CapturedScheduler implements Scheduler {
     /** Receives calls on the caller's thread; no method may block. */
     public interface Listener {
         /** A call has returned. */
@@ -27,14 +27,14 @@
     private final Function<Scheduler, byte[]> stateEncoder;
 
     /** Reports the calls of {@code module}; {@code stateEncoder} encodes its state when the listener wants it. */
-    public CapturedGateway(Scheduler module, Listener listener, Function<Scheduler, byte[]> stateEncoder) {
+    public CapturedScheduler(Scheduler module, Listener listener, Function<Scheduler, byte[]> stateEncoder) {
         this.module = module;
         this.listener = listener;
         this.stateEncoder = stateEncoder;
     }
 
     /** Reports calls and failures, and never a state. */
-    public CapturedGateway(Scheduler module, Consumer<Entry> consumer) {
+    public CapturedScheduler(Scheduler module, Consumer<Entry> consumer) {
         this(module, new Listener() {
             @Override
             public void onCall(Entry.Call call) {
--- a/capture/src/main/java/quincespar/capture/Recorder.java
+++ b/capture/src/main/java/quincespar/capture/Recorder.java
@@ -9,7 +9,7 @@
  * Passes the calls of a module to the writer thread through a bounded queue. The module's thread never waits: calls that find
  * the queue full are lost and counted, and capturing resumes with a snapshot of the module's state once there is space again.
  */
-public final class Recorder implements CapturedGateway.Listener, Runnable {
+public final class Recorder implements CapturedScheduler.Listener, Runnable {
     private sealed interface Item { }
 
     private record BeginSegment(Entry.State state, long lostCalls, String reason) implements Item { }
--- a/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
+++ b/capture/src/test/java/quincespar/capture/CaptureBenchmark.java
@@ -64,7 +64,7 @@
 
         private void reset() {
             GcMuScheduler scheduler = new GcMuScheduler(SimulatedCluster.settings(), 61);
-            module = recorder == null ? scheduler : new CapturedGateway(scheduler, recorder, m -> new byte[0]);
+            module = recorder == null ? scheduler : new CapturedScheduler(scheduler, recorder, m -> new byte[0]);
             position = 0;
         }
 
--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -188,10 +188,10 @@
     @Test
     void anExceptionOfTheModuleLeavesAGapAndIsRethrown() {
         List<Entry> captured = new ArrayList<>();
-        CapturedGateway g = new CapturedGateway((now, events) -> {
+        CapturedScheduler module = new CapturedScheduler((now, events) -> {
             throw new IllegalStateException("unforeseen");
         }, captured::add);
-        assertThatThrownBy(() -> g.decide(5, List.of())).hasMessage("unforeseen");
+        assertThatThrownBy(() -> module.decide(5, List.of())).hasMessage("unforeseen");
         assertThat(captured).containsExactly(
                 new Entry.Gap(5, 1, "the module failed: java.lang.IllegalStateException: unforeseen"));
     }
--- a/capture/src/test/java/quincespar/capture/CaptureWriterTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureWriterTest.java
@@ -24,7 +24,7 @@
     private long lost;
 
     /** Writes on the module's thread, in virtual time. */
-    private final class SynchronousRecorder implements CapturedGateway.Listener {
+    private final class SynchronousRecorder implements CapturedScheduler.Listener {
         private final CaptureWriter writer;
         private double now;
 
@@ -103,10 +103,10 @@
         assertThat(counts.deletedSegments()).isPositive();
         assertThat(counts.lostCalls()).isZero();
         assertThat(store.peakBytes).isLessThanOrEqualTo(LIMITS.totalBytes()).isGreaterThan(LIMITS.totalBytes() / 2);
-        List<SegmentName> left = new CaptureReader(store).segmentNames();
-        assertThat(left.get(0).number()).isGreaterThan(1);
-        assertThat(left.get(left.size() - 1).number()).isEqualTo((int) counts.segments());
-        Replay.Result r = replay(left);
+        List<SegmentName> remaining = new CaptureReader(store).segmentNames();
+        assertThat(remaining.get(0).number()).isGreaterThan(1);
+        assertThat(remaining.get(remaining.size() - 1).number()).isEqualTo((int) counts.segments());
+        Replay.Result r = replay(remaining);
         assertThat(r.divergence()).isNull();
         assertThat(r.lostCalls()).isZero();
         assertThat(r.calls()).isPositive();
@@ -143,25 +143,25 @@
     void aFullDiskIsLoggedOnceAndSoIsTheRecovery() {
         boolean[] full = {false};
         store.writeSucceeds = () -> !full[0];
-        CaptureWriter r = new CaptureWriter(SimulatedCluster.opening(1),
+        CaptureWriter writer = new CaptureWriter(SimulatedCluster.opening(1),
                 new SegmentPolicy(LIMITS, new SegmentName("w", 1, 0), List.of(), 0), store, logLines::add);
-        r.beginSegment(0, null, 0, "");
+        writer.beginSegment(0, null, 0, "");
         Entry.Call call = new Entry.Call(1, List.of(), List.of());
-        r.writeCall(1, call);
+        writer.writeCall(1, call);
         full[0] = true;
-        r.writeCall(2, call);
+        writer.writeCall(2, call);
         for (double now = 3; now < 2000; now++) { // retries after 100, 200, 400, 800 and 800 ms
-            if (r.segmentDue(now)) {
-                r.beginSegment(now, new Entry.State(now, new byte[1]), 0, "");
+            if (writer.segmentDue(now)) {
+                writer.beginSegment(now, new Entry.State(now, new byte[1]), 0, "");
             }
-            r.writeCall(now, call);
+            writer.writeCall(now, call);
         }
         full[0] = false;
-        r.beginSegment(5000, new Entry.State(5000, new byte[1]), 7, "the queue was full");
-        r.writeCall(5001, call);
-        assertThat(r.counts().failures()).isEqualTo(5);
-        assertThat(r.counts().calls()).isEqualTo(2);
-        assertThat(r.counts().lostCalls()).isEqualTo(1 + 1997 + 7);
+        writer.beginSegment(5000, new Entry.State(5000, new byte[1]), 7, "the queue was full");
+        writer.writeCall(5001, call);
+        assertThat(writer.counts().failures()).isEqualTo(5);
+        assertThat(writer.counts().calls()).isEqualTo(2);
+        assertThat(writer.counts().lostCalls()).isEqualTo(1 + 1997 + 7);
         assertThat(logLines).containsExactly("capture: new segment started",
                 "capture: disk full; calls are lost until writing succeeds again",
                 "capture: new segment started; 2005 calls lost before it: the queue was full");
--- a/capture/src/test/java/quincespar/capture/LongCapture.java
+++ b/capture/src/test/java/quincespar/capture/LongCapture.java
@@ -19,7 +19,7 @@
                         new SegmentName("long", 1, 0), store.list(), 0), store, System.out::println);
         writer.beginSegment(0, null, 0, "");
         double[] now = {0};
-        new SimulatedCluster(71, new CapturedGateway.Listener() {
+        new SimulatedCluster(71, new CapturedScheduler.Listener() {
             @Override
             public void onCall(Entry.Call call) {
                 now[0] = call.time();
--- a/capture/src/test/java/quincespar/capture/SimulatedCluster.java
+++ b/capture/src/test/java/quincespar/capture/SimulatedCluster.java
@@ -71,7 +71,7 @@
     private final Map<Long, Scheduler.Engine> engines = new LinkedHashMap<>();
     private final List<Entry> entries = new ArrayList<>();
     private final EntryCodec codec = new EntryCodec();
-    private final CapturedGateway module;
+    private final CapturedScheduler module;
     private double now = 1000;
     private long order;
     private long lastRequest;
@@ -85,13 +85,13 @@
     SimulatedCluster(long seed) {
         random = new SplittableRandom(seed);
         entries.add(opening(seed));
-        module = new CapturedGateway(new GcMuScheduler(settings(), seed), entries::add);
+        module = new CapturedScheduler(new GcMuScheduler(settings(), seed), entries::add);
     }
 
     /** Reports the module's calls to {@code listener} instead of collecting entries. */
-    SimulatedCluster(long seed, CapturedGateway.Listener listener) {
+    SimulatedCluster(long seed, CapturedScheduler.Listener listener) {
         random = new SplittableRandom(seed);
-        module = new CapturedGateway(new GcMuScheduler(settings(), seed), listener, new StateCodec(GcMuScheduler.class)::write);
+        module = new CapturedScheduler(new GcMuScheduler(settings(), seed), listener, new StateCodec(GcMuScheduler.class)::write);
     }
 
     /** Runs a scenario; the entries are the same each time. */
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/Capturing.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import quincespar.capture.CapturedGateway;
+import quincespar.capture.CapturedScheduler;
 import quincespar.capture.Entry;
 import quincespar.capture.ModuleDigest;
 import quincespar.capture.Recorder;
@@ -58,7 +58,7 @@
                 ModuleDigest.of(GcMuScheduler.class), settings);
         Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
                 s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
-        return new Capturing(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
+        return new Capturing(recorder, new CapturedScheduler(new GcMuScheduler(settings, seed), recorder,
                 new StateCodec(GcMuScheduler.class)::write));
     }
 
