--- a/capture/src/main/java/quincespar/capture/Explainer.java
+++ b/capture/src/main/java/quincespar/capture/Explainer.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import quincespar.decision.DecisionExplainer;
+import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Scheduler;
 import quincespar.decision.Scheduler.Action;
 import quincespar.decision.Scheduler.Event;
-import quincespar.decision.GcMuScheduler;
 
 /** Explains to operators, from a capture, what happened to a request and why, or what the module knew of an engine. */
 public final class Explainer {
