--- a/decision/src/test/java/quincespar/decision/FullFleetTest.java
+++ b/decision/src/test/java/quincespar/decision/FullFleetTest.java
@@ -7,70 +7,78 @@
 import org.junit.jupiter.api.Test;
 import quincespar.decision.Scheduler.EngineState;
 
-/** A hundred routers and eighty engines: what is harmless in one and adds up over the fleet. */
+/**
+ * A hundred routers and eighty engines: guards against what is harmless at one router and adds up over the
+ * fleet.
+ */
 class FullFleetTest {
-    private static final int ROUTERS = 100, ENGINES = 80;
+    private static final int ROUTERS = 100;
+    private static final int ENGINES = 80;
 
-    private final FleetWorld w = new FleetWorld(ROUTERS, ENGINES, 0.14);
+    private final SimulatedFleet fleet = new SimulatedFleet(ROUTERS, ENGINES, 0.14);
 
-    /** Half of the routers start anew, a tenth at a time, while a quarter of the engines is replaced. */
+    /** Half of the routers restart, a tenth at a time, while a quarter of the engines is replaced. */
     @Test
-    void halfOfTheRoutersStartAnewWhileEnginesAreReplaced() {
-        w.begin();
-        w.run(3, true);
+    void halfOfTheRoutersRestartWhileEnginesAreReplaced() {
+        fleet.start();
+        fleet.run(3, true);
         for (int tenth = 0; tenth < 5; tenth++) {
             for (int me = tenth; me < ROUTERS; me += 10) {
-                w.restart(me);
+                fleet.restart(me);
             }
             for (long e = 1 + 4 * tenth; e <= 4 + 4 * tenth; e++) {
-                w.list(e, EngineState.DRAINING, 0);
-                w.answers.put(100 + e, true);
-                w.list(100 + e, EngineState.READY, w.now);
+                fleet.list(e, EngineState.DRAINING, 0);
+                fleet.answers.put(100 + e, true);
+                fleet.list(100 + e, EngineState.READY, fleet.now);
             }
-            w.run(1.5, true);
+            fleet.run(1.5, true);
         }
         for (long e = 1; e <= 20; e++) {
-            w.list(e, EngineState.GONE, 0);
+            fleet.list(e, EngineState.GONE, 0);
         }
-        w.run(6, true);
-        assertTrue(w.sentCold.size() >= 12, "new engines are used: " + w.sentCold.size());
-        w.finish(0.85);
+        fleet.run(6, true);
+        assertTrue(fleet.sentCold.size() >= 12, "new engines are used: " + fleet.sentCold.size());
+        fleet.finishAndCheck(0.85);
     }
 
-    /** Three in ten fall silent, are gone from the lists later, and return cold; the lists come up to two seconds late. */
+    /**
+     * Three in ten fall silent, are removed from the lists later, and return cold; routers get the lists up
+     * to two seconds late.
+     */
     @Test
     void aZoneIsLostAndReturnsColdWhileListsComeLate() {
-        w.begin();
-        w.run(3, true);
+        fleet.start();
+        fleet.run(3, true);
         List<Long> zone = new ArrayList<>();
         for (long e = 1; e <= 24; e++) {
             zone.add(e);
-            w.answers.put(e, false);
+            fleet.answers.put(e, false);
         }
-        w.run(3, true);
-        late(zone, EngineState.GONE, 0);
-        w.run(1, true);
-        double back = w.now;
-        zone.forEach(e -> w.answers.put(e, true));
-        late(zone, EngineState.READY, back);
-        w.run(10, true);
-        assertTrue(w.sentCold.size() >= 12, "those that return are used: " + w.sentCold.size());
-        w.finish(0.8);
+        fleet.run(3, true);
+        listLate(zone, EngineState.GONE, 0);
+        fleet.run(1, true);
+        double back = fleet.now;
+        zone.forEach(e -> fleet.answers.put(e, true));
+        listLate(zone, EngineState.READY, back);
+        fleet.run(10, true);
+        assertTrue(fleet.sentCold.size() >= 12, "those that return are used: " + fleet.sentCold.size());
+        fleet.finishAndCheck(0.8);
     }
 
-    /** Ids are ever new; what the module keeps by id must go with what they name. */
+    /** Ids are never reused: what the scheduler keeps by id must be removed with what the id names. */
     @Test
     void nothingGrowsWithEverNewEnginesAndRequests() throws IllegalAccessException {
-        FleetWorld one = new FleetWorld(1, 6, 0.5);
-        one.begin();
+        SimulatedFleet one = new SimulatedFleet(1, 6, 0.5);
+        one.start();
         replace(one, 1, 40);
-        int before = kept(one);
+        int before = collectionSizes(one);
         replace(one, 41, 400);
-        assertTrue(kept(one) <= before + 20, kept(one) + " things are kept, " + before + " before");
-        one.finish(0.8);
+        assertTrue(collectionSizes(one) <= before + 20,
+                collectionSizes(one) + " entries are kept, " + before + " before");
+        one.finishAndCheck(0.8);
     }
 
-    private static void replace(FleetWorld one, long from, int count) {
+    private static void replace(SimulatedFleet one, long from, int count) {
         for (long e = from; e < from + count; e++) {
             one.answers.put(e + 6, true);
             one.list(e + 6, EngineState.READY, one.now);
@@ -81,26 +89,27 @@
         one.run(25, false);
     }
 
-    /** How many things the module's own collections hold. */
-    private static int kept(FleetWorld one) throws IllegalAccessException {
+    /** The number of entries in the scheduler's own collections. */
+    private static int collectionSizes(SimulatedFleet one) throws IllegalAccessException {
         int sum = 0;
         for (java.lang.reflect.Field f : GcMuScheduler.class.getDeclaredFields()) {
             f.setAccessible(true);
-            Object value = f.get(one.fronts.get(0).rig.brain);
-            sum += value instanceof java.util.Map<?, ?> m ? m.size() : value instanceof java.util.Collection<?> c ? c.size() : 0;
+            Object value = f.get(one.routerList.get(0).harness.scheduler);
+            sum += value instanceof java.util.Map<?, ?> m
+                    ? m.size() : value instanceof java.util.Collection<?> c ? c.size() : 0;
         }
         return sum;
     }
 
-    /** A tenth of the front ends hears of it every 200 ms. */
-    private void late(List<Long> engines, EngineState state, double started) {
+    /** Each 200 ms another tenth of the routers gets the new list. */
+    private void listLate(List<Long> engines, EngineState state, double started) {
         for (int tenth = 0; tenth < 10; tenth++) {
             for (int me = tenth; me < ROUTERS; me += 10) {
                 for (long e : engines) {
-                    w.tell(w.fronts.get(me), e, state, started);
+                    fleet.listAt(fleet.routerList.get(me), e, state, started);
                 }
             }
-            w.run(0.2, true);
+            fleet.run(0.2, true);
         }
     }
 }
--- a/decision/src/test/java/quincespar/decision/ChanceTest.java
+++ b/decision/src/test/java/quincespar/decision/SeededRandomTest.java
@@ -5,10 +5,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class ChanceTest {
-    /** A capture made before the generator was the module's own must replay to the same decisions. */
+class SeededRandomTest {
+    /** Captures made with {@code java.util.Random} must replay to the same decisions. */
     @Test
-    void theModulesChanceIsThatOfTheJdkBySeed() {
+    void drawsTheSameNumbersAsTheJdkGenerator() {
         for (long seed : new long[] {0, 1, -1, 42, Long.MIN_VALUE, 0x8c1f30d27a5be964L}) {
             Random known = new Random(seed);
             SchedulerState.SeededRandom ours = new SchedulerState.SeededRandom(seed);
