--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -34,7 +34,7 @@
 import quincespar.routing.EngineNumber;
 
 /** What can be asked of captures; every answer is lines that scripts can read. */
-@Command(name = "capture", description = "Look at captures: all that the module was told and decided.",
+@Command(name = "capture", description = "Inspect captures: the events and decisions of the decision module.",
         mixinStandardHelpOptions = true)
 public final class CaptureCommands {
     private static final double SECOND = 1000;
@@ -51,17 +51,18 @@
         return 0;
     }
 
-    @Command(name = "info", description = "Whose captures these are: name, build, module, settings; sums over segments.")
+    @Command(name = "info", description = "Instance, build, module and classes of each process; totals over segments.")
     int info(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Map<String, List<SegmentSummary>> lives = new LinkedHashMap<>();
+        Map<String, List<SegmentSummary>> segmentsByProcess = new LinkedHashMap<>();
         for (SegmentName name : captures.segmentNames()) {
-            lives.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()), n -> new ArrayList<>())
-                    .add(captures.summarize(name));
+            String process = name.instance() + " started " + Instant.ofEpochMilli(name.processStart());
+            segmentsByProcess.computeIfAbsent(process, n -> new ArrayList<>()).add(captures.summarize(name));
         }
         String own = ModuleDigest.of(GcMuScheduler.class);
-        lives.forEach((life, all) -> {
-            System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
+        segmentsByProcess.forEach((process, all) -> {
+            System.out.println(process + ": segments=" + all.size()
+                    + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
                     + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
             all.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
                 System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
@@ -73,8 +74,8 @@
         return 0;
     }
 
-    @Command(name = "verify", description = "Read every record: exit code 0 where all is whole, 1 with a line for each"
-            + " thing that is missing.")
+    @Command(name = "verify", description = "Read every record: exit code 0 if nothing is missing, else 1 and a line"
+            + " for each gap.")
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         long[] records = {0};
@@ -92,7 +93,7 @@
         return wrong.isEmpty() ? 0 : 1;
     }
 
-    @Command(name = "cut", description = "Write the calls of a time, with the state before them, to a segment of its own.")
+    @Command(name = "cut", description = "Write the calls between two times, with the state before them, to a new segment.")
     int cut(@Parameters(paramLabel = "DIR") Path folder,
             @Option(names = "--from", required = true, paramLabel = "S", description = "Seconds since 1970.") double from,
             @Option(names = "--to", required = true, paramLabel = "S", description = "Seconds since 1970.") double to,
@@ -100,7 +101,7 @@
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames();
         if (names.stream().map(n -> n.instance() + n.processStart()).distinct().count() > 1) {
-            throw new IOException(folder + " holds captures of several processes; cut from a folder with one");
+            throw new IOException(folder + " holds captures of several processes; use a folder with one");
         }
         List<Entry> entries = captures.cut(names, from * SECOND, to * SECOND);
         if (entries.isEmpty()) {
@@ -110,7 +111,7 @@
         SegmentName name = new SegmentName(names.get(0).instance(), names.get(0).processStart(), 1);
         Files.createDirectories(out);
         if (Files.exists(out.resolve(name.fileName()))) {
-            throw new IOException(out.resolve(name.fileName()) + " is there already");
+            throw new IOException(out.resolve(name.fileName()) + " already exists");
         }
         try (SegmentStore.SegmentOutput sink = new CaptureFolder(out).create(name.fileName())) {
             sink.write(Frames.header(codec.schema()));
@@ -129,7 +130,7 @@
         boolean told = request != null ? explain.explainRequest(captures.segmentNames(), request)
                 : explain.explainEngine(captures.segmentNames(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
         if (!told) {
-            throw new IOException("no segment in " + folder + " tells of " + (request != null ? "request " + request
+            throw new IOException("no segment in " + folder + " contains " + (request != null ? "request " + request
                     : "engine " + engine));
         }
         return 0;
@@ -174,8 +175,9 @@
         Replay.Result r = replay.result();
         System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", r.calls(), r.events(), r.decisions(),
                 r.digest());
-        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(), r.lostCalls());
-        System.out.printf(Locale.ROOT, "played %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
+        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(),
+                r.lostCalls());
+        System.out.printf(Locale.ROOT, "replayed %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
                 took / SECOND, (span[1] - span[0]) / took);
         System.out.println("broken-rules=" + rules.violationCount());
         rules.violations().forEach(b -> System.out.println("  " + b));
@@ -199,12 +201,12 @@
             return (int) other.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
                     (Object) words.toArray(String[]::new));
         } catch (ReflectiveOperationException e) {
-            throw new IOException(jar + " is no build of this program that can replay: " + e, e);
+            throw new IOException(jar + " cannot replay captures: " + e, e);
         }
     }
 
     private static void parted(Replay.Divergence p) {
-        System.out.println("parted at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
+        System.out.println("decisions differ at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
         p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
         System.out.println("  " + time(p.time()) + " " + p.expected().events());
         System.out.println("expected " + ordered(p.expected().actions()));
--- a/records/src/test/java/quincespar/records/StoredNamesTest.java
+++ b/records/src/test/java/quincespar/records/StoredNamesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class StoredNamesTest {
-    /** The records as they were first stored. */
+    /** Records under the names with which they were stored. */
     interface Before {
         enum Light { RED, GREEN }
 
@@ -24,7 +24,7 @@
         record Dot() implements Shape { }
     }
 
-    /** The same records under other names, of which Circle's comes first and Box's last in the alphabet. */
+    /** The same records renamed, so that their alphabetical order changes. */
     interface After {
         enum Signal { STOP, GREEN }
 
