--- a/agreement/src/test/java/quincespar/agreement/AgreementTest.java
+++ b/agreement/src/test/java/quincespar/agreement/AgreementTest.java
@@ -22,14 +22,14 @@
 import quincespar.fleet.Snapshot;
 import quincespar.fleet.Standing;
 
-/** The library by itself: three voters in one process. Faults between processes are the rig's. */
+/** Three voters in one process; faultbench tests faults between processes. */
 @Timeout(60)
 class AgreementTest {
     private final FleetCodec codec = new FleetCodec();
     @TempDir
     private Path folder;
 
-    private static FleetConfig plan() throws Exception {
+    private static FleetConfig config() throws Exception {
         Map<String, String> voters = new LinkedHashMap<>();
         List<ServerSocket> free = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
@@ -46,35 +46,36 @@
         while (true) {
             try {
                 return codec.readResult(a.submit(codec.write((Record) c)).toCompletableFuture().get(20, TimeUnit.SECONDS));
-            } catch (ExecutionException e) { // no leader yet; each command here is the same when sent again
+            } catch (ExecutionException e) { // no leader yet; the commands here are idempotent
                 assertThat(e.getCause()).isInstanceOf(java.io.IOException.class);
             }
         }
     }
 
     @Test
-    void whatIsAgreedOutlivesAllWhoAgreedOnItAndTimeGoesOn() throws Exception {
-        FleetConfig plan = plan();
+    void keepsStateAndAdvancesTimeAcrossARestartOfAllVoters() throws Exception {
+        FleetConfig config = config();
         long incarnation;
         List<Agreement> all = new ArrayList<>();
-        for (String name : plan.voters().keySet()) {
-            all.add(new RatisProvider().open(plan, name, s -> { }));
+        for (String name : config.voters().keySet()) {
+            all.add(new RatisProvider().open(config, name, s -> { }));
             all.get(all.size() - 1).startVoting(folder.resolve(name));
         }
         incarnation = ((Result.Joined) submit(all.get(0), new Command.Join("n1", "f", 0, 0, "", true, "t", 7))).incarnation();
         assertThat(submit(all.get(1), new Command.Write("n1", incarnation, 1, "r", 0, "one"))).isEqualTo(
                 new Result.Written(1));
-        assertThat(codec.readSnapshot(all.get(2).readLinearizable().toCompletableFuture().get()).registers().get(0).value()).isEqualTo("one");
+        assertThat(codec.readSnapshot(all.get(2).readLinearizable().toCompletableFuture().get()).registers().get(0).value())
+                .isEqualTo("one");
         all.forEach(Agreement::close);
         all.clear();
-        for (String name : plan.voters().keySet()) {
-            all.add(new RatisProvider().open(plan, name, s -> { }));
+        for (String name : config.voters().keySet()) {
+            all.add(new RatisProvider().open(config, name, s -> { }));
             all.get(all.size() - 1).startVoting(folder.resolve(name));
         }
         assertThat(submit(all.get(1), new Command.Write("n1", incarnation, 2, "r", 1, "two"))).isEqualTo(
                 new Result.Written(2));
         Snapshot s;
-        do { // nobody renews n1: the leader's time alone makes it gone
+        do { // n1 is not renewed: it expires as the leader advances the time
             s = codec.readSnapshot(all.get(0).readLinearizable().toCompletableFuture().get());
         } while (s.instances().get(0).standing() != Standing.GONE);
         assertThat(s.time()).isGreaterThan(4000);
--- a/agreement/src/test/java/quincespar/agreement/FleetRpcTypeTest.java
+++ b/agreement/src/test/java/quincespar/agreement/FleetRpcTypeTest.java
@@ -15,10 +15,12 @@
 
 class FleetRpcTypeTest {
     @Test
-    void aFollowersWordThatThisLeaderLeadsNoMoreNeverReachesTheThreadThatWouldWaitForTheVotersLock() throws IOException {
-        assertThatThrownBy(() -> FleetRpcType.checkReply(null, AppendEntriesReplyProto.newBuilder().setTerm(9).setResult(AppendResult.NOT_LEADER).build()))
+    void turnsNotLeaderRepliesIntoFailedCalls() throws IOException {
+        assertThatThrownBy(() -> FleetRpcType.checkReply(null, AppendEntriesReplyProto.newBuilder().setTerm(9)
+                .setResult(AppendResult.NOT_LEADER).build()))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> FleetRpcType.checkReply(null, InstallSnapshotReplyProto.newBuilder().setResult(InstallSnapshotResult.NOT_LEADER).build()))
+        assertThatThrownBy(() -> FleetRpcType.checkReply(null, InstallSnapshotReplyProto.newBuilder()
+                .setResult(InstallSnapshotResult.NOT_LEADER).build()))
                 .isInstanceOf(IOException.class);
         Object success = AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS).build();
         assertThat(FleetRpcType.checkReply(null, success)).isSameAs(success);
@@ -26,13 +28,15 @@
     }
 
     private static Object yes(AppendEntriesRequestProto.Builder question, long end) throws IOException {
-        return FleetRpcType.checkReply(question.build(), AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS).setNextIndex(end).build());
+        return FleetRpcType.checkReply(question.build(), AppendEntriesReplyProto.newBuilder().setResult(AppendResult.SUCCESS)
+                .setNextIndex(end).build());
     }
 
-    /** A follower that led before has entries behind that one of which nothing is known here. */
+    /** A follower that led before may have entries after the requested one that were never committed. */
     @Test
-    void aYesToAMessageWithoutEntriesSaysNothingOfWhatStandsBehindTheEntryThatWasAskedFor() throws IOException {
-        AppendEntriesRequestProto.Builder empty = AppendEntriesRequestProto.newBuilder().setPreviousLog(TermIndexProto.newBuilder()
+    void limitsTheMatchedIndexOfReplyToRequestWithoutEntries() throws IOException {
+        AppendEntriesRequestProto.Builder empty = AppendEntriesRequestProto.newBuilder()
+                .setPreviousLog(TermIndexProto.newBuilder()
                 .setTerm(1).setIndex(275));
         assertThat(((AppendEntriesReplyProto) yes(empty, 280)).getNextIndex()).isEqualTo(276);
         assertThat(((AppendEntriesReplyProto) yes(empty, 276)).getNextIndex()).isEqualTo(276);
--- a/fleet/src/test/java/quincespar/fleet/FleetConfigTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetConfigTest.java
@@ -9,10 +9,10 @@
 
 class FleetConfigTest {
     @Test
-    void addressesAreReadOrToldApartByWhatIsWrong() {
+    void parsesAddressesAndReportsErrors() {
         List<String> problems = new ArrayList<>();
-        assertThat(FleetConfig.parseAddresses("a=10.0.0.1:7000, b=h:2", "voters", problems)).isEqualTo(Map.of("a", "10.0.0.1:7000", "b",
-                "h:2"));
+        assertThat(FleetConfig.parseAddresses("a=10.0.0.1:7000, b=h:2", "voters", problems)).isEqualTo(
+                Map.of("a", "10.0.0.1:7000", "b", "h:2"));
         assertThat(problems).isEmpty();
         FleetConfig.parseAddresses("x,=h:1,a=h:0,a=h,b=h:1,b=h:2", "voters", problems);
         assertThat(problems).containsExactly("voters: 'x' is not NAME=HOST:PORT", "voters: '=h:1' is not NAME=HOST:PORT",
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void whatCannotWorkTogetherIsSaid() {
+    void reportsIncompatibleValues() {
         Map<String, String> three = Map.of("a", "h:1", "b", "h:2", "c", "h:3");
         assertThat(new FleetConfig("g", three, Map.of("a", "h:9"), 500, 2000, 6000, 400, 1).problems()).isEmpty();
         assertThat(new FleetConfig("g", Map.of("a", "h:1", "b", "h:1"), Map.of("z", "h:9"), 500, 1000, 1200, 400, 1).problems())
--- a/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
+++ b/fleet/src/test/java/quincespar/fleet/FleetStateTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aSessionThatIsNotRenewedIsSuspectedThenOverAndItsReturnIsAnotherLife() {
+    void suspectsThenExpiresASessionAndFencesItsIncarnation() {
         long first = joined("a", "f", 0, "x", 1);
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 0));
         tick(SUSPECT);
@@ -55,7 +55,7 @@
         assertThat(standing("a")).isEqualTo(Standing.SUSPECTED);
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 0));
         assertThat(standing("a")).isEqualTo(Standing.SERVING);
-        tick(100); // of a leader that is behind: nothing goes back
+        tick(100); // from a leader that is behind: time does not go back
         assertThat(state.time()).isEqualTo(SUSPECT + 1);
         tick(SUSPECT + GONE + 2);
         assertThat(standing("a")).isEqualTo(Standing.GONE);
@@ -67,23 +67,26 @@
     }
 
     @Test
-    void aNameHasOneLifeAndTheHolderOfItsFolderTakesItOver() {
+    void givesANameOneIncarnationThatTheHolderOfItsFolderReplaces() {
         long first = joined("a", "f", 0, "x", 1);
         assertThat(refused(new Command.Join("a", "g", 0, 0, "y", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
         assertThat(refused(new Command.Join("a", "", 0, 0, "x", false, "t", 2))).isEqualTo(Result.Reason.NAME_TAKEN);
-        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Reason.NAME_TAKEN); // a clone
-        long second = joined("a", "f", first, "x", 4); // started again: the lock of its folder proves the first one's end
+        // a copy of the instance
+        assertThat(refused(new Command.Join("a", "f", first, 0, "y", true, "t", 3))).isEqualTo(Result.Reason.NAME_TAKEN);
+        // a restart: the lock on the folder proves that the first process has ended
+        long second = joined("a", "f", first, "x", 4);
         assertThat(second).isGreaterThan(first);
-        assertThat(joined("a", "f", first, "x", 4)).isEqualTo(second); // killed before it kept the answer, or sent twice
+        assertThat(joined("a", "f", first, "x", 4)).isEqualTo(second); // killed before it stored the result, or a retry
         state.apply(new Command.Leave("a", second));
         assertThat(refused(new Command.Join("a", "g", 0, 0, "y", true, "t", 5))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(state.apply(new Command.Join("a", "g", 0, 0, "y", false, "t", 5))).isInstanceOf(Result.Joined.class);
-        state.apply(new Command.Leave("a", second + 1)); // it followed; that does not make its folder one that votes
-        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
+        state.apply(new Command.Leave("a", second + 1)); // as a follower; its folder still may not vote
+        assertThat(refused(new Command.Join("a", "g", second + 1, 0, "y", true, "t", 6)))
+                .isEqualTo(Result.Reason.FOLDER_OUTDATED);
     }
 
     @Test
-    void aFolderThatKnowsLessThanTheFleetIsRefused() {
+    void refusesAFolderWithAnOlderIncarnation() {
         long first = joined("a", "f", 0, "x", 1);
         long second = joined("a", "f", first, "x", 2);
         tick(GONE + 1);
@@ -91,12 +94,12 @@
         assertThat(joined("a", "f", second, "x", 4)).isGreaterThan(second);
     }
 
-    /** Taken within the life that the fleet knows as its last: the incarnation tells nothing, the mark does. */
+    /** A copy taken during the current incarnation has the same incarnation; only its mark is lower. */
     @Test
-    void aFolderFromWithinALifeIsRefusedByItsMarkAndForGood() {
+    void refusesACopyFromTheCurrentIncarnationByItsMark() {
         long first = joined("a", "f", 0, "x", 1);
         state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 7));
-        state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 6)); // one that was late takes nothing back
+        state.apply(new Command.Renew("a", first, Standing.SERVING, 0, 6)); // a delayed renewal does not lower the mark
         assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 2))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         assertThat(refused(new Command.Join("a", "f", first, 6, "x", true, "t", 1))).isEqualTo(Result.Reason.FOLDER_OUTDATED);
         state.apply(new Command.Leave("a", first));
@@ -108,9 +111,12 @@
         assertThat(state.apply(new Command.Join("a", "f", first, 7, "x", true, "t", 4))).isInstanceOf(Result.Joined.class);
     }
 
-    /** A kill between a life's grant and its note in the folder: the join under way is known by its nonce. */
+    /**
+     * The process was killed after its join was granted and before that was persisted: the pending join is known by its
+     * nonce.
+     */
     @Test
-    void aJoinUnderWayDoesNotMakeItsFolderAnOldOne() {
+    void acceptsAFolderWithAPendingJoin() {
         long first = joined("a", "f", 0, "x", 1);
         assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 1)).isEmpty();
         assertThat(state.snapshot().votingRejection("a", "f", 0, 0, 2)).contains("ends with incarnation 0");
@@ -120,7 +126,7 @@
     }
 
     @Test
-    void aWriteSentAgainIsOneWriteAndOneOutOfOrderIsNone() {
+    void appliesARetriedWriteOnceAndRefusesOneOutOfOrder() {
         long a = joined("a", "f", 0, "x", 1);
         Command.Write w = new Command.Write("a", a, 1, "r", 0, "one");
         assertThat(state.apply(w)).isEqualTo(new Result.Written(1));
@@ -132,7 +138,7 @@
     }
 
     @Test
-    void instancesThatAreForgottenMakeRoomAndVotersAreKept() {
+    void forgetsGoneInstancesButNeverVoters() {
         joined("voter", "f", 0, "x", 1);
         for (int i = 1; i < FleetState.MAX_INSTANCES; i++) {
             state.apply(new Command.Join("i" + i, "", 0, 0, "", false, "t", i));
@@ -145,9 +151,12 @@
         assertThat(state.instances()).hasSize(FleetState.MAX_INSTANCES);
     }
 
-    /** The same commands give the same bytes, also through a snapshot at any place; incarnations are never given twice. */
+    /**
+     * Replicas have equal bytes after equal commands, also if one is restored from a snapshot; no incarnation is assigned
+     * twice.
+     */
     @Property(tries = 300)
-    void sameCommandsSameBytes(@ForAll long seed) throws MalformedRecordException {
+    void givesTheSameBytesForTheSameCommands(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
         FleetState one = FleetState.restore(Snapshot.EMPTY);
         FleetState other = FleetState.restore(Snapshot.EMPTY);
@@ -159,7 +168,8 @@
             long incarnation = chance.nextInt(12);
             Command c = switch (chance.nextInt(6)) {
                 case 0 -> new Command.Tick(time, SUSPECT, GONE);
-                case 1 -> new Command.Join(name, "f" + chance.nextInt(2), incarnation, chance.nextInt(3), "x", true, "t", chance.nextInt(5));
+                case 1 -> new Command.Join(name, "f" + chance.nextInt(2), incarnation, chance.nextInt(3), "x", true, "t",
+                        chance.nextInt(5));
                 case 2 -> new Command.Leave(name, incarnation);
                 case 3 -> new Command.Write(name, incarnation, 1 + chance.nextInt(3), "r", chance.nextInt(4) - 1, "v" + i);
                 default -> new Command.Renew(name, incarnation, chance.nextBoolean() ? Standing.SERVING : Standing.LEAVING, 0,
@@ -182,15 +192,15 @@
     }
 
     @Test
-    void aStateOfAnotherFormatIsRefusedInOneSentence() {
+    void refusesASnapshotOfAnotherFormat() {
         byte[] next = codec.write(new Snapshot(Snapshot.FORMAT + 1, 0, 0, 0, List.of(), List.of(), List.of()));
         assertThatThrownBy(() -> codec.readSnapshot(next)).isInstanceOf(MalformedRecordException.class)
                 .hasMessage("the fleet state has format 3, but this program reads only 2");
     }
 
-    /** One bit of a command or an answer, each in turn: never read as another. */
+    /** Each bit of a command and of a result is flipped in turn: neither is decoded as another. */
     @Test
-    void aTurnedBitIsFound() {
+    void detectsEachFlippedBit() {
         for (Record r : List.<Record>of(new Command.Write("a", 5, 1, "r", 0, "one"), new Result.Renewed(3, 4, new byte[] {1}))) {
             byte[] good = codec.write(r);
             for (int bit = 0; bit < 8 * good.length; bit++) {
--- a/fleet/src/test/java/quincespar/fleet/LayersTest.java
+++ b/fleet/src/test/java/quincespar/fleet/LayersTest.java
@@ -7,7 +7,7 @@
 
 class LayersTest {
     @Test
-    void whatDecidesDoesNoReadingOrWritingAndAsksNoClock() {
+    void fleetDoesNoIoAndReadsNoClock() {
         ArchRuleDefinition.noClasses().that().resideInAPackage("quincespar.fleet..").should().dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.nio.channels..", "java.time..", "java.util.concurrent.atomic..",
                         "quincespar.store..", "org.apache..").orShould().callMethod(System.class, "nanoTime").orShould()
--- a/fleet/src/test/java/quincespar/fleet/ShareTrackerTest.java
+++ b/fleet/src/test/java/quincespar/fleet/ShareTrackerTest.java
@@ -23,31 +23,31 @@
     }
 
     @Test
-    void sharesShrinkAtOnceAndGrowOnceOneHasCertainlyGone() {
+    void shrinksAtOnceAndGrowsAfterTheDelay() {
         ShareTracker s = new ShareTracker(5, 0, HOLD);
         assertThat(s.update(0, view(true, 5), "n0").frontEnds()).isEqualTo(5);
         assertThat(s.update(1, view(true, 7), "n0").frontEnds()).isEqualTo(7);
         assertThat(s.update(2, view(true, 4), "n0").frontEnds()).isEqualTo(7);
         assertThat(s.nextUpdateMs(2)).isEqualTo(HOLD);
-        assertThat(s.update(3, view(true, 6), "n0").frontEnds()).isEqualTo(7); // one is back
-        assertThat(s.update(2 + HOLD, view(true, 4), "n0").frontEnds()).isEqualTo(6); // who was seen meanwhile counts
+        assertThat(s.update(3, view(true, 6), "n0").frontEnds()).isEqualTo(7); // one instance has returned
+        assertThat(s.update(2 + HOLD, view(true, 4), "n0").frontEnds()).isEqualTo(6); // an instance seen during the delay counts
         assertThat(s.update(2 + 2 * HOLD, view(true, 4), "n0").frontEnds()).isEqualTo(4);
         assertThat(s.nextUpdateMs(3 * HOLD)).isInfinite();
     }
 
     @Test
-    void whoHearsNothingKeepsToWhatWasConfigured() {
+    void fallsBackToTheConfiguredCountWithoutAQuorum() {
         ShareTracker s = new ShareTracker(5, 2, HOLD);
         s.update(0, view(true, 3), "n0");
         assertThat(s.update(HOLD, view(true, 3), "n0").frontEnds()).isEqualTo(3);
         assertThat(s.update(HOLD + 1, view(false, 3), "n0").frontEnds()).isEqualTo(5);
-        assertThat(s.update(HOLD + 2, view(true, 3), "elsewhere").frontEnds()).isEqualTo(5); // not known to be one of them
+        assertThat(s.update(HOLD + 2, view(true, 3), "elsewhere").frontEnds()).isEqualTo(5); // this instance is not in the view
         assertThat(new ShareTracker(5, 2, HOLD).update(0, FleetView.NONE, "n0")).isEqualTo(new ShareTracker.Share(5, 2));
     }
 
-    /** Whatever comes and goes: never a share larger than is safe, and it grows once in the while at the most. */
+    /** However instances come and go, a share is never larger than is safe, and it grows at most once per delay. */
     @Property(tries = 500)
-    void neverAmongFewerThanActAndNeverGrowsTwiceInTheWhile(@ForAll long seed) {
+    void neverCountsFewerThanAreActiveAndGrowsOncePerDelay(@ForAll long seed) {
         Random chance = new Random(seed);
         ShareTracker s = new ShareTracker(1 + chance.nextInt(6), 0, HOLD);
         double now = 0;
--- a/fleet/src/test/java/quincespar/recovery/DurableFactTest.java
+++ b/fleet/src/test/java/quincespar/recovery/DurableFactTest.java
@@ -8,7 +8,7 @@
 import quincespar.recovery.DurableFact.FolderCondition;
 import quincespar.recovery.DurableFact.Handling;
 
-/** The table of the design note: each fact in each state of the folder. */
+/** The table of the design document: how each fact is handled in each condition of the folder. */
 class DurableFactTest {
     @ParameterizedTest
     @CsvSource({
@@ -21,7 +21,8 @@
         "OPEN_REQUESTS, NEVER_USED, NEVER_USED, NEVER_USED, NEVER_USED, NEVER_USED",
         "CLOCK_TIME, NEVER_USED, NEVER_USED, NEVER_USED, NEVER_USED, NEVER_USED",
     })
-    void eachFactIsUsedAsTheTableSays(DurableFact fact, Handling whole, Handling lost, Handling old, Handling corrupt, Handling anothers) {
+    void handlesEachFactAsTheTableSays(DurableFact fact, Handling whole, Handling lost, Handling old, Handling corrupt,
+            Handling anothers) {
         assertThat(fact.handling(FolderCondition.WHOLE)).isEqualTo(whole);
         assertThat(fact.handling(FolderCondition.LOST)).isEqualTo(lost);
         assertThat(fact.handling(FolderCondition.OLD)).isEqualTo(old);
@@ -30,7 +31,7 @@
     }
 
     @Test
-    void eachFactHasItsReason() {
+    void givesAReasonForEachFact() {
         assertThat(DurableFact.values()).allSatisfy(t -> assertThat(t.reason()).isNotBlank());
     }
 }
--- a/fleet/src/test/java/quincespar/recovery/RecoveryStateTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryStateTest.java
@@ -20,37 +20,40 @@
     }
 
     @Test
-    void whatWasOpenWhenAProcessEndedIsInDoubtUntilStaffHaveLooked() {
-        RecoveryState k = RecoveryState.replay(List.of(new JournalEntry.ProcessStarted("n1", 1), load("a", 1), new JournalEntry.LoadSent("a", "s-1"), load("b", 2), load("c", 3),
+    void keepsLoadsOfAnEndedProcessInDoubtUntilAcknowledged() {
+        RecoveryState state = RecoveryState.replay(List.of(new JournalEntry.ProcessStarted("n1", 1), load("a", 1),
+                new JournalEntry.LoadSent("a", "s-1"), load("b", 2), load("c", 3),
                 new JournalEntry.LoadEnded("b"), new JournalEntry.ProcessStarted("n1", 2), load("d", 1)));
-        assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("a", 1), "s-1"), new RecoveryState.Load(load("c", 3), ""));
-        assertThat(k.openLoads()).isEqualTo(1);
-        assertThat(k.apply(new JournalEntry.LoadEnded("a"))).isFalse(); // of another life: its client can't have been told by this one
-        assertThat(k.apply(new JournalEntry.LoadAcknowledged("a"))).isTrue();
-        assertThat(k.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("c", 3), ""));
-        k.apply(new JournalEntry.ProcessStarted("n1", 3));
-        assertThat(k.doubtfulLoads()).hasSize(2);
+        assertThat(state.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("a", 1), "s-1"),
+                new RecoveryState.Load(load("c", 3), ""));
+        assertThat(state.openLoads()).isEqualTo(1);
+        // of an earlier process: this one can't have told its client
+        assertThat(state.apply(new JournalEntry.LoadEnded("a"))).isFalse();
+        assertThat(state.apply(new JournalEntry.LoadAcknowledged("a"))).isTrue();
+        assertThat(state.doubtfulLoads()).containsExactly(new RecoveryState.Load(load("c", 3), ""));
+        state.apply(new JournalEntry.ProcessStarted("n1", 3));
+        assertThat(state.doubtfulLoads()).hasSize(2);
     }
 
     @Test
-    void anEngineThatLeftIsRememberedByItsStart() {
-        RecoveryState k = RecoveryState.replay(List.of(new JournalEntry.EngineDeparted("s-1", 100)));
-        assertThat(k.apply(new JournalEntry.EngineDeparted("s-1", 50))).isFalse(); // older news
-        assertThat(k.departure("s-1").startedAt()).isEqualTo(100);
-        assertThat(k.apply(new JournalEntry.EngineReturned("s-1"))).isTrue();
-        assertThat(k.departure("s-1")).isNull();
+    void keepsADepartedEngineWithItsStartTime() {
+        RecoveryState state = RecoveryState.replay(List.of(new JournalEntry.EngineDeparted("s-1", 100)));
+        assertThat(state.apply(new JournalEntry.EngineDeparted("s-1", 50))).isFalse(); // an older event
+        assertThat(state.departure("s-1").startedAt()).isEqualTo(100);
+        assertThat(state.apply(new JournalEntry.EngineReturned("s-1"))).isTrue();
+        assertThat(state.departure("s-1")).isNull();
     }
 
     @Test
-    void theListOfDoubtsIsBoundedAndWhatWentIsCounted() {
+    void boundsTheDoubtfulLoadsAndCountsTheDropped() {
         List<JournalEntry> all = new ArrayList<>();
         for (int i = 0; i < RecoveryState.MAX_DOUBTFUL_LOADS + 3; i++) {
             all.add(load("t" + i, 0));
         }
         all.add(new JournalEntry.ProcessStarted("n1", 1));
-        RecoveryState k = RecoveryState.replay(all);
-        assertThat(k.doubtfulLoads()).hasSize(RecoveryState.MAX_DOUBTFUL_LOADS);
-        assertThat(k.droppedLoads()).isEqualTo(3);
+        RecoveryState state = RecoveryState.replay(all);
+        assertThat(state.doubtfulLoads()).hasSize(RecoveryState.MAX_DOUBTFUL_LOADS);
+        assertThat(state.droppedLoads()).isEqualTo(3);
     }
 
     /** Files of earlier versions stay readable: a renamed entry needs its stored name in {@link JournalEntry#STORED_NAMES}. */
@@ -62,9 +65,9 @@
         }
     }
 
-    /** A file rewritten at any place, and read back through its bytes, comes to the same. */
+    /** Compaction at any point, and encoding and decoding, leave the state the same. */
     @Property(tries = 200)
-    void theFewestEntriesComeToTheSame(@ForAll long seed) throws MalformedRecordException {
+    void compactedEntriesGiveTheSameState(@ForAll long seed) throws MalformedRecordException {
         Random chance = new Random(seed);
         RecordCodec codec = new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class);
         RecoveryState one = RecoveryState.replay(List.of());
--- a/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
+++ b/fleet/src/test/java/quincespar/recovery/RecoveryTest.java
@@ -17,19 +17,21 @@
 import quincespar.recovery.Recovery.Phase;
 
 class RecoveryTest {
-    private static final RecoveryTimeouts PACE = new RecoveryTimeouts(1000, 3000, 4000, 2000, 500, 2000, 30_000);
+    private static final RecoveryTimeouts TIMEOUTS = new RecoveryTimeouts(1000, 3000, 4000, 2000, 500, 2000, 30_000);
     private static final int REPORT = 0, LOAD = 1, LOOKUP = 2;
-    private static final List<ClassTraits> CLASSES = List.of(new ClassTraits("report", true, false, 5, 30_000), new ClassTraits("load", false, true, 9, 60_000),
+    private static final List<ClassTraits> CLASSES = List.of(new ClassTraits("report", true, false, 5, 30_000),
+            new ClassTraits("load", false, true, 9, 60_000),
             new ClassTraits("lookup", true, false, 1, 800));
 
-    private final List<Action> acts = new ArrayList<>();
-    private Recovery r = new Recovery(PACE, "a", true, CLASSES);
+    private final List<Action> actions = new ArrayList<>();
+    private Recovery r = new Recovery(TIMEOUTS, "a", true, CLASSES);
     private double now = 1000;
 
     private void due() {
-        Action.StartTimer last = acts.stream().filter(Action.StartTimer.class::isInstance).map(Action.StartTimer.class::cast).reduce((x, y) -> y).orElseThrow();
+        Action.StartTimer last = actions.stream().filter(Action.StartTimer.class::isInstance)
+                .map(Action.StartTimer.class::cast).reduce((x, y) -> y).orElseThrow();
         now += last.delayMs();
-        acts.addAll(r.timerFired(now, last.timerId()));
+        actions.addAll(r.timerFired(now, last.timerId()));
     }
 
     private Phase phase() {
@@ -53,33 +55,34 @@
     }
 
     private void read(DurableFact.FolderCondition found, JournalEntry... entries) {
-        acts.addAll(r.start(now, false));
-        acts.addAll(r.folderRead(now, found, List.of(entries), ""));
+        actions.addAll(r.start(now, false));
+        actions.addAll(r.folderRead(now, found, List.of(entries), ""));
     }
 
     @Test
-    void afterALossOfAllTheClassesGoOneAfterTheOtherAndLoadsLast() {
-        acts.addAll(r.start(now, false));
+    void admitsClassesInOrderAndLoadsLastIfAllWereLost() {
+        actions.addAll(r.start(now, false));
         assertThat(r.maySend()).isFalse();
         assertThat(r.waitMs(now, LOOKUP, 0)).isPositive();
-        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 4)), ""));
-        assertThat(acts).contains(new Action.Persist(new JournalEntry.ProcessStarted("a", 5)));
+        actions.addAll(r.folderRead(now, DurableFact.FolderCondition.WHOLE, List.of(new JournalEntry.ProcessStarted("a", 4)),
+                ""));
+        assertThat(actions).contains(new Action.Persist(new JournalEntry.ProcessStarted("a", 5)));
         assertThat(phase()).isEqualTo(Phase.FINDING);
         assertThat(sends()).containsExactly("lookup");
-        acts.addAll(r.fleetChanged(now, inTouch(true)));
+        actions.addAll(r.fleetChanged(now, inTouch(true)));
         assertThat(phase()).isEqualTo(Phase.AGREEING);
         Instance me = instance("a", 9, Standing.JOINING, 500, 500);
-        Instance before = instance("b", 4, Standing.SERVING, 400, 100); // not come back yet: it has not renewed since
-        acts.addAll(r.fleetStateRead(now, state(40_000, me, before)));
-        acts.addAll(r.fleetStateRead(now, state(40_500, me, before)));
+        Instance before = instance("b", 4, Standing.SERVING, 400, 100); // not restarted yet: it has not renewed since
+        actions.addAll(r.fleetStateRead(now, state(40_000, me, before)));
+        actions.addAll(r.fleetStateRead(now, state(40_500, me, before)));
         assertThat(phase()).isEqualTo(Phase.AGREEING);
         due();
         assertThat(phase()).isEqualTo(Phase.PROBING);
-        assertThat(r.coldFrom("e", 0)).isGreaterThan(now); // every engine may be cold, one that nobody has reached above all
-        acts.addAll(r.changeLogAnswered(now));
+        assertThat(r.coldFrom("e", 0)).isGreaterThan(now); // every engine may be cold, above all one that was never reached
+        actions.addAll(r.changeLogAnswered(now));
         assertThat(phase()).isEqualTo(Phase.RETURNING);
-        assertThat(r.waitMs(now, REPORT, 0)).isEqualTo(PACE.classIntervalMs());
-        assertThat(r.waitMs(now, LOAD, 0)).isEqualTo(2 * PACE.classIntervalMs());
+        assertThat(r.waitMs(now, REPORT, 0)).isEqualTo(TIMEOUTS.classIntervalMs());
+        assertThat(r.waitMs(now, LOAD, 0)).isEqualTo(2 * TIMEOUTS.classIntervalMs());
         due();
         assertThat(sends()).containsExactly("lookup", "report");
         due();
@@ -88,30 +91,30 @@
         now += 60_000; // its power may have come back only now
         assertThat(r.engineConnected(now, "e")).containsExactly(new Action.RefreshEngineList());
         assertThat(r.engineConnected(now + 5000, "e")).isEmpty();
-        assertThat(r.coldFrom("e", 0)).isEqualTo(now); // until the settings' own time for cold engines has passed
+        assertThat(r.coldFrom("e", 0)).isEqualTo(now); // until the configured time for cold engines has passed
         assertThat(r.coldFrom("e", now + 1)).isEqualTo(now + 1);
     }
 
     @Test
-    void whereOneStoodThroughItNothingIsHeldBack() {
+    void admitsEverythingIfAnInstanceKeptRunning() {
         read(DurableFact.FolderCondition.WHOLE);
-        acts.addAll(r.fleetChanged(now, inTouch(true)));
+        actions.addAll(r.fleetChanged(now, inTouch(true)));
         Instance me = instance("a", 9, Standing.JOINING, 40_000, 40_000);
-        acts.addAll(r.fleetStateRead(now, state(40_000, me, instance("b", 4, Standing.SERVING, 39_900, 100))));
+        actions.addAll(r.fleetStateRead(now, state(40_000, me, instance("b", 4, Standing.SERVING, 39_900, 100))));
         assertThat(phase()).isEqualTo(Phase.AGREEING); // its renewal may be from before the loss
-        acts.addAll(r.fleetStateRead(now, state(40_400, me, instance("b", 4, Standing.SERVING, 40_300, 100))));
+        actions.addAll(r.fleetStateRead(now, state(40_400, me, instance("b", 4, Standing.SERVING, 40_300, 100))));
         assertThat(phase()).isEqualTo(Phase.FULL);
         assertThat(r.coldFrom("e", 0)).isZero();
-        assertThat(acts).contains(new Action.RefreshEngineList());
+        assertThat(actions).contains(new Action.RefreshEngineList());
     }
 
     @Test
-    void whereAllThatAreKnownCameBackTooTheQuietIsNotWaitedFor() {
+    void goesOnAtOnceIfAllKnownInstancesHaveRestarted() {
         read(DurableFact.FolderCondition.WHOLE);
-        acts.addAll(r.fleetChanged(now, inTouch(true)));
-        acts.addAll(r.fleetStateRead(now, null));
+        actions.addAll(r.fleetChanged(now, inTouch(true)));
+        actions.addAll(r.fleetStateRead(now, null));
         assertThat(phase()).isEqualTo(Phase.AGREEING);
-        acts.addAll(r.fleetStateRead(now, state(40_000, instance("a", 9, Standing.JOINING, 40_000, 40_000),
+        actions.addAll(r.fleetStateRead(now, state(40_000, instance("a", 9, Standing.JOINING, 40_000, 40_000),
                 instance("b", 10, Standing.JOINING, 40_000, 40_000), instance("c", 8, Standing.SERVING, 39_900, 39_000),
                 instance("d", 2, Standing.GONE, 100, 100))));
         assertThat(phase()).isEqualTo(Phase.PROBING);
@@ -119,64 +122,67 @@
     }
 
     @Test
-    void withoutAMajorityAndWithASilentChangeLogItServesAloneAndSaysSo() {
+    void servesWithoutAQuorumAndWithoutTheChangeLog() {
         read(DurableFact.FolderCondition.LOST);
         due();
         assertThat(phase()).isEqualTo(Phase.PROBING);
         assertThat(r.view(now).withoutQuorum()).isTrue();
         due();
         assertThat(phase()).isEqualTo(Phase.RETURNING);
-        acts.addAll(r.fleetChanged(now, inTouch(true)));
+        actions.addAll(r.fleetChanged(now, inTouch(true)));
         assertThat(r.view(now).withoutQuorum()).isFalse();
-        assertThat(phase()).isEqualTo(Phase.RETURNING); // never a step back
+        assertThat(phase()).isEqualTo(Phase.RETURNING); // phases never go back
         due();
         due();
         assertThat(phase()).isEqualTo(Phase.FULL);
     }
 
     @Test
-    void aFolderThatTakesTooLongIsNotWaitedForAndCountsWhenItComes() {
-        acts.addAll(r.start(now, false));
-        acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-1", true, 0));
+    void usesAJournalThatIsReadAfterTheTimeLimit() {
+        actions.addAll(r.start(now, false));
+        actions.addAll(r.engineListed(ListSource.SNAPSHOT, "s-1", true, 0));
         due();
         assertThat(phase()).isEqualTo(Phase.FINDING);
-        acts.addAll(r.recordEntry(RecoveryStateTest.load("new", 1)));
-        acts.addAll(r.folderRead(now, DurableFact.FolderCondition.CORRUPT, List.of(RecoveryStateTest.load("old", 7), new JournalEntry.EngineDeparted("s-1", 0)), "a bit turned"));
+        actions.addAll(r.recordEntry(RecoveryStateTest.load("new", 1)));
+        actions.addAll(r.folderRead(now, DurableFact.FolderCondition.CORRUPT, List.of(RecoveryStateTest.load("old", 7),
+                new JournalEntry.EngineDeparted("s-1", 0)), "a bit turned"));
         assertThat(r.state().doubtfulLoads()).extracting(l -> l.start().txn()).containsExactly("old");
         assertThat(r.state().openLoads()).isEqualTo(1);
         assertThat(r.isWithheld("s-1")).isTrue();
-        assertThat(acts).contains(new Action.RefreshEngineList());
-        assertThat(acts).anySatisfy(a -> assertThat(a.toString()).contains("corrupt: a bit turned"));
+        assertThat(actions).contains(new Action.RefreshEngineList());
+        assertThat(actions).anySatisfy(a -> assertThat(a.toString()).contains("corrupt: a bit turned"));
     }
 
     @Test
-    void anothersFolderTellsNothing() {
-        read(DurableFact.FolderCondition.ANOTHERS, RecoveryStateTest.load("theirs", 7), new JournalEntry.EngineDeparted("s-1", 0));
+    void usesNothingOfAnotherInstancesFolder() {
+        read(DurableFact.FolderCondition.ANOTHERS, RecoveryStateTest.load("theirs", 7),
+                new JournalEntry.EngineDeparted("s-1", 0));
         assertThat(r.state().doubtfulLoads()).isEmpty();
         assertThat(r.state().departedEngines()).isZero();
     }
 
-    /** Drained stays drained: a list that may be older does not bring an engine back, news and a later start do. */
+    /** A list that may be older does not bring a drained engine back; an update or a later start does. */
     @Test
-    void anEngineThatDrainedBeforeTheLossTakesNothingUntilTheChangeLogSaysOtherwise() {
-        read(DurableFact.FolderCondition.WHOLE, new JournalEntry.EngineDeparted("s-1", 50), new JournalEntry.EngineDeparted("s-2", 50), new JournalEntry.EngineDeparted("s-3", 0));
-        acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-1", true, 50));
-        acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-2", true, 60));
-        acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-3", true, 0));
+    void withholdsAnEngineThatHadDrainedUntilTheChangeLogReportsItAgain() {
+        read(DurableFact.FolderCondition.WHOLE, new JournalEntry.EngineDeparted("s-1", 50),
+                new JournalEntry.EngineDeparted("s-2", 50), new JournalEntry.EngineDeparted("s-3", 0));
+        actions.addAll(r.engineListed(ListSource.SNAPSHOT, "s-1", true, 50));
+        actions.addAll(r.engineListed(ListSource.SNAPSHOT, "s-2", true, 60));
+        actions.addAll(r.engineListed(ListSource.SNAPSHOT, "s-3", true, 0));
         assertThat(r.isWithheld("s-1")).isTrue();
-        assertThat(r.isWithheld("s-2")).isFalse(); // another start
+        assertThat(r.isWithheld("s-2")).isFalse(); // it has restarted
         assertThat(r.isWithheld("s-3")).isTrue();
         assertThat(r.view(now).withheldEngines()).isEqualTo(2);
-        acts.addAll(r.engineListed(ListSource.UPDATE, "s-1", true, 50));
+        actions.addAll(r.engineListed(ListSource.UPDATE, "s-1", true, 50));
         assertThat(r.isWithheld("s-1")).isFalse();
-        acts.addAll(r.engineListed(ListSource.UPDATE, "s-3", false, 0));
+        actions.addAll(r.engineListed(ListSource.UPDATE, "s-3", false, 0));
         assertThat(r.isWithheld("s-3")).isFalse(); // not listed as taking work: nothing to withhold
-        acts.addAll(r.engineListed(ListSource.SNAPSHOT, "s-3", true, 0));
+        actions.addAll(r.engineListed(ListSource.SNAPSHOT, "s-3", true, 0));
         assertThat(r.isWithheld("s-3")).isTrue();
     }
 
     @Test
-    void aLoadInDoubtHoldsItsTablesForItsOwnTimeFromThisStartOn() {
+    void holdsTheTablesOfADoubtfulLoadForItsTimeLimit() {
         read(DurableFact.FolderCondition.WHOLE, RecoveryStateTest.load("x", 7), new JournalEntry.ProcessStarted("a", 1));
         while (phase() != Phase.FULL) {
             due();
@@ -188,33 +194,33 @@
         assertThat(r.waitMs(full, LOAD, 7)).isZero();
         assertThat(r.waitMs(full, REPORT, 7)).isZero();
         assertThat(r.isDoubtful("x")).isTrue();
-        acts.addAll(r.recordEntry(new JournalEntry.LoadAcknowledged("x")));
+        actions.addAll(r.recordEntry(new JournalEntry.LoadAcknowledged("x")));
         assertThat(r.isDoubtful("x")).isFalse();
     }
 
     @Test
-    void clientsThatAreTurnedAwayAreSpread() {
+    void spreadsTheRetriesOfRefusedClients() {
         List<Double> all = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             all.add(r.retryAfterMs(100, "txn-" + i));
         }
-        assertThat(all).allSatisfy(ms -> assertThat(ms).isBetween(100.0, 100 + PACE.retrySpreadMs()));
-        Map<Long, Long> tenths = all.stream().collect(java.util.stream.Collectors.groupingBy(ms -> (long) ((ms - 100) / PACE.retrySpreadMs() * 10),
-                java.util.stream.Collectors.counting()));
+        assertThat(all).allSatisfy(ms -> assertThat(ms).isBetween(100.0, 100 + TIMEOUTS.retrySpreadMs()));
+        Map<Long, Long> tenths = all.stream().collect(java.util.stream.Collectors.groupingBy(
+                ms -> (long) ((ms - 100) / TIMEOUTS.retrySpreadMs() * 10), java.util.stream.Collectors.counting()));
         assertThat(tenths).hasSize(10);
         assertThat(tenths.values()).allSatisfy(n -> assertThat(n).isBetween(50L, 200L));
     }
 
     @Test
-    void besideAnOlderProcessThereIsNothingToReturnFrom() {
-        acts.addAll(r.start(now, true));
+    void doesNotRecoverAtAnUpgrade() {
+        actions.addAll(r.start(now, true));
         assertThat(phase()).isEqualTo(Phase.FULL);
         assertThat(r.coldFrom("e", 0)).isZero();
         assertThat(r.waitMs(now, LOAD, 0)).isZero();
     }
 
     @Test
-    void newClassesTakeTheirPlacesAndOnesThatAreNotKnownWait() {
+    void admitsNewClassesInOrderAndHoldsUnknownOnes() {
         read(DurableFact.FolderCondition.WHOLE);
         r.setClasses(List.of(CLASSES.get(0), CLASSES.get(1), CLASSES.get(2), new ClassTraits("peek", true, false, 1, 100)));
         assertThat(sends()).containsExactly("peek");
--- a/fleet/src/test/java/quincespar/store/JournalTest.java
+++ b/fleet/src/test/java/quincespar/store/JournalTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatWasAddedIsThereInOrderAlsoBehindARewrite() throws IOException {
+    void returnsRecordsInOrderAfterAppendAndRewrite() throws IOException {
         assertThat(read(Journal.Condition.MISSING)).isEmpty();
         try (Journal j = new Journal(new FolderDisk(folder), "j")) {
             j.append(List.of(bytes("one"), bytes("two")));
@@ -38,9 +38,9 @@
         assertThat(read(Journal.Condition.INTACT)).containsExactly("two", "four");
     }
 
-    /** Cut off at each byte: what is whole before it, and never what was not written. */
+    /** The file is truncated at each byte: only the records that are complete are returned. */
     @Test
-    void aTornEndLosesItsLastRecordOnly() throws IOException {
+    void losesOnlyTheIncompleteLastRecord() throws IOException {
         try (Journal j = new Journal(new FolderDisk(folder), "j")) {
             j.append(List.of(bytes("one"), bytes("two")));
         }
@@ -48,13 +48,14 @@
         int first = all.length / 2;
         for (int n = 1; n < all.length; n++) {
             Files.write(folder.resolve("j"), Arrays.copyOf(all, n));
-            assertThat(read(n == first ? Journal.Condition.INTACT : Journal.Condition.TORN)).isEqualTo(n < first ? List.of() : List.of("one"));
+            assertThat(read(n == first ? Journal.Condition.INTACT : Journal.Condition.TORN))
+                    .isEqualTo(n < first ? List.of() : List.of("one"));
         }
     }
 
-    /** Each bit in turn: spoilt where a whole record follows, and what stands before it is given. */
+    /** Each bit is flipped in turn: the file is corrupt if an intact record follows, and the records before it are returned. */
     @Test
-    void aTurnedBitIsFound() throws IOException {
+    void detectsEachFlippedBit() throws IOException {
         try (Journal j = new Journal(new FolderDisk(folder), "j")) {
             j.append(List.of(bytes("one"), bytes("two"), bytes("three")));
         }
@@ -66,7 +67,8 @@
             Journal.Contents f = new Journal(new FolderDisk(folder), "j").read();
             int before = bit / 8 < 11 ? 0 : bit / 8 < 22 ? 1 : 2;
             assertThat(f.records()).hasSize(before);
-            assertThat(f.condition()).isIn(before < 2 ? List.of(Journal.Condition.CORRUPT) : List.of(Journal.Condition.CORRUPT, Journal.Condition.TORN));
+            assertThat(f.condition()).isIn(before < 2 ? List.of(Journal.Condition.CORRUPT)
+                    : List.of(Journal.Condition.CORRUPT, Journal.Condition.TORN));
         }
     }
 }
--- a/fleet/src/test/java/quincespar/store/StateFolderTest.java
+++ b/fleet/src/test/java/quincespar/store/StateFolderTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatWasKeptIsThereAgainAndTheFolderHasOneOwner() throws IOException {
+    void keepsFactsAcrossReopenAndHasOneOwner() throws IOException {
         try (StateFolder f = open("a")) {
             assertThat(f.mark()).isZero();
             assertThat(new FolderDisk(folder.resolve("state")).freeBytes()).isPositive();
@@ -50,9 +50,9 @@
         }
     }
 
-    /** Each byte in turn, and each length: never a fact that was not written. */
+    /** Each byte is changed in turn, and the file is truncated at each length: both are refused. */
     @Test
-    void aSpoiltFileIsSaidToBeSpoilt() throws IOException {
+    void reportsACorruptFile() throws IOException {
         StateFolder begun = open("a");
         begun.persistMark(3);
         begun.close();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatADiskDidNotTakeIsNotClaimed() throws IOException {
+    void keepsOldFactsAfterAFailedWrite() throws IOException {
         boolean[] full = {false};
         Disk disk = new FolderDisk(folder.resolve("state")) {
             @Override
