--- a/capture/src/test/java/quincespar/capture/CaptureTest.java
+++ b/capture/src/test/java/quincespar/capture/CaptureTest.java
@@ -49,8 +49,8 @@
                 c.events().forEach(x -> kinds.add(x.getClass()));
             }
         });
-        assertThat(kinds).contains(Scheduler.Request.class, Scheduler.EngineList.class, Scheduler.AttemptEnded.class, Scheduler.AttemptNote.class,
-                Scheduler.ClientLeft.class, Scheduler.TimerFired.class, Scheduler.ProbeResult.class);
+        assertThat(kinds).contains(Scheduler.Request.class, Scheduler.EngineList.class, Scheduler.AttemptEnded.class,
+                Scheduler.AttemptNote.class, Scheduler.ClientLeft.class, Scheduler.TimerFired.class, Scheduler.ProbeResult.class);
     }
 
     /** Existing captures stay readable: a renamed record, component or constant needs its stored name in the codec's table. */
@@ -163,7 +163,8 @@
     /** Any bytes decode to an entry or throw {@link MalformedCaptureException}; nothing else is thrown. */
     @Property(tries = 3000, seed = "20261201")
     void anyBytesAreAnEntryOrRejected(@ForAll byte[] bytes, @ForAll int at, @ForAll byte with) {
-        byte[] record = codec.write(new Entry.Call(5, List.of(new Scheduler.TimerFired(3), new Scheduler.PeerMessage(1, new byte[9])),
+        byte[] record = codec.write(new Entry.Call(5,
+                List.of(new Scheduler.TimerFired(3), new Scheduler.PeerMessage(1, new byte[9])),
                 List.of(new Scheduler.SendAttempt(1, 2, 0))));
         record[Math.floorMod(at, record.length)] = with;
         for (byte[] some : List.of(bytes, record, Arrays.copyOf(record, Math.floorMod(at, record.length)))) {
@@ -177,8 +178,8 @@
 
     @Test
     void nonFiniteNumbersKeepTheirBits() throws IOException {
-        Entry.Call c = new Entry.Call(Double.MAX_VALUE, List.of(new Scheduler.AttemptEnded(1, 0, 2, Scheduler.Outcome.OK, Double.NaN,
-                true, Double.NEGATIVE_INFINITY, -0.0, List.of(Double.MIN_VALUE, Double.NaN))), List.of());
+        Entry.Call c = new Entry.Call(Double.MAX_VALUE, List.of(new Scheduler.AttemptEnded(1, 0, 2, Scheduler.Outcome.OK,
+                Double.NaN, true, Double.NEGATIVE_INFINITY, -0.0, List.of(Double.MIN_VALUE, Double.NaN))), List.of());
         byte[] bytes = codec.write(c);
         assertThat(codec.write(codec.read(bytes))).isEqualTo(bytes);
         assertThat(codec.read(bytes)).isEqualTo(c);
