--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -94,7 +94,7 @@
             } else if (effect instanceof Effect.Cancel e) {
                 inputs.add(new Input.CancelWritten(e.key()));
             } else if (effect instanceof Effect.StartTimer e
-                    && (e.key() instanceof TimerKey.Gateway
+                    && (e.key() instanceof TimerKey.Scheduler
                     || e.key() instanceof TimerKey.DecisionTick)) {
                 timers.add(new Due(now + e.delayMs(), new Input.TimerFired(e.key())));
             }
--- a/frontend/src/main/java/quincespar/routing/EngineRegistry.java
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -93,7 +93,7 @@
         listReceived = true;
         revision = event.revision();
         List<Scheduler.Engine> changed = new ArrayList<>();
-        event.members().forEach(m -> changed.add(toGateway(update(m, kind, now))));
+        event.members().forEach(m -> changed.add(toSchedulerEngine(update(m, kind, now))));
         removed.forEach(m -> update(m, kind, now));
         return new Scheduler.EngineList(kind, event.revision(), changed);
     }
@@ -113,7 +113,7 @@
         settings = next;
         byNumber.values().forEach(e -> e.withheld = held || recovery.withholds(e.listed));
         return new Scheduler.EngineList(Scheduler.ListKind.FULL, revision, byNumber.values().stream()
-                .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::toGateway).toList());
+                .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::toSchedulerEngine).toList());
     }
 
     private Engine update(FleetEvent.Member member, Scheduler.ListKind kind, double now) {
@@ -148,7 +148,7 @@
         return number;
     }
 
-    private Scheduler.Engine toGateway(Engine engine) {
+    private Scheduler.Engine toSchedulerEngine(Engine engine) {
         FleetEvent.Member member = engine.listed;
         EngineState state = switch (member.phase()) {
             case UP -> engine.withheld ? EngineState.DRAINING : EngineState.READY;
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -39,7 +39,9 @@
 
     /** Whether it may be refused, which tells its client that a retry is safe. */
     boolean refusable() {
-        return spec.idempotency() == Idempotency.SAFE || spec.idempotency() == Idempotency.KEYED && spec.deduplicationScope() == DeduplicationScope.ALL || !mayHaveRun();
+        return spec.idempotency() == Idempotency.SAFE
+                || spec.idempotency() == Idempotency.KEYED && spec.deduplicationScope() == DeduplicationScope.ALL
+                || !mayHaveRun();
     }
 
     /** Until when a further attempt may start: engines drop a repeat of a keyed request only within its class's window. */
--- a/frontend/src/main/java/quincespar/routing/PeerShares.java
+++ b/frontend/src/main/java/quincespar/routing/PeerShares.java
@@ -35,7 +35,8 @@
     /** What is known of the fleet has changed. */
     void fleetChanged(double now, Input.FleetChanged change) {
         if (shares == null) {
-            shares = new ShareTracker(configured.decision().routers(), configured.decision().routerIndex(), change.shareGrowthDelayMs());
+            shares = new ShareTracker(configured.decision().routers(), configured.decision().routerIndex(),
+                    change.shareGrowthDelayMs());
         }
         view = change.view();
         instanceName = change.instanceName();
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import quincespar.decision.Scheduler.Action;
 import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.Action;
 import quincespar.metrics.MetricsRecorder;
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.protocol.FleetEvent;
@@ -19,7 +19,7 @@
  */
 public final class Reducer {
     private final StepContext context;
-    private final Scheduler gateway;
+    private final Scheduler scheduler;
     private final EngineRegistry engines;
     private final Requests requests;
     private final Attempts attempts;
@@ -32,8 +32,8 @@
     private boolean tickScheduled;
 
     /** A reducer without recovery from power losses. */
-    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler gateway) {
-        this(settings, bounds, gateway, null, false);
+    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler scheduler) {
+        this(settings, bounds, scheduler, null, false);
     }
 
     /**
@@ -42,8 +42,8 @@
      * @param recovery      null for none
      * @param persistsLoads whether loads are sent only once an entry of them is on disk
      */
-    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler gateway, Recovery recovery, boolean persistsLoads) {
-        this.gateway = gateway;
+    public Reducer(RoutingSettings settings, Bounds bounds, Scheduler scheduler, Recovery recovery, boolean persistsLoads) {
+        this.scheduler = scheduler;
         context = new StepContext(settings);
         this.recovery = new RecoveryCoordinator(context, recovery, persistsLoads);
         engines = new EngineRegistry(settings, this.recovery);
@@ -104,7 +104,7 @@
 
     /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
-        return metrics.snapshot(requests.unanswered(), engines.listedCount(), gateway.ejectedEngineCount(),
+        return metrics.snapshot(requests.unanswered(), engines.listedCount(), scheduler.ejectedEngineCount(),
                 cluster.changeLogStatus());
     }
 
@@ -161,7 +161,7 @@
         decidedAt = context.hasEvents() ? context.now : decidedAt;
         while (context.hasEvents()) { // an attempt that ends at once is a new event
             try {
-                gateway.decide(context.now, context.takeEvents()).forEach(this::perform);
+                scheduler.decide(context.now, context.takeEvents()).forEach(this::perform);
             } catch (RuntimeException e) { // requests that are open then still have their timers
                 context.addEffect(new Effect.UnexpectedError("deciding", e));
             }
@@ -238,7 +238,7 @@
         } else if (action instanceof Scheduler.CancelAttempt a) {
             attempts.cancelByModule(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.reason());
         } else if (action instanceof Scheduler.SetTimer a) {
-            context.startTimer(new TimerKey.Gateway(a.token(), context.nextId()), a.delay());
+            context.startTimer(new TimerKey.Scheduler(a.token(), context.nextId()), a.delay());
         } else if (action instanceof Scheduler.ProbeEngine a) {
             links.probe(engines.get(a.engine()));
         } else if (!(action instanceof Scheduler.WatchEngineList || action instanceof Scheduler.FetchEngineList)) {
@@ -251,7 +251,7 @@
     private void timerFired(TimerKey key) {
         if (key instanceof TimerKey.DecisionTick) {
             tickScheduled = false;
-        } else if (key instanceof TimerKey.Gateway k) {
+        } else if (key instanceof TimerKey.Scheduler k) {
             context.addEvent(new Scheduler.TimerFired(k.token()));
         } else if (key instanceof TimerKey.AttemptTimeout k) {
             attempts.timedOut(requests.attempt(k.key()));
--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -54,8 +54,10 @@
      * appended, and what was dropped keeps its number and its last settings, for the requests that are still open.
      */
     public RoutingSettings keepingNumbersOf(RoutingSettings previous) {
-        List<Scheduler.ClassSpec> mergedClasses = merge(previous.decision.classes(), decision.classes(), Scheduler.ClassSpec::name);
-        List<Scheduler.Tenant> mergedTenants = merge(previous.decision.tenants(), decision.tenants(), Scheduler.Tenant::name);
+        List<Scheduler.ClassSpec> mergedClasses =
+                merge(previous.decision.classes(), decision.classes(), Scheduler.ClassSpec::name);
+        List<Scheduler.Tenant> mergedTenants =
+                merge(previous.decision.tenants(), decision.tenants(), Scheduler.Tenant::name);
         Map<String, Integer> usableClasses = new HashMap<>(indexByName(mergedClasses, Scheduler.ClassSpec::name));
         usableClasses.keySet().retainAll(classNumbers.keySet());
         Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Scheduler.Tenant::name));
--- a/frontend/src/main/java/quincespar/routing/TimerKey.java
+++ b/frontend/src/main/java/quincespar/routing/TimerKey.java
@@ -6,7 +6,7 @@
     record DecisionTick() implements TimerKey { }
 
     /** A timer that the decision module has asked for. */
-    record Gateway(int token, long serial) implements TimerKey { }
+    record Scheduler(int token, long serial) implements TimerKey { }
 
     /** A client's connection has had no open request for too long, or has not yet sent one. */
     record CallerIdle(long connection) implements TimerKey { }
--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -64,7 +64,7 @@
 
     /** Lets the decision module run. */
     private void decide() {
-        step(new Input.TimerFired(new TimerKey.Gateway(1, 1)));
+        step(new Input.TimerFired(new TimerKey.Scheduler(1, 1)));
     }
 
     private <T> List<T> of(Class<T> type, List<?> all) {
@@ -146,7 +146,8 @@
         assertThat(deadline.key()).isEqualTo(new TimerKey.RequestDeadline(REQUEST));
         assertThat(deadline.delayMs()).isEqualTo(1000);
         step(request(new Caller(1, 2), "00000000000000ab", now + 10));
-        assertThat(of(Scheduler.Request.class, events).get(1).clientTimeout()).isLessThan(1000); // the module is told the new deadline
+        // the module is told the new deadline
+        assertThat(of(Scheduler.Request.class, events).get(1).clientTimeout()).isLessThan(1000);
         step(new Input.TimerFired(deadline.key()));
         assertThat(last(Effect.Answer.class).reply()).isInstanceOf(Reply.Failed.class);
     }
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -68,7 +68,8 @@
         return new Scheduler() {
             @Override
             public List<Scheduler.Action> decide(double time, List<Scheduler.Event> events) {
-                events.stream().filter(Scheduler.EngineList.class::isInstance).flatMap(e -> ((Scheduler.EngineList) e).engines().stream())
+                events.stream().filter(Scheduler.EngineList.class::isInstance)
+                        .flatMap(e -> ((Scheduler.EngineList) e).engines().stream())
                         .forEach(e -> listedEngines.put(e.id(), e));
                 return module.decide(time, events);
             }
@@ -160,7 +161,7 @@
             if (!running.isEmpty()) {
                 engineAnswers(0, true);
             } else {
-                step(new Input.TimerFired(new TimerKey.Gateway(1, i)));
+                step(new Input.TimerFired(new TimerKey.Scheduler(1, i)));
             }
         }
     }
