--- a/capture/src/main/java/quincespar/capture/EntryCodec.java
+++ b/capture/src/main/java/quincespar/capture/EntryCodec.java
@@ -130,6 +130,11 @@
         }
     }
 
+    /** An event or action, or a list of these, in the form of {@link Record#toString()} with the stored names. */
+    public String toText(Object value) {
+        return records.toText(value);
+    }
+
     /** Adds a call's time and actions, encoded, to a digest by which two replays can be compared. */
     void digest(MessageDigest digest, Entry.Call call) {
         digest.update(write(new Entry.Call(call.time(), List.of(), call.actions())));
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -148,6 +148,7 @@
         if (names.isEmpty()) {
             throw new IOException("no segments in " + folder + (from > 1 ? " from number " + from + " on" : ""));
         }
+        EntryCodec codec = new EntryCodec(); // prints records by their stored names, so that builds can be compared
         Replay replay = new Replay(new CurrentModuleFactory());
         RuleChecker rules = new RuleChecker();
         double[] span = {Double.NaN, Double.NaN};
@@ -159,7 +160,7 @@
                     span[0] = Double.isNaN(span[0]) ? c.time() : span[0];
                     span[1] = c.time();
                     if (out != null && !c.actions().isEmpty()) {
-                        out.println(c.time() + " " + c.actions());
+                        out.println(c.time() + " " + codec.toText(c.actions()));
                     }
                 }
                 rules.check(e);
@@ -182,7 +183,7 @@
         System.out.println("broken-rules=" + rules.violationCount());
         rules.violations().forEach(b -> System.out.println("  " + b));
         if (r.divergence() != null) {
-            parted(r.divergence());
+            parted(codec, r.divergence());
         }
         return r.divergence() == null && r.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
     }
@@ -205,16 +206,17 @@
         }
     }
 
-    private static void parted(Replay.Divergence p) {
+    private static void parted(EntryCodec codec, Replay.Divergence p) {
         System.out.println("decisions differ at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
-        p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
-        System.out.println("  " + time(p.time()) + " " + p.expected().events());
-        System.out.println("expected " + ordered(p.expected().actions()));
-        System.out.println("got      " + ordered(p.got()));
+        p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + codec.toText(c.events()) + " -> "
+                + codec.toText(c.actions())));
+        System.out.println("  " + time(p.time()) + " " + codec.toText(p.expected().events()));
+        System.out.println("expected " + ordered(codec, p.expected().actions()));
+        System.out.println("got      " + ordered(codec, p.got()));
     }
 
-    private static String ordered(List<Scheduler.Action> actions) {
-        return actions.stream().map(String::valueOf).reduce((a, b) -> a + " " + b).orElse("nothing");
+    private static String ordered(EntryCodec codec, List<Scheduler.Action> actions) {
+        return actions.stream().map(codec::toText).reduce((a, b) -> a + " " + b).orElse("nothing");
     }
 
     private static String time(double ms) {
--- a/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
@@ -138,7 +138,7 @@
         Path decisions = folder.resolve("decisions");
         assertThat(command("replay", captures, "--decisions", decisions).out().lines().findFirst())
                 .isEqualTo(replay.out().lines().findFirst());
-        assertThat(Files.readString(decisions)).contains("SendAttempt[id=");
+        assertThat(Files.readString(decisions)).contains("Send[id=").doesNotContain("SendAttempt");
         Said verify = command("capture", "verify", captures);
         assertThat(verify.code()).as(verify.out()).isZero();
         assertThat(command("capture", "info", captures).out()).contains("n1 started ", "(this build's)",
--- a/records/src/main/java/quincespar/records/RecordCodec.java
+++ b/records/src/main/java/quincespar/records/RecordCodec.java
@@ -20,6 +20,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 
 /**
  * Writes and reads records as CBOR arrays of their components, in the order in which they are declared. A record of a sealed
@@ -151,6 +152,24 @@
         }
     }
 
+    /**
+     * A record of a registered type, or a list of these, in the form of {@link Record#toString()}, but with the stored names of
+     * types, components and enum constants.
+     */
+    public String toText(Object value) {
+        if (value instanceof Enum<?> constant) {
+            return names.of(constant);
+        } else if (value instanceof List<?> list) {
+            return list.stream().map(this::toText).collect(Collectors.joining(", ", "[", "]"));
+        } else if (value instanceof Record) {
+            Layout layout = layoutOf(value);
+            return layout.components().stream()
+                    .map(c -> names.of(layout.type(), c.name()) + "=" + toText(get(c, value)))
+                    .collect(Collectors.joining(", ", names.of(layout.type()) + "[", "]"));
+        }
+        return String.valueOf(value);
+    }
+
     private void write(JsonGenerator out, Object value) throws IOException {
         if (value == null) {
             out.writeNull();
@@ -180,10 +199,7 @@
     }
 
     private void writeRecord(JsonGenerator out, Object value) throws IOException {
-        Layout layout = layouts.get(value.getClass());
-        if (layout == null) {
-            throw new IllegalArgumentException("not a registered record: " + value.getClass());
-        }
+        Layout layout = layoutOf(value);
         Integer number = numbers.get(value.getClass());
         out.writeStartArray(value, layout.components().size() + (number == null ? 0 : 1));
         if (number != null) {
@@ -195,6 +211,14 @@
         out.writeEndArray();
     }
 
+    private Layout layoutOf(Object value) {
+        Layout layout = layouts.get(value.getClass());
+        if (layout == null) {
+            throw new IllegalArgumentException("not a registered record: " + value.getClass());
+        }
+        return layout;
+    }
+
     private static Object get(Component component, Object value) {
         try {
             return (Object) component.accessor().invokeExact(value);
--- a/records/src/main/java/quincespar/records/StoredNames.java
+++ b/records/src/main/java/quincespar/records/StoredNames.java
@@ -71,7 +71,12 @@
 
     /** The stored names of an enum's constants, in the form of {@link Arrays#toString(Object[])}. */
     String constantsOf(Class<?> type) {
-        return Arrays.stream(type.getEnumConstants()).map(c -> constants.getOrDefault((Enum<?>) c, c.toString()))
+        return Arrays.stream(type.getEnumConstants()).map(c -> of((Enum<?>) c))
                 .collect(Collectors.joining(", ", "[", "]"));
     }
+
+    /** The stored name of an enum constant. */
+    String of(Enum<?> constant) {
+        return constants.getOrDefault(constant, constant.toString());
+    }
 }
--- a/records/src/test/java/quincespar/records/StoredNamesTest.java
+++ b/records/src/test/java/quincespar/records/StoredNamesTest.java
@@ -72,6 +72,18 @@
         assertEquals(new After.Arc(new After.Place(3, 4), After.Signal.STOP), after.read(circle, After.Figure.class));
     }
 
+    @Test
+    void renamedRecordsKeepTheirText() {
+        Before.Box box = new Before.Box(List.of(new Before.Point(1, -0.0), new Before.Point(2, Double.NaN)));
+        assertEquals(box.toString(), before.toText(box));
+        assertEquals(box.toString(), after.toText(new After.Polygon(List.of(new After.Place(1, -0.0),
+                new After.Place(2, Double.NaN)))));
+        List<Before.Shape> list = List.of(new Before.Circle(new Before.Point(3, 4), Before.Light.RED), new Before.Dot(),
+                new Before.Box(List.of()), new Before.Box(null));
+        assertEquals(list.toString(), after.toText(List.of(new After.Arc(new After.Place(3, 4), After.Signal.STOP),
+                new After.Dot(), new After.Polygon(List.of()), new After.Polygon(null))));
+    }
+
     @Test
     void withoutTheTableAnotherNameIsAnotherSchemaAndAnotherNumber() {
         RecordCodec unnamed = new RecordCodec(After.Figure.class);
