--- a/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
+++ b/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import quincespar.faultbench.report.Page;
-import quincespar.faultbench.schedule.Fixed;
-import quincespar.faultbench.schedule.Losses;
+import quincespar.faultbench.report.ReportPage;
+import quincespar.faultbench.schedule.FixedSchedules;
+import quincespar.faultbench.schedule.PowerLossSchedules;
 import quincespar.faultbench.schedule.Schedule;
+import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Plant;
-import quincespar.faultbench.world.World;
 
 /** The command line. */
 @Command(name = "faultbench", description = "Starts several processes of the front end and puts faults between them.",
@@ -63,21 +63,21 @@
         return root.toAbsolutePath();
     }
 
-    private World.Make world(Path folder, boolean cold, boolean recovery) throws IOException {
+    private Cluster.Options clusterOptions(Path folder, boolean cold, boolean recovery) throws IOException {
         Path jar = Run.jar(root());
-        return new World.Make(instances, voters, true, jar, guard == null ? null : Plant.out(guard, root(), jar,
+        return new Cluster.Options(instances, voters, true, jar, guard == null ? null : Plant.compileWithout(guard, root(), jar,
                 folder), folder, cold, recovery);
     }
 
-    private Run played(Schedule s, Path folder, boolean losses, List<String> into) throws IOException, InterruptedException {
-        Run run = new Run(world(folder, losses, losses && !off), s);
+    private Run runSchedule(Schedule s, Path folder, boolean losses, List<String> into) throws IOException, InterruptedException {
+        Run run = new Run(clusterOptions(folder, losses, losses && !off), s);
         into.addAll(run.play());
         return run;
     }
 
     @Command(name = "list", description = "The fixed schedules, and the guards that can be taken out.")
     int list() {
-        Fixed.names().forEach(n -> System.out.println("# " + n + "\n" + Schedule.read(Fixed.all().get(n)).text()));
+        FixedSchedules.names().forEach(n -> System.out.println("# " + n + "\n" + Schedule.read(FixedSchedules.texts().get(n)).text()));
         System.out.println("guards: " + Plant.guards());
         return 0;
     }
@@ -91,31 +91,31 @@
         if ((what == null) == (seed == null)) {
             throw new CommandLine.ParameterException(spec.commandLine(), "play takes a schedule or --seed");
         }
-        Schedule s = seed != null ? drawn(seed) : Schedule.read(Fixed.all().containsKey(what)
-                ? Fixed.all().get(what) : Files.readString(Path.of(what)));
-        guard = guard == null && what != null ? Fixed.plant(what) : guard;
+        Schedule s = seed != null ? drawSchedule(seed) : Schedule.read(FixedSchedules.texts().containsKey(what)
+                ? FixedSchedules.texts().get(what) : Files.readString(Path.of(what)));
+        guard = guard == null && what != null ? FixedSchedules.requiredPlant(what) : guard;
         System.out.print(s.text());
         List<String> problems = new java.util.ArrayList<>();
         if (keep != null) {
-            World.drop(keep); // what an earlier run left would be the state that this one begins with
+            Cluster.deleteFolder(keep); // what an earlier run left would be the state that this one begins with
         }
         Path folder = keep == null ? Files.createTempDirectory("faultbench") : Files.createDirectories(keep);
-        Run run = played(s, folder, losses || what != null && Fixed.loss(what), problems);
+        Run run = runSchedule(s, folder, losses || what != null && FixedSchedules.isPowerLoss(what), problems);
         if (report != null) {
-            Files.writeString(report, Page.of(run.history(), problems, s));
+            Files.writeString(report, ReportPage.of(run.history(), problems, s));
         }
-        tell(problems, run);
+        printResult(problems, run);
         return problems.isEmpty() ? 0 : 1;
     }
 
-    private Schedule drawn(long seed) {
-        return losses ? Losses.draw(seed, instances) : Schedule.draw(seed, instances);
+    private Schedule drawSchedule(long seed) {
+        return losses ? PowerLossSchedules.draw(seed, instances) : Schedule.draw(seed, instances);
     }
 
-    private static void tell(List<String> problems, Run run) {
+    private static void printResult(List<String> problems, Run run) {
         problems.forEach(p -> System.out.println("BROKEN " + p));
         System.out.printf("%s: %d operations, %d requests, %d glances%n", problems.isEmpty() ? "held" : "broken",
-                run.history().operations().size(), run.history().requests().size(), run.history().glances().size());
+                run.history().operations().size(), run.history().requests().size(), run.history().statusSamples().size());
     }
 
     @Command(name = "hunt", description = "Play seeds one after the other; what breaks is kept as a file.")
@@ -126,17 +126,17 @@
         int broken = 0;
         for (long seed = from; seed < from + count; seed++) {
             List<String> problems = new java.util.ArrayList<>();
-            Schedule s = drawn(seed);
+            Schedule s = drawSchedule(seed);
             Path folder = Files.createTempDirectory("faultbench");
-            Run run = played(s, folder, losses, problems);
+            Run run = runSchedule(s, folder, losses, problems);
             if (problems.isEmpty()) {
-                World.drop(folder);
+                Cluster.deleteFolder(folder);
             } else {
                 broken++;
                 Files.createDirectories(found);
                 Files.writeString(found.resolve("seed-" + seed + ".txt"), "# " + String.join("\n# ", problems) + "\n# logs: "
                         + folder + "\n" + s.text());
-                Files.writeString(found.resolve("seed-" + seed + ".html"), Page.of(run.history(), problems, s));
+                Files.writeString(found.resolve("seed-" + seed + ".html"), ReportPage.of(run.history(), problems, s));
             }
             System.out.printf("[%-30s] %d of %d, seed %d: %s%n", "#".repeat((int) (30 * (seed - from + 1) / count)),
                     seed - from + 1, count, seed, problems.isEmpty() ? "held" : "BROKEN " + problems.get(0));
@@ -151,11 +151,11 @@
             throws IOException, InterruptedException {
         Schedule s = Schedule.read(Files.readString(file));
         for (int i = s.steps().size() - 1; i >= 0; i--) {
-            Schedule less = s.without(i);
+            Schedule less = s.withoutStep(i);
             boolean breaks = false;
             for (int t = 0; t < tries && !breaks; t++) {
                 List<String> problems = new java.util.ArrayList<>();
-                played(less, Files.createTempDirectory("faultbench"), losses, problems);
+                runSchedule(less, Files.createTempDirectory("faultbench"), losses, problems);
                 breaks = !problems.isEmpty();
             }
             System.out.println((breaks ? "not needed: " : "needed: ") + s.steps().get(i));
--- a/faultbench/src/main/java/quincespar/faultbench/Measure.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Measure.java
@@ -17,13 +17,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParentCommand;
 import quincespar.faultbench.check.History;
-import quincespar.faultbench.report.Curve;
+import quincespar.faultbench.report.LineChart;
+import quincespar.faultbench.world.AdminClient.Response;
+import quincespar.faultbench.world.AdminClient;
 import quincespar.faultbench.world.Client;
-import quincespar.faultbench.world.Engine;
+import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Node;
-import quincespar.faultbench.world.Operator;
-import quincespar.faultbench.world.Operator.Answer;
-import quincespar.faultbench.world.World;
+import quincespar.faultbench.world.StandInEngine;
 
 /** Figures of a fleet, by hand: nothing here is held against a bound. */
 @Command(name = "measure", description = "Measure a fleet of processes; prints figures.", mixinStandardHelpOptions = true)
@@ -33,8 +33,8 @@
     @ParentCommand
     private FaultBench bench;
 
-    private World world(int instances, int voters, boolean fleet, History history) throws IOException {
-        return new World(new World.Make(instances, voters, fleet, Run.jar(bench.root()), null,
+    private Cluster newCluster(int instances, int voters, boolean fleet, History history) throws IOException {
+        return new Cluster(new Cluster.Options(instances, voters, fleet, Run.jar(bench.root()), null,
                 Files.createTempDirectory("measure")), history);
     }
 
@@ -49,65 +49,65 @@
         Map<String, List<double[]>> all = new LinkedHashMap<>();
         for (int i = 0; i < pairs; i++) {
             for (boolean on : new boolean[] {true, false}) {
-                all.computeIfAbsent(on ? "looks for its return" : "does not", k -> new ArrayList<>()).add(loss(i + 1, on, overMs, everyMs));
+                all.computeIfAbsent(on ? "looks for its return" : "does not", k -> new ArrayList<>()).add(measurePowerLoss(i + 1, on, overMs, everyMs));
             }
         }
         if (plot != null) {
             Map<String, double[]> medians = new LinkedHashMap<>();
             all.forEach((name, runs) -> medians.put(name, IntStream.range(0, AFTER_S).mapToDouble(s -> runs.stream().mapToDouble(r -> r[s])
                     .sorted().toArray()[runs.size() / 2]).toArray()));
-            Files.writeString(plot, Curve.of("Served a second after the power is back", medians));
+            Files.writeString(plot, LineChart.of("Served a second after the power is back", medians));
         }
         return 0;
     }
 
-    private double[] loss(int pair, boolean on, int overMs, int everyMs) throws IOException, InterruptedException {
+    private double[] measurePowerLoss(int pair, boolean on, int overMs, int everyMs) throws IOException, InterruptedException {
         History history = new History();
-        try (World w = new World(new World.Make(5, 5, true, Run.jar(bench.root()), null, Files.createTempDirectory("measure"), true, on),
+        try (Cluster cluster = new Cluster(new Cluster.Options(5, 5, true, Run.jar(bench.root()), null, Files.createTempDirectory("measure"), true, on),
                 history)) {
-            startAll(w);
+            startAll(cluster);
             List<Client> clients = new ArrayList<>();
             List<Thread> asking = new ArrayList<>();
-            for (Node n : w.nodes().values()) {
-                clients.add(new Client(n.name(), n.listen(), clients.size() + 1, everyMs, history));
+            for (Node n : cluster.nodes().values()) {
+                clients.add(new Client(n.name(), n.listenAddress(), clients.size() + 1, everyMs, history));
                 asking.add(clients.get(clients.size() - 1).start());
             }
             TimeUnit.SECONDS.sleep(8);
             long lost = System.nanoTime();
-            for (Node n : w.nodes().values()) {
+            for (Node n : cluster.nodes().values()) {
                 n.kill();
             }
-            for (Engine e : w.engines()) {
-                e.power(false);
+            for (StandInEngine e : cluster.engines()) {
+                e.setPowered(false);
             }
-            for (Node n : w.nodes().values()) {
+            for (Node n : cluster.nodes().values()) {
                 n.start();
             }
             long back = System.nanoTime();
-            for (Engine e : w.engines()) {
-                e.power(true);
-                TimeUnit.MILLISECONDS.sleep(overMs / w.engines().size());
+            for (StandInEngine e : cluster.engines()) {
+                e.setPowered(true);
+                TimeUnit.MILLISECONDS.sleep(overMs / cluster.engines().size());
             }
             TimeUnit.NANOSECONDS.sleep(Math.max(0, back + TimeUnit.SECONDS.toNanos(AFTER_S) - System.nanoTime()));
             clients.forEach(Client::stop);
             for (Thread t : asking) {
                 t.join();
             }
-            List<History.Request> served = history.requests().stream().filter(r -> r.from() > lost && r.answer().equals("served")).toList();
-            double first = served.stream().filter(r -> !r.load()).mapToDouble(r -> (r.to() - back) / 1e6).min().orElse(Double.NaN);
+            List<History.Request> served = history.requests().stream().filter(r -> r.sentAt() > lost && r.answer().equals("served")).toList();
+            double first = served.stream().filter(r -> !r.load()).mapToDouble(r -> (r.endedAt() - back) / 1e6).min().orElse(Double.NaN);
             System.out.printf(Locale.ROOT, "pair %d recovery %s: %d of %d engines fell, first lookup served after %.0f ms, served in 10 s %d, in"
                     + " 20 s %d, in 30 s %d%n", pair, on ? "on " : "off", history.events().stream().filter(e -> e.kind().equals("fell")).count(),
-                    w.engines().size(), first, within(served, back, 10), within(served, back, 20), within(served, back, AFTER_S));
+                    cluster.engines().size(), first, within(served, back, 10), within(served, back, 20), within(served, back, AFTER_S));
             return IntStream.range(0, AFTER_S).mapToDouble(s -> within(served, back, s + 1) - within(served, back, s)).toArray();
         }
     }
 
     private static long within(List<History.Request> served, long from, int seconds) {
-        return served.stream().filter(r -> r.to() <= from + TimeUnit.SECONDS.toNanos(seconds)).count();
+        return served.stream().filter(r -> r.endedAt() <= from + TimeUnit.SECONDS.toNanos(seconds)).count();
     }
 
-    private static Map<String, String> ask(Node n) {
-        Answer a = Operator.call(n.admin(), "GET", "/fleet", WAIT_MS);
+    private static Map<String, String> readStatus(Node n) {
+        Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet", WAIT_MS);
         return a.status() == 200 ? a.values() : Map.of();
     }
 
@@ -122,16 +122,16 @@
         return true;
     }
 
-    private static boolean inTouch(Node n) {
-        return ask(n).getOrDefault("inTouch", "false").equals("true");
+    private static boolean quorumReachable(Node n) {
+        return readStatus(n).getOrDefault("inTouch", "false").equals("true");
     }
 
-    private static void startAll(World w) throws IOException, InterruptedException {
-        for (Node n : w.nodes().values()) {
+    private static void startAll(Cluster cluster) throws IOException, InterruptedException {
+        for (Node n : cluster.nodes().values()) {
             n.start();
         }
-        for (Node n : w.nodes().values()) {
-            if (!until(() -> inTouch(n), 50)) {
+        for (Node n : cluster.nodes().values()) {
+            if (!until(() -> quorumReachable(n), 50)) {
                 throw new IOException(n.name() + " did not come into touch");
             }
         }
@@ -145,9 +145,9 @@
     }
 
     /** The leader as who leads itself says; null where none does. */
-    private static Node leader(World w) {
-        return w.nodes().values().stream().filter(n -> {
-            Map<String, String> v = ask(n);
+    private static Node leader(Cluster cluster) {
+        return cluster.nodes().values().stream().filter(n -> {
+            Map<String, String> v = readStatus(n);
             return v.getOrDefault("voting", "").equals("true") && n.name().equals(v.get("leader"));
         }).findFirst().orElse(null);
     }
@@ -157,24 +157,24 @@
     int elections(@Option(names = "--count", defaultValue = "50") int count) throws IOException, InterruptedException {
         List<Double> leads = new ArrayList<>();
         List<Double> writes = new ArrayList<>();
-        try (World w = world(5, 5, true, new History())) {
-            startAll(w);
+        try (Cluster cluster = newCluster(5, 5, true, new History())) {
+            startAll(cluster);
             for (int i = 0; i < count; i++) {
                 Node[] old = new Node[1];
-                until(() -> (old[0] = leader(w)) != null, 20);
-                Node asked = w.nodes().values().stream().filter(n -> n != old[0]).findFirst().orElseThrow();
+                until(() -> (old[0] = leader(cluster)) != null, 20);
+                Node asked = cluster.nodes().values().stream().filter(n -> n != old[0]).findFirst().orElseThrow();
                 long at = System.nanoTime();
                 old[0].kill();
                 until(() -> {
-                    String l = ask(asked).getOrDefault("leader", "");
+                    String l = readStatus(asked).getOrDefault("leader", "");
                     return !l.isEmpty() && !l.equals(old[0].name());
                 }, 2);
                 leads.add((System.nanoTime() - at) / 1e6);
                 String value = "v" + i;
-                until(() -> Operator.call(asked.admin(), "PUT", "/fleet/registers/r/any/" + value, 5000).status() == 200, 1);
+                until(() -> AdminClient.call(asked.adminAddress(), "PUT", "/fleet/registers/r/any/" + value, 5000).status() == 200, 1);
                 writes.add((System.nanoTime() - at) / 1e6);
                 old[0].start();
-                until(() -> inTouch(old[0]), 50);
+                until(() -> quorumReachable(old[0]), 50);
             }
         }
         print("ms until another leads", leads);
@@ -184,9 +184,9 @@
 
     @Command(name = "registers", description = "Writes and reads a second, one after the other and from many callers.")
     int registers(@Option(names = "--seconds", defaultValue = "10") int seconds) throws IOException, InterruptedException {
-        try (World w = world(5, 5, true, new History())) {
-            startAll(w);
-            List<Node> nodes = List.copyOf(w.nodes().values());
+        try (Cluster cluster = newCluster(5, 5, true, new History())) {
+            startAll(cluster);
+            List<Node> nodes = List.copyOf(cluster.nodes().values());
             for (int callers : new int[] {1, 5, 20}) {
                 for (String kind : List.of("PUT", "GET")) {
                     int[] done = new int[callers];
@@ -197,7 +197,7 @@
                         Thread t = new Thread(() -> {
                             while (System.nanoTime() < end) {
                                 String path = "/fleet/registers/m" + caller + (kind.equals("PUT") ? "/any/x" : "");
-                                done[caller] += Operator.call(nodes.get(caller % nodes.size()).admin(), kind, path, 5000)
+                                done[caller] += AdminClient.call(nodes.get(caller % nodes.size()).adminAddress(), kind, path, 5000)
                                         .status() == 200 ? 1 : 0;
                             }
                         });
@@ -219,15 +219,15 @@
             + " and an end are known to all.")
     int size(@Option(names = "--of", defaultValue = "60") int instances, @Option(names = "--seconds",
             defaultValue = "20") int seconds) throws IOException, InterruptedException {
-        try (World w = world(instances, 5, true, new History())) {
-            List<Node> nodes = List.copyOf(w.nodes().values());
+        try (Cluster cluster = newCluster(instances, 5, true, new History())) {
+            List<Node> nodes = List.copyOf(cluster.nodes().values());
             Node late = nodes.get(nodes.size() - 1);
             for (Node n : nodes.subList(0, nodes.size() - 1)) {
                 n.start();
                 TimeUnit.MILLISECONDS.sleep(300); // starts are not what is measured, and share the machine's cores
             }
             for (Node n : nodes.subList(0, nodes.size() - 1)) {
-                until(() -> inTouch(n), 100);
+                until(() -> quorumReachable(n), 100);
             }
             double[] before = cpu(nodes);
             TimeUnit.SECONDS.sleep(seconds);
@@ -242,10 +242,10 @@
                     + " follower %d%n", voters / 5 / seconds, followers / (nodes.size() - 6) / seconds, rss(nodes.get(0)),
                     rss(nodes.get(10)));
             late.start();
-            until(() -> !ask(late).getOrDefault("incarnation", "0").equals("0"), 1);
+            until(() -> !readStatus(late).getOrDefault("incarnation", "0").equals("0"), 1);
             print("ms until a join is known to all", known(nodes.subList(0, nodes.size() - 1), late, "JOINING", "SERVING"));
-            until(() -> inTouch(late), 20);
-            late.term();
+            until(() -> quorumReachable(late), 20);
+            late.terminate();
             late.awaitEnd(10_000);
             print("ms until an end in order is known to all", known(nodes.subList(0, nodes.size() - 1), late, "GONE"));
         }
@@ -259,7 +259,7 @@
         for (Node n : by) {
             Thread t = new Thread(() -> {
                 try {
-                    until(() -> Operator.call(n.admin(), "GET", "/fleet", WAIT_MS).rows().stream().anyMatch(m -> m.get("name")
+                    until(() -> AdminClient.call(n.adminAddress(), "GET", "/fleet", WAIT_MS).rows().stream().anyMatch(m -> m.get("name")
                             .equals(who.name()) && List.of(standings).contains(m.get("standing"))), 10);
                     out.add((System.nanoTime() - from) / 1e6);
                 } catch (InterruptedException e) {
@@ -295,19 +295,19 @@
             List<Double> rss = new ArrayList<>();
             List<Double> cpu = new ArrayList<>();
             for (int i = 0; i < times; i++) {
-                try (World w = world(which == 2 ? 4 : which == 1 ? 3 : 1, which == 0 ? 1 : 3, which > 0, new History())) {
-                    List<Node> nodes = List.copyOf(w.nodes().values());
+                try (Cluster cluster = newCluster(which == 2 ? 4 : which == 1 ? 3 : 1, which == 0 ? 1 : 3, which > 0, new History())) {
+                    List<Node> nodes = List.copyOf(cluster.nodes().values());
                     for (Node n : nodes.subList(0, nodes.size() - 1)) {
                         n.start();
-                        until(() -> status(n), 20);
+                        until(() -> isUp(n), 20);
                     }
                     Node last = nodes.get(nodes.size() - 1);
                     long at = System.nanoTime();
                     last.start();
-                    until(() -> status(last), 2);
+                    until(() -> isUp(last), 2);
                     ready.add((System.nanoTime() - at) / 1e6);
                     if (which > 0) {
-                        until(() -> inTouch(last), 2);
+                        until(() -> quorumReachable(last), 2);
                         touch.add((System.nanoTime() - at) / 1e6);
                     }
                     TimeUnit.SECONDS.sleep(3);
@@ -332,21 +332,21 @@
         for (int i = 0; i < pairs; i++) {
             for (boolean fleet : new boolean[] {true, false}) {
                 History history = new History();
-                try (World w = world(5, 5, fleet, history)) {
-                    for (Node n : w.nodes().values()) {
+                try (Cluster cluster = newCluster(5, 5, fleet, history)) {
+                    for (Node n : cluster.nodes().values()) {
                         n.start();
                     }
-                    for (Node n : w.nodes().values()) {
-                        until(() -> fleet ? inTouch(n) : status(n), 20);
+                    for (Node n : cluster.nodes().values()) {
+                        until(() -> fleet ? quorumReachable(n) : isUp(n), 20);
                     }
                     List<Client> clients = new ArrayList<>();
                     List<Thread> asking = new ArrayList<>();
-                    for (Node n : w.nodes().values()) {
-                        clients.add(new Client(n.name(), n.listen(), clients.size() + 1, 5, history));
+                    for (Node n : cluster.nodes().values()) {
+                        clients.add(new Client(n.name(), n.listenAddress(), clients.size() + 1, 5, history));
                         asking.add(clients.get(clients.size() - 1).start());
                     }
                     TimeUnit.SECONDS.sleep(3);
-                    Node lost = fleet ? leader(w) : w.nodes().get("n1");
+                    Node lost = fleet ? leader(cluster) : cluster.nodes().get("n1");
                     lost.kill();
                     TimeUnit.SECONDS.sleep(7);
                     clients.forEach(Client::stop);
@@ -354,7 +354,7 @@
                         t.join();
                     }
                     List<History.Request> all = history.requests().stream().filter(r -> !r.node().equals(lost.name())).toList();
-                    double[] ms = all.stream().filter(r -> !r.load()).mapToDouble(r -> (r.to() - r.from()) / 1e6).sorted()
+                    double[] ms = all.stream().filter(r -> !r.load()).mapToDouble(r -> (r.endedAt() - r.sentAt()) / 1e6).sorted()
                             .toArray();
                     System.out.printf(Locale.ROOT, "pair %d fleet %s: %d asked of the others, served %.4f, lookups ms median %.2f"
                             + " p99 %.2f longest %.1f%n", i + 1, fleet ? "on " : "off", all.size(), all.stream().filter(r ->
@@ -366,7 +366,7 @@
         return 0;
     }
 
-    private static boolean status(Node n) {
-        return Operator.call(n.admin(), "GET", "/status", WAIT_MS).status() == 200;
+    private static boolean isUp(Node n) {
+        return AdminClient.call(n.adminAddress(), "GET", "/status", WAIT_MS).status() == 200;
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/Run.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Run.java
@@ -12,56 +12,56 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import quincespar.faultbench.check.History;
-import quincespar.faultbench.check.History.Glance;
 import quincespar.faultbench.check.History.Operation;
 import quincespar.faultbench.check.History.Outcome;
+import quincespar.faultbench.check.History.StatusSample;
+import quincespar.faultbench.check.History;
+import quincespar.faultbench.check.Invariants;
 import quincespar.faultbench.check.Linearizability;
-import quincespar.faultbench.check.Rules;
-import quincespar.faultbench.schedule.Schedule;
 import quincespar.faultbench.schedule.Schedule.Step;
 import quincespar.faultbench.schedule.Schedule.Verb;
+import quincespar.faultbench.schedule.Schedule;
+import quincespar.faultbench.world.AdminClient.Response;
+import quincespar.faultbench.world.AdminClient;
 import quincespar.faultbench.world.Client;
-import quincespar.faultbench.world.Engine;
+import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Node;
-import quincespar.faultbench.world.Operator;
-import quincespar.faultbench.world.Operator.Answer;
-import quincespar.faultbench.world.Relay;
 import quincespar.faultbench.world.Relay.Mode;
-import quincespar.faultbench.world.World;
+import quincespar.faultbench.world.Relay;
+import quincespar.faultbench.world.StandInEngine;
 
 /** One run: starts a world, plays a schedule under load, mends everything, and holds what was seen against the rules. */
 public final class Run {
-    private static final int GLANCE_MS = 100, GLANCE_WAIT_MS = 1000, CALL_WAIT_MS = 2500, CALL_EVERY_MS = 40, ASK_EVERY_MS = 25, PRESS_EVERY_MS = 6;
-    private static final int BEHIND = 50, REGISTERS = 3, TOGETHER_S = 60, VOTES_S = 20, UPGRADE_MS = 20_000, TAIL_MS = 500;
+    private static final int SAMPLE_EVERY_MS = 100, STATUS_TIMEOUT_MS = 1000, REGISTER_TIMEOUT_MS = 2500, REGISTER_EVERY_MS = 40, REQUEST_EVERY_MS = 25, LOSS_REQUEST_EVERY_MS = 6;
+    private static final int MAX_APPLIED_LAG = 50, REGISTERS = 3, CONVERGE_TIMEOUT_S = 60, VOTE_TIMEOUT_S = 20, UPGRADE_TIMEOUT_MS = 20_000, FINAL_LOAD_MS = 500;
 
-    private final World.Make make;
+    private final Cluster.Options options;
     private final Schedule schedule;
     private final History history = new History();
     private final List<String> problems = Collections.synchronizedList(new ArrayList<>());
-    private final Map<String, Glance> last = Collections.synchronizedMap(new LinkedHashMap<>());
-    private final Map<String, List<String>> identities = Collections.synchronizedMap(new LinkedHashMap<>());
+    private final Map<String, StatusSample> lastSamples = Collections.synchronizedMap(new LinkedHashMap<>());
+    private final Map<String, List<String>> folderIdentities = Collections.synchronizedMap(new LinkedHashMap<>());
     /** From when on an instance runs on a folder that must not vote any more. */
-    private final Map<String, Long> restored = Collections.synchronizedMap(new LinkedHashMap<>());
+    private final Map<String, Long> untrustedSince = Collections.synchronizedMap(new LinkedHashMap<>());
     /** Which lives must not end. */
-    private final Map<String, Long> lives = Collections.synchronizedMap(new LinkedHashMap<>());
+    private final Map<String, Long> mustNotEnd = Collections.synchronizedMap(new LinkedHashMap<>());
     /** Whose list of loads was spoilt: what stood behind the spot can't be in it. */
-    private final Set<String> unlisted = Collections.synchronizedSet(new LinkedHashSet<>());
-    private static final int KEPT = 3;
-    private final Map<Engine, Long> drained = Collections.synchronizedMap(new LinkedHashMap<>());
+    private final Set<String> damagedLoadLists = Collections.synchronizedSet(new LinkedHashSet<>());
+    private static final int LOAD_LIST_FILE = 3;
+    private final Map<StandInEngine, Long> drainedAt = Collections.synchronizedMap(new LinkedHashMap<>());
     /** The loads that each instance has ever listed as in doubt. */
-    private final Map<String, Set<String>> doubtful = Collections.synchronizedMap(new LinkedHashMap<>());
-    private static final Set<Verb> WORLDLY = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN, Verb.FORGET, Verb.RETURNED);
-    private final Set<String> replaced = Collections.synchronizedSet(new LinkedHashSet<>());
-    private final Set<String> seconds = Collections.synchronizedSet(new LinkedHashSet<>());
-    private final List<Thread> glancers = Collections.synchronizedList(new ArrayList<>());
-    private volatile long stepAt;
-    private volatile boolean calling = true;
-    private volatile boolean glancing = true;
+    private final Map<String, Set<String>> doubtfulLoads = Collections.synchronizedMap(new LinkedHashMap<>());
+    private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN, Verb.FORGET, Verb.RETURNED);
+    private final Set<String> replacedFolders = Collections.synchronizedSet(new LinkedHashSet<>());
+    private final Set<String> duplicates = Collections.synchronizedSet(new LinkedHashSet<>());
+    private final List<Thread> lateThreads = Collections.synchronizedList(new ArrayList<>());
+    private volatile long lastStepAt;
+    private volatile boolean registerLoadRunning = true;
+    private volatile boolean sampling = true;
 
     /** A run of this schedule in this world. */
-    public Run(World.Make make, Schedule schedule) {
-        this.make = make;
+    public Run(Cluster.Options options, Schedule schedule) {
+        this.options = options;
         this.schedule = schedule;
     }
 
@@ -72,59 +72,59 @@
 
     /** Plays it; what is wrong, a line each, none where all held. */
     public List<String> play() throws IOException, InterruptedException {
-        try (World w = new World(make, history)) {
+        try (Cluster cluster = new Cluster(options, history)) {
             List<Thread> threads = new ArrayList<>();
-            for (Node n : w.nodes().values()) {
+            for (Node n : cluster.nodes().values()) {
                 n.start();
-                threads.add(thread("glance-" + n.name(), () -> glance(n)));
+                threads.add(thread("status-" + n.name(), () -> sampleStatus(n)));
             }
-            if (!until(() -> together(w))) {
-                problems.add("the instances did not come together at the start: " + last.values());
+            if (!until(() -> converged(cluster))) {
+                problems.add("the instances did not come together at the start: " + lastSamples.values());
                 return problems;
             }
             List<Client> clients = new ArrayList<>();
             int number = 0;
-            for (Node n : w.nodes().values()) {
-                clients.add(new Client(n.name(), n.listen(), ++number, w.made().cold() ? PRESS_EVERY_MS : ASK_EVERY_MS, history));
+            for (Node n : cluster.nodes().values()) {
+                clients.add(new Client(n.name(), n.listenAddress(), ++number, cluster.options().cold() ? LOSS_REQUEST_EVERY_MS : REQUEST_EVERY_MS, history));
                 int caller = number;
-                threads.add(thread("caller-" + number, () -> call(w, caller)));
+                threads.add(thread("caller-" + number, () -> useRegisters(cluster, caller)));
             }
             List<Thread> asking = clients.stream().map(Client::start).toList();
-            steps(w);
-            mend(w);
-            stepAt = System.nanoTime(); // what a process said before it was killed says nothing of the one that followed it
-            boolean back = until(() -> together(w));
+            playSteps(cluster);
+            removeAllFaults(cluster);
+            lastStepAt = System.nanoTime(); // what a process said before it was killed says nothing of the one that followed it
+            boolean back = until(() -> converged(cluster));
             if (!back) {
-                problems.add("the instances did not come together again: " + last.values());
-                threads(w);
+                problems.add("the instances did not come together again: " + lastSamples.values());
+                dumpThreads(cluster);
             }
             if (back) {
-                votesAgain(w);
-                returned(w);
+                checkVotersVote(cluster);
+                awaitRecovered(cluster);
             }
-            TimeUnit.MILLISECONDS.sleep(TAIL_MS);
-            calling = false;
+            TimeUnit.MILLISECONDS.sleep(FINAL_LOAD_MS);
+            registerLoadRunning = false;
             clients.forEach(Client::stop);
             for (Thread t : asking) {
                 t.join();
             }
             for (int r = 0; r < REGISTERS && back; r++) {
-                back = finalRead(w, "r" + r);
+                back = finalRead(cluster, "r" + r);
             }
-            glancing = false;
-            threads.addAll(glancers);
+            sampling = false;
+            threads.addAll(lateThreads);
             for (Thread t : threads) {
                 t.join();
             }
-            judge(w);
+            checkHistory(cluster);
             return problems;
         }
     }
 
     /** Something hangs: what every process is at goes to its log. */
-    private static void threads(World w) throws IOException, InterruptedException {
-        for (Node n : w.nodes().values()) {
-            n.threads();
+    private static void dumpThreads(Cluster cluster) throws IOException, InterruptedException {
+        for (Node n : cluster.nodes().values()) {
+            n.dumpThreads();
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     private static boolean until(BooleanSupplier condition) throws InterruptedException {
-        return until(condition, TOGETHER_S);
+        return until(condition, CONVERGE_TIMEOUT_S);
     }
 
     private static boolean until(BooleanSupplier condition, int longestS) throws InterruptedException {
@@ -154,13 +154,13 @@
      * All are in touch and known to serve, and who votes has what was agreed (the library counts no vote of one with an empty log), by what
      * their processes of now said in the last seconds.
      */
-    private boolean together(World w) {
+    private boolean converged(Cluster cluster) {
         long now = System.nanoTime();
-        long furthest = last.values().stream().mapToLong(Glance::applied).max().orElse(0);
-        for (Node n : w.nodes().values()) {
-            Glance g = last.get(n.name());
-            if (g == null || g.at() < stepAt || now - g.at() > TimeUnit.SECONDS.toNanos(2) || !g.inTouch()
-                    || g.voting() && g.applied() < Math.max(1, furthest - BEHIND) || g.standings().stream().noneMatch(
+        long maxApplied = lastSamples.values().stream().mapToLong(StatusSample::applied).max().orElse(0);
+        for (Node n : cluster.nodes().values()) {
+            StatusSample g = lastSamples.get(n.name());
+            if (g == null || g.at() < lastStepAt || now - g.at() > TimeUnit.SECONDS.toNanos(2) || !g.quorumReachable()
+                    || g.voting() && g.applied() < Math.max(1, maxApplied - MAX_APPLIED_LAG) || g.standings().stream().noneMatch(
                     s -> s.equals(n.name() + ":" + g.incarnation() + ":SERVING"))) {
                 return false;
             }
@@ -168,10 +168,10 @@
         return true;
     }
 
-    private void glance(Node n) {
-        while (glancing) {
+    private void sampleStatus(Node n) {
+        while (sampling) {
             long at = System.nanoTime(); // an answer that lay ready when its process was killed is from before that
-            Answer a = Operator.call(n.admin(), "GET", "/fleet", GLANCE_WAIT_MS);
+            Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS);
             if (a.status() == 200) {
                 Map<String, String> v = a.values();
                 List<String> standings = new ArrayList<>();
@@ -179,20 +179,20 @@
                     standings.add(m.get("name") + ":" + m.get("incarnation") + ":" + m.get("standing"));
                     if (m.get("name").equals(n.name()) && m.get("incarnation").equals(v.get("incarnation"))
                             && !m.get("folder").isEmpty()) {
-                        identities.computeIfAbsent(n.name(), k -> Collections.synchronizedList(new ArrayList<>()));
-                        List<String> seen = identities.get(n.name());
+                        folderIdentities.computeIfAbsent(n.name(), k -> Collections.synchronizedList(new ArrayList<>()));
+                        List<String> seen = folderIdentities.get(n.name());
                         if (seen.isEmpty() || !seen.get(seen.size() - 1).equals(m.get("folder"))) {
                             seen.add(m.get("folder"));
                         }
                     }
                 }
-                Glance g = new Glance(at, n.name(), v.get("phase"), Long.parseLong(v.get("incarnation")),
+                StatusSample g = new StatusSample(at, n.name(), v.get("phase"), Long.parseLong(v.get("incarnation")),
                         Boolean.parseBoolean(v.get("voting")), Boolean.parseBoolean(v.get("inTouch")), v.get("leader"),
                         Long.parseLong(v.get("term")), Long.parseLong(v.get("applied")), Long.parseLong(v.get("version")), standings);
                 history.add(g);
-                last.put(n.name(), g);
+                lastSamples.put(n.name(), g);
             }
-            pause(GLANCE_MS);
+            pause(SAMPLE_EVERY_MS);
         }
     }
 
@@ -205,25 +205,25 @@
     }
 
     /** One caller: reads and writes registers at one instance after the other, and notes what it was told. */
-    private void call(World w, int caller) {
-        Random chance = new Random(caller);
-        List<Node> nodes = List.copyOf(w.nodes().values());
+    private void useRegisters(Cluster cluster, int caller) {
+        Random random = new Random(caller);
+        List<Node> nodes = List.copyOf(cluster.nodes().values());
         long[] versions = new long[REGISTERS];
-        for (int i = 1; calling; i++) {
-            int r = chance.nextInt(REGISTERS);
+        for (int i = 1; registerLoadRunning; i++) {
+            int r = random.nextInt(REGISTERS);
             Node n = nodes.get((caller + i / 20) % nodes.size());
-            if (chance.nextInt(3) > 0) {
+            if (random.nextInt(3) > 0) {
                 read(n, "r" + r, "c" + caller, versions);
             } else {
-                write(n, "r" + r, "c" + caller, "c" + caller + "-" + i, chance.nextInt(3) == 0 ? -1 : versions[r]);
+                write(n, "r" + r, "c" + caller, "c" + caller + "-" + i, random.nextInt(3) == 0 ? -1 : versions[r]);
             }
-            pause(CALL_EVERY_MS);
+            pause(REGISTER_EVERY_MS);
         }
     }
 
     private boolean read(Node n, String register, String caller, long[] versions) {
         long from = System.nanoTime();
-        Answer a = Operator.call(n.admin(), "GET", "/fleet/registers/" + register, CALL_WAIT_MS);
+        Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS);
         if (a.status() != 200 && a.status() != 404 || !a.body().startsWith("{")) {
             return false; // a read that had no answer says nothing
         }
@@ -237,8 +237,8 @@
 
     private void write(Node n, String register, String caller, String value, long expected) {
         long from = System.nanoTime();
-        Answer a = Operator.call(n.admin(), "PUT", "/fleet/registers/" + register + "/" + (expected < 0 ? "any" : expected)
-                + "/" + value, CALL_WAIT_MS);
+        Response a = AdminClient.call(n.adminAddress(), "PUT", "/fleet/registers/" + register + "/" + (expected < 0 ? "any" : expected)
+                + "/" + value, REGISTER_TIMEOUT_MS);
         Outcome outcome = a.status() == 200 ? Outcome.DONE : a.status() == 409 ? Outcome.CONFLICT : Outcome.UNKNOWN;
         long version = outcome == Outcome.UNKNOWN ? 0 : Long.parseLong(a.values().get("version"));
         history.add(new Operation(register, caller + "@" + n.name(), from, outcome == Outcome.UNKNOWN ? Long.MAX_VALUE
@@ -246,116 +246,116 @@
     }
 
     /** What was agreed can be read everywhere; false where it can't, and then no more is asked but what all others say. */
-    private boolean finalRead(World w, String register) throws IOException, InterruptedException {
-        for (Node n : w.nodes().values()) {
+    private boolean finalRead(Cluster cluster, String register) throws IOException, InterruptedException {
+        for (Node n : cluster.nodes().values()) {
             if (!until(() -> read(n, register, "last", new long[REGISTERS]))) {
-                problems.add(n.name() + " reads " + register + " no more: " + w.nodes().values().stream().map(o -> o.name() + " says "
-                        + Operator.call(o.admin(), "GET", "/fleet/registers/" + register, CALL_WAIT_MS).inShort() + " and sees "
-                        + last.get(o.name())).toList());
-                threads(w);
+                problems.add(n.name() + " reads " + register + " no more: " + cluster.nodes().values().stream().map(o -> o.name() + " says "
+                        + AdminClient.call(o.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS).summary() + " and sees "
+                        + lastSamples.get(o.name())).toList());
+                dumpThreads(cluster);
                 return false;
             }
         }
         return true;
     }
 
-    private void steps(World w) throws IOException, InterruptedException {
+    private void playSteps(Cluster cluster) throws IOException, InterruptedException {
         long began = System.nanoTime();
         history.add("schedule", "begins", "");
         for (Step s : schedule.steps()) {
-            long wait = s.at() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+            long wait = s.atMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
             if (wait > 0) {
                 TimeUnit.MILLISECONDS.sleep(wait);
             }
             history.add("schedule", "step", s.toString());
-            stepAt = System.nanoTime();
-            step(w, s);
+            lastStepAt = System.nanoTime();
+            playStep(cluster, s);
         }
         history.add("schedule", "ends", "");
     }
 
     private String leader() {
-        return last.values().stream().filter(g -> g.voting() && g.leader().equals(g.node())).max(
-                java.util.Comparator.comparingLong(Glance::term)).map(Glance::node).orElse("n1");
+        return lastSamples.values().stream().filter(g -> g.voting() && g.leader().equals(g.node())).max(
+                java.util.Comparator.comparingLong(StatusSample::term)).map(StatusSample::node).orElse("n1");
     }
 
-    private void step(World w, Step s) throws IOException, InterruptedException {
-        String on = s.on().replace("leader", leader());
+    private void playStep(Cluster cluster, Step s) throws IOException, InterruptedException {
+        String on = s.target().replace("leader", leader());
         if (on.contains(">")) {
             String[] ends = on.split(">");
-            for (Map.Entry<String, Relay> r : w.relays().entrySet()) {
+            for (Map.Entry<String, Relay> r : cluster.relays().entrySet()) {
                 String[] are = r.getKey().split(">");
                 if ((ends[0].equals("*") || ends[0].equals(are[0])) && (ends[1].equals("*") || ends[1].equals(are[1]))) {
-                    link(r.getValue(), s);
+                    playLinkStep(r.getValue(), s);
                 }
             }
         } else if (s.verb() == Verb.MEND) {
-            w.relays().values().forEach(Run::whole);
-        } else if (WORLDLY.contains(s.verb())) {
-            worldly(w, s);
+            cluster.relays().values().forEach(Run::restoreLink);
+        } else if (ENVIRONMENT_VERBS.contains(s.verb())) {
+            playEnvironmentStep(cluster, s);
         } else if (s.verb() == Verb.KILLALL) {
-            for (Node n : w.nodes().values()) {
+            for (Node n : cluster.nodes().values()) {
                 n.kill();
             }
         } else if (s.verb() == Verb.STARTALL) {
-            List<Node> order = new ArrayList<>(w.nodes().values());
+            List<Node> order = new ArrayList<>(cluster.nodes().values());
             Collections.shuffle(order, new Random(s.amount()));
             for (Node n : order) {
                 start(n);
             }
         } else {
-            for (Node n : w.nodes().values()) {
+            for (Node n : cluster.nodes().values()) {
                 if (on.equals("*") || on.equals(n.name())) {
-                    node(w, n, s);
+                    playNodeStep(cluster, n, s);
                 }
             }
         }
     }
 
-    private void worldly(World w, Step s) throws IOException, InterruptedException {
+    private void playEnvironmentStep(Cluster cluster, Step s) throws IOException, InterruptedException {
         switch (s.verb()) {
             case DARK -> {
-                for (Engine e : w.engines()) {
-                    e.power(false);
+                for (StandInEngine e : cluster.engines()) {
+                    e.setPowered(false);
                 }
             }
-            case LIGHT -> glancers.add(thread("light", () -> light(w, s.amount())));
-            case SILENT -> w.changes().silent(true);
-            case HEARD -> w.changes().silent(false);
+            case LIGHT -> lateThreads.add(thread("light", () -> restorePower(cluster, s.amount())));
+            case SILENT -> cluster.changeLog().setSilent(true);
+            case HEARD -> cluster.changeLog().setSilent(false);
             case DRAIN -> {
-                w.drain(s.amount());
-                drained.put(w.engines().get(s.amount()), System.nanoTime());
+                cluster.drain(s.amount());
+                drainedAt.put(cluster.engines().get(s.amount()), System.nanoTime());
             }
-            case FORGET -> w.changes().forget();
-            default -> returned(w);
+            case FORGET -> cluster.changeLog().forgetChanges();
+            default -> awaitRecovered(cluster);
         }
     }
 
-    private void light(World w, int overMs) {
-        for (Engine e : w.engines()) {
+    private void restorePower(Cluster cluster, int overMs) {
+        for (StandInEngine e : cluster.engines()) {
             try {
-                e.power(true);
+                e.setPowered(true);
             } catch (IOException x) {
                 problems.add("the rig could not give an engine its power back: " + x);
             }
-            pause(overMs / w.engines().size());
+            pause(overMs / cluster.engines().size());
         }
     }
 
     /** All that run have come back from a loss: no phase lasts for good. What they say of loads in doubt is noted. */
-    private void returned(World w) throws InterruptedException {
-        if (!w.made().recovery()) {
+    private void awaitRecovered(Cluster cluster) throws InterruptedException {
+        if (!cluster.options().recovery()) {
             return;
         }
-        for (Node n : w.nodes().values()) {
-            Answer[] a = new Answer[1];
+        for (Node n : cluster.nodes().values()) {
+            Response[] a = new Response[1];
             if (n.alive() && !until(() -> {
-                a[0] = Operator.call(n.admin(), "GET", "/fleet/recovery", GLANCE_WAIT_MS);
+                a[0] = AdminClient.call(n.adminAddress(), "GET", "/fleet/recovery", STATUS_TIMEOUT_MS);
                 return a[0].status() == 200 && a[0].values().get("phase").equals("FULL");
             })) {
                 problems.add(n.name() + " has not come back: " + a[0].body().lines().findFirst().orElse("no answer"));
             } else if (n.alive()) {
-                doubtful.computeIfAbsent(n.name(), k -> Collections.synchronizedSet(new LinkedHashSet<>())).addAll(a[0].rows().stream().map(r ->
+                doubtfulLoads.computeIfAbsent(n.name(), k -> Collections.synchronizedSet(new LinkedHashSet<>())).addAll(a[0].rows().stream().map(r ->
                         r.get("txn")).toList());
             }
         }
@@ -367,146 +367,146 @@
         }
     }
 
-    private void node(World w, Node n, Step s) throws IOException, InterruptedException {
+    private void playNodeStep(Cluster cluster, Node n, Step s) throws IOException, InterruptedException {
         switch (s.verb()) {
             case KILL -> n.kill();
             case START -> start(n);
             case TERM -> {
-                n.term();
+                n.terminate();
                 n.awaitEnd(10_000);
             }
-            case STOP -> n.stopped(true);
-            case CONT -> n.stopped(false);
-            case FULL -> n.fileLimit(0);
-            case ROOM -> n.fileLimit(-1);
+            case STOP -> n.setPaused(true);
+            case CONT -> n.setPaused(false);
+            case FULL -> n.limitFileSize(0);
+            case ROOM -> n.limitFileSize(-1);
             case COPY -> n.copyFolder();
             case RESTORE -> {
-                n.restore(n.copied());
-                restored.put(n.name(), System.nanoTime());
+                n.replaceFolder(n.folderCopy());
+                untrustedSince.put(n.name(), System.nanoTime());
             }
             case EMPTY -> {
-                n.restore(null);
-                replaced.add(n.name());
-                restored.put(n.name(), System.nanoTime());
+                n.replaceFolder(null);
+                replacedFolders.add(n.name());
+                untrustedSince.put(n.name(), System.nanoTime());
             }
             case ANOTHERS -> {
-                n.restore(w.nodes().get("n" + s.amount()).state());
-                replaced.add(n.name());
-                restored.put(n.name(), System.nanoTime());
+                n.replaceFolder(cluster.nodes().get("n" + s.amount()).stateFolder());
+                replacedFolders.add(n.name());
+                untrustedSince.put(n.name(), System.nanoTime());
             }
             case SPOIL -> {
-                n.spoil(s.amount());
-                if (s.amount() == KEPT) {
-                    unlisted.add(n.name()); // its votes are as they were
+                n.flipBit(s.amount());
+                if (s.amount() == LOAD_LIST_FILE) {
+                    damagedLoadLists.add(n.name()); // its votes are as they were
                 } else {
-                    replaced.add(n.name());
-                    restored.put(n.name(), System.nanoTime());
+                    replacedFolders.add(n.name());
+                    untrustedSince.put(n.name(), System.nanoTime());
                 }
             }
-            case LATE -> n.disk(true, false);
-            case READONLY -> n.disk(false, true);
-            case SOUND -> n.disk(false, false);
-            case TEAR -> n.tear(s.amount());
-            case LIVES -> lives.put(n.name(), last.get(n.name()).incarnation());
+            case LATE -> n.setDiskFault(true, false);
+            case READONLY -> n.setDiskFault(false, true);
+            case SOUND -> n.setDiskFault(false, false);
+            case TEAR -> n.truncateLog(s.amount());
+            case LIVES -> mustNotEnd.put(n.name(), lastSamples.get(n.name()).incarnation());
             case AWAIT -> {
                 if (!until(() -> {
-                    Glance g = last.get(n.name());
-                    return g != null && g.inTouch() && g.at() > stepAt;
+                    StatusSample g = lastSamples.get(n.name());
+                    return g != null && g.quorumReachable() && g.at() > lastStepAt;
                 })) {
                     problems.add(n.name() + " did not come into touch");
                 }
             }
             case UPGRADE -> {
-                if (!n.upgrade(UPGRADE_MS)) {
+                if (!n.upgrade(UPGRADE_TIMEOUT_MS)) {
                     problems.add(n.name() + " was not followed by its new version");
                 }
             }
             case SECOND -> {
-                Node second = w.second(n.name());
+                Node second = cluster.createDuplicate(n.name());
                 second.start();
-                seconds.add(second.name());
-                glancers.add(thread("glance-" + second.name(), () -> glance(second)));
+                duplicates.add(second.name());
+                lateThreads.add(thread("status-" + second.name(), () -> sampleStatus(second)));
             }
-            case AHEAD -> n.hour(true);
-            case BEHIND -> n.hour(false);
+            case AHEAD -> n.shiftClock(true);
+            case BEHIND -> n.shiftClock(false);
             default -> throw new IllegalArgumentException("not for an instance: " + s);
         }
     }
 
-    private static void link(Relay r, Step s) {
+    private static void playLinkStep(Relay r, Step s) {
         switch (s.verb()) {
-            case CUT -> r.cut(true);
-            case HOLD -> r.set(true, Mode.HOLD, 0);
-            case HOLDBACK -> r.set(false, Mode.HOLD, 0);
-            case STALL -> r.set(true, Mode.STALL, 0);
-            case SLOW -> r.set(true, Mode.SLOW, s.amount());
-            case JITTER -> r.set(true, Mode.JITTER, s.amount());
-            case THROTTLE -> r.set(true, Mode.THROTTLE, s.amount());
-            case FLIP -> r.set(true, Mode.FLIP, 0);
-            case MEND -> whole(r);
+            case CUT -> r.setCut(true);
+            case HOLD -> r.setMode(true, Mode.HOLD, 0);
+            case HOLDBACK -> r.setMode(false, Mode.HOLD, 0);
+            case STALL -> r.setMode(true, Mode.STALL, 0);
+            case SLOW -> r.setMode(true, Mode.SLOW, s.amount());
+            case JITTER -> r.setMode(true, Mode.JITTER, s.amount());
+            case THROTTLE -> r.setMode(true, Mode.THROTTLE, s.amount());
+            case FLIP -> r.setMode(true, Mode.FLIP, 0);
+            case MEND -> restoreLink(r);
             default -> throw new IllegalArgumentException("not for a link: " + s);
         }
     }
 
-    private static void whole(Relay r) {
-        r.cut(false);
-        r.set(true, Mode.PASS, 0);
-        r.set(false, Mode.PASS, 0);
+    private static void restoreLink(Relay r) {
+        r.setCut(false);
+        r.setMode(true, Mode.PASS, 0);
+        r.setMode(false, Mode.PASS, 0);
     }
 
     /** Everything is whole again, whatever the schedule has left. */
-    private void mend(World w) throws IOException, InterruptedException {
-        w.changes().silent(false);
-        light(w, 0);
-        w.relays().values().forEach(Run::whole);
-        for (Node n : w.nodes().values()) {
-            n.stopped(false);
-            n.fileLimit(-1);
-            n.disk(false, false);
+    private void removeAllFaults(Cluster cluster) throws IOException, InterruptedException {
+        cluster.changeLog().setSilent(false);
+        restorePower(cluster, 0);
+        cluster.relays().values().forEach(Run::restoreLink);
+        for (Node n : cluster.nodes().values()) {
+            n.setPaused(false);
+            n.limitFileSize(-1);
+            n.setDiskFault(false, false);
             start(n);
         }
     }
 
     /** Whoever has its folder as it left it votes again: what it was told to keep is there. */
-    private void votesAgain(World w) throws InterruptedException {
-        for (Node n : w.nodes().values()) {
-            boolean lost = Operator.call(n.admin(), "GET", "/fleet", GLANCE_WAIT_MS).body().contains("its last vote was lost");
-            if (!restored.containsKey(n.name()) && !lost && w.votes(n.name()) && !until(() -> last.get(n.name()).voting(), VOTES_S)) {
+    private void checkVotersVote(Cluster cluster) throws InterruptedException {
+        for (Node n : cluster.nodes().values()) {
+            boolean lost = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS).body().contains("its last vote was lost");
+            if (!untrustedSince.containsKey(n.name()) && !lost && cluster.isVoter(n.name()) && !until(() -> lastSamples.get(n.name()).voting(), VOTE_TIMEOUT_S)) {
                 problems.add(n.name() + " votes no more though its folder is as it left it: what it was told to keep was lost");
             }
         }
     }
 
-    private Set<String> tampered() {
-        Set<String> out = new LinkedHashSet<>(unlisted);
-        out.addAll(restored.keySet());
+    private Set<String> tamperedNodes() {
+        Set<String> out = new LinkedHashSet<>(damagedLoadLists);
+        out.addAll(untrustedSince.keySet());
         return out;
     }
 
-    private void judge(World w) {
-        List<Glance> glances = history.glances();
+    private void checkHistory(Cluster cluster) {
+        List<StatusSample> samples = history.statusSamples();
         problems.addAll(Linearizability.problems(history.operations()));
-        problems.addAll(Rules.oneLeaderATerm(glances));
-        problems.addAll(Rules.livesEndOnce(glances));
-        problems.addAll(Rules.numbersRise(glances.stream().filter(g -> !restored.containsKey(g.node())).toList()));
-        Map<String, List<String>> kept = new LinkedHashMap<>(identities);
-        kept.keySet().removeAll(replaced);
-        problems.addAll(Rules.keptFolders(kept));
-        if (w.made().recovery()) {
-            problems.addAll(Rules.doubtsListed(history.requests(), history.events(), Set.copyOf(w.loads()), doubtful, tampered()));
+        problems.addAll(Invariants.oneLeaderPerTerm(samples));
+        problems.addAll(Invariants.incarnationsEndOnce(samples));
+        problems.addAll(Invariants.incarnationsIncrease(samples.stream().filter(g -> !untrustedSince.containsKey(g.node())).toList()));
+        Map<String, List<String>> kept = new LinkedHashMap<>(folderIdentities);
+        kept.keySet().removeAll(replacedFolders);
+        problems.addAll(Invariants.folderIdentitiesStable(kept));
+        if (cluster.options().recovery()) {
+            problems.addAll(Invariants.doubtfulLoadsListed(history.requests(), history.events(), Set.copyOf(cluster.receivedLoads()), doubtfulLoads, tamperedNodes()));
         }
-        if (w.made().cold()) {
-            history.events().stream().filter(e -> e.kind().equals("fell")).forEach(e -> problems.add(e.lane() + " fell: " + e.text()));
-            drained.forEach((e, at) -> problems.addAll(Rules.drainedStaysDrained(e.id(), at, e.lastAt())));
+        if (cluster.options().cold()) {
+            history.events().stream().filter(e -> e.kind().equals("fell")).forEach(e -> problems.add(e.subject() + " fell: " + e.text()));
+            drainedAt.forEach((e, at) -> problems.addAll(Invariants.noQueryAfterDrain(e.id(), at, e.lastQueryAt())));
         }
-        lives.forEach((n, life) -> problems.addAll(Rules.livesOn(glances, n, life)));
-        if (!w.made().cold()) { // where all start at once, nobody can tell an old folder in time: docs/design/fleet.md, "Not covered"
-            restored.forEach((n, from) -> problems.addAll(Rules.noVote(glances, n, from)));
+        mustNotEnd.forEach((n, life) -> problems.addAll(Invariants.incarnationNotEnded(samples, n, life)));
+        if (!cluster.options().cold()) { // where all start at once, nobody can tell an old folder in time: docs/design/fleet.md, "Not covered"
+            untrustedSince.forEach((n, from) -> problems.addAll(Invariants.neverVotesSince(samples, n, from)));
         }
-        seconds.forEach(n -> problems.addAll(Rules.neverTakenIn(glances, n)));
-        problems.addAll(Rules.oneAnswer(history.requests(), history.events()));
-        problems.addAll(Rules.loadsOnce(w.loads()));
-        history.events().stream().filter(e -> e.kind().equals("unasked")).forEach(e -> problems.add(e.lane() + ": " + e.text()));
+        duplicates.forEach(n -> problems.addAll(Invariants.duplicateNeverAdmitted(samples, n)));
+        problems.addAll(Invariants.everyRequestAnswered(history.requests(), history.events()));
+        problems.addAll(Invariants.noDuplicateLoads(cluster.receivedLoads()));
+        history.events().stream().filter(e -> e.kind().equals("unasked")).forEach(e -> problems.add(e.subject() + ": " + e.text()));
         if (history.operations().stream().noneMatch(o -> o.write() && o.outcome() == Outcome.DONE)
                 || history.requests().isEmpty()) {
             problems.add("nothing was written or asked: a run that shows nothing");
--- a/faultbench/src/main/java/quincespar/faultbench/check/Event.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Event.java
@@ -8,4 +8,4 @@
  * @param kind what happened
  * @param text the rest, in words
  */
-public record Event(long at, String lane, String kind, String text) { }
+public record Event(long at, String subject, String kind, String text) { }
--- a/faultbench/src/main/java/quincespar/faultbench/check/History.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/History.java
@@ -9,7 +9,7 @@
     private final long began = System.nanoTime();
     private final List<Event> events = new ArrayList<>();
     private final List<Operation> operations = new ArrayList<>();
-    private final List<Glance> glances = new ArrayList<>();
+    private final List<StatusSample> statusSamples = new ArrayList<>();
     private final List<Request> requests = new ArrayList<>();
 
     /**
@@ -23,7 +23,7 @@
      * @param version the version that was written or read, or that a refused write met
      * @param outcome what is known of it
      */
-    public record Operation(String register, String caller, long from, long to, boolean write, long expected, String value,
+    public record Operation(String register, String caller, long invokedAt, long respondedAt, boolean write, long expectedVersion, String value,
             long version, Outcome outcome) { }
 
     /** What is known of an operation. */
@@ -42,11 +42,11 @@
      * @param applied how much of the log of votes it has carried out, where it votes
      * @param standings how each known instance stands, as {@code name:incarnation:STANDING}
      */
-    public record Glance(long at, String node, String phase, long incarnation, boolean voting, boolean inTouch, String leader,
+    public record StatusSample(long at, String node, String phase, long incarnation, boolean voting, boolean quorumReachable, String leader,
             long term, long applied, long version, List<String> standings) { }
 
     /** One request of a client: {@code answer} is the kind of its final answer, empty where its connection ended without. */
-    public record Request(String node, String txn, long from, long to, String answer, boolean load) { }
+    public record Request(String node, String txn, long sentAt, long endedAt, String answer, boolean load) { }
 
     /** When the run began, in nanoseconds. */
     public long began() {
@@ -68,9 +68,9 @@
     }
 
     /** Notes a glance. */
-    public void add(Glance g) {
-        synchronized (glances) {
-            glances.add(g);
+    public void add(StatusSample g) {
+        synchronized (statusSamples) {
+            statusSamples.add(g);
         }
     }
 
@@ -91,21 +91,21 @@
     /** All operations, by when they were called. */
     public List<Operation> operations() {
         synchronized (operations) {
-            return operations.stream().sorted(Comparator.comparingLong(Operation::from)).toList();
+            return operations.stream().sorted(Comparator.comparingLong(Operation::invokedAt)).toList();
         }
     }
 
-    /** All glances, by time. */
-    public List<Glance> glances() {
-        synchronized (glances) {
-            return glances.stream().sorted(Comparator.comparingLong(Glance::at)).toList();
+    /** All statusSamples, by time. */
+    public List<StatusSample> statusSamples() {
+        synchronized (statusSamples) {
+            return statusSamples.stream().sorted(Comparator.comparingLong(StatusSample::at)).toList();
         }
     }
 
     /** All requests, by when they were sent. */
     public List<Request> requests() {
         synchronized (requests) {
-            return requests.stream().sorted(Comparator.comparingLong(Request::from)).toList();
+            return requests.stream().sorted(Comparator.comparingLong(Request::sentAt)).toList();
         }
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/check/Rules.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import quincespar.faultbench.check.History.Glance;
 import quincespar.faultbench.check.History.Request;
+import quincespar.faultbench.check.History.StatusSample;
 
 /** What must hold of a run beside its registers. */
-public final class Rules {
-    private Rules() { }
+public final class Invariants {
+    private Invariants() { }
 
     /** A term has one leader, whoever tells of it: only who leads itself is taken at its word. */
-    public static List<String> oneLeaderATerm(List<Glance> glances) {
+    public static List<String> oneLeaderPerTerm(List<StatusSample> samples) {
         Map<Long, String> leaders = new HashMap<>();
         List<String> out = new ArrayList<>();
-        for (Glance g : glances) {
+        for (StatusSample g : samples) {
             if (g.voting() && g.leader().equals(g.node())) {
                 String other = leaders.putIfAbsent(g.term(), g.node());
                 if (other != null && !other.equals(g.node())) {
@@ -32,11 +32,11 @@
      * A life that is over stays over, and no number is given to two: seen from all instances' views together, ordered by the
      * version of the state that they tell of.
      */
-    public static List<String> livesEndOnce(List<Glance> glances) {
+    public static List<String> incarnationsEndOnce(List<StatusSample> samples) {
         Map<String, Long> goneAt = new HashMap<>();
         Map<Long, String> owners = new HashMap<>();
         List<String> out = new ArrayList<>();
-        for (Glance g : glances.stream().sorted(java.util.Comparator.comparingLong(Glance::version)).toList()) {
+        for (StatusSample g : samples.stream().sorted(java.util.Comparator.comparingLong(StatusSample::version)).toList()) {
             for (String s : g.standings()) {
                 String[] w = s.split(":");
                 String life = w[0] + ":" + w[1];
@@ -55,17 +55,17 @@
     }
 
     /** That life of an instance is over for nobody. */
-    public static List<String> livesOn(List<Glance> glances, String node, long incarnation) {
+    public static List<String> incarnationNotEnded(List<StatusSample> samples, String node, long incarnation) {
         String over = node + ":" + incarnation + ":GONE";
-        return glances.stream().filter(g -> g.standings().contains(over)).map(g -> node + "'s life " + incarnation
+        return samples.stream().filter(g -> g.standings().contains(over)).map(g -> node + "'s life " + incarnation
                 + " was ended by the fleet").distinct().toList();
     }
 
     /** An instance's own numbers rise with each of its starts: what a folder promised is there after a kill. */
-    public static List<String> numbersRise(List<Glance> glances) {
+    public static List<String> incarnationsIncrease(List<StatusSample> samples) {
         Map<String, Long> highest = new HashMap<>();
         List<String> out = new ArrayList<>();
-        for (Glance g : glances) {
+        for (StatusSample g : samples) {
             if (g.incarnation() > 0 && g.incarnation() < highest.getOrDefault(g.node(), 0L)) {
                 out.add(g.node() + " was incarnation " + highest.get(g.node()) + " and then " + g.incarnation());
             }
@@ -75,14 +75,14 @@
     }
 
     /** Whose folder is not what it has promised by does not vote from then on, however often it is started. */
-    public static List<String> noVote(List<Glance> glances, String node, long from) {
-        return glances.stream().filter(g -> g.node().equals(node) && g.at() >= from && g.voting())
+    public static List<String> neverVotesSince(List<StatusSample> samples, String node, long from) {
+        return samples.stream().filter(g -> g.node().equals(node) && g.at() >= from && g.voting())
                 .map(g -> node + " votes on a folder that is older than the fleet, in term " + g.term()).distinct().toList();
     }
 
     /** A second process of a name has no life while the first one has, and says why; that it was looked at is part of the rule. */
-    public static List<String> neverTakenIn(List<Glance> glances, String second) {
-        List<Glance> all = glances.stream().filter(g -> g.node().equals(second)).toList();
+    public static List<String> duplicateNeverAdmitted(List<StatusSample> samples, String second) {
+        List<StatusSample> all = samples.stream().filter(g -> g.node().equals(second)).toList();
         if (all.isEmpty()) {
             return List.of(second + " was never seen: a run that shows nothing");
         }
@@ -91,7 +91,7 @@
     }
 
     /** A vote's folder keeps its last incarnation over a kill: who voted before and comes back keeps its identity. */
-    public static List<String> keptFolders(Map<String, List<String>> identities) {
+    public static List<String> folderIdentitiesStable(Map<String, List<String>> identities) {
         List<String> out = new ArrayList<>();
         identities.forEach((node, all) -> {
             if (new HashSet<>(all).size() > 1) {
@@ -102,33 +102,33 @@
     }
 
     /** A signal is noted before it is sent, and takes so long at the most, in nanoseconds. */
-    private static final long TAKES = 200_000_000L;
+    private static final long SIGNAL_NANOS = 200_000_000L;
     /** In a change of version a request may cross the end of its quiet connection, and is sent again; in nanoseconds. */
-    private static final long CROSSES = 50_000_000L;
+    private static final long UPGRADE_CROSSING_NANOS = 50_000_000L;
     /** So long after the word to stop clients may still ask on open connections, in nanoseconds. */
-    private static final long ASKS_ON = 200_000_000L;
+    private static final long CLIENT_STOP_NANOS = 200_000_000L;
 
     /**
      * Every request has one final answer, but those to a process that was killed or stood still while they were open, and
      * those sent to one that had been told to stop.
      */
-    public static List<String> oneAnswer(List<Request> requests, List<Event> events) {
+    public static List<String> everyRequestAnswered(List<Request> requests, List<Event> events) {
         List<String> out = new ArrayList<>();
         for (Request r : requests) {
             boolean excused = false;
             long stoppedAt = Long.MAX_VALUE;
             long killedAt = Long.MAX_VALUE;
-            for (Event e : events.stream().filter(x -> x.lane().equals(r.node())).toList()) {
+            for (Event e : events.stream().filter(x -> x.subject().equals(r.node())).toList()) {
                 stoppedAt = e.kind().equals("stopped") ? e.at() : stoppedAt;
                 killedAt = e.kind().equals("killed") ? e.at() : killedAt;
-                excused |= e.kind().equals("ended") && killedAt <= r.to() && e.at() + TAKES >= r.from() // on a busy machine it takes longer
-                        || e.kind().equals("killed") && e.at() + TAKES >= r.from() && e.at() <= r.to()
-                        || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + ASKS_ON <= r.from()
-                        : e.at() <= r.to() && r.to() - r.from() <= CROSSES)
-                        || e.kind().equals("continued") && e.at() + TAKES >= r.from() && stoppedAt <= r.to();
+                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt() // on a busy machine it takes longer
+                        || e.kind().equals("killed") && e.at() + SIGNAL_NANOS >= r.sentAt() && e.at() <= r.endedAt()
+                        || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + CLIENT_STOP_NANOS <= r.sentAt()
+                        : e.at() <= r.endedAt() && r.endedAt() - r.sentAt() <= UPGRADE_CROSSING_NANOS)
+                        || e.kind().equals("continued") && e.at() + SIGNAL_NANOS >= r.sentAt() && stoppedAt <= r.endedAt();
                 stoppedAt = e.kind().equals("continued") ? Long.MAX_VALUE : stoppedAt;
             }
-            if (r.answer().isEmpty() && !excused && stoppedAt > r.to()) {
+            if (r.answer().isEmpty() && !excused && stoppedAt > r.endedAt()) {
                 out.add(r.node() + " left request " + r.txn() + " without an answer");
             }
         }
@@ -139,26 +139,26 @@
      * Each load that reached an engine, and whose client got no answer as its process was killed, is listed as in doubt by that instance;
      * {@code tampered} are those whose folder was not left as it was.
      */
-    public static List<String> doubtsListed(List<Request> requests, List<Event> events, Set<String> reached, Map<String, Set<String>> listed,
+    public static List<String> doubtfulLoadsListed(List<Request> requests, List<Event> events, Set<String> reached, Map<String, Set<String>> listed,
             Set<String> tampered) {
         return requests.stream().filter(r -> r.load() && r.answer().isEmpty() && reached.contains(r.txn()) && !tampered.contains(r.node()))
-                .filter(r -> events.stream().anyMatch(e -> e.lane().equals(r.node()) && e.kind().equals("killed") && e.at() >= r.from()
-                        && e.at() <= r.to()))
+                .filter(r -> events.stream().anyMatch(e -> e.subject().equals(r.node()) && e.kind().equals("killed") && e.at() >= r.sentAt()
+                        && e.at() <= r.endedAt()))
                 .filter(r -> !listed.getOrDefault(r.node(), Set.of()).contains(r.txn()))
                 .map(r -> "load " + r.txn() + " of " + r.node() + " may have run and is not listed as in doubt").toList();
     }
 
     /** Nothing new so long after the word that an engine drains, in nanoseconds; whoever was down hears it late. */
-    private static final long DRAINS = 2_000_000_000L;
+    private static final long DRAIN_NOTICE_NANOS = 2_000_000_000L;
 
     /** An engine that drains takes nothing new, however often front ends are started and whatever list they are given. */
-    public static List<String> drainedStaysDrained(String engine, long drainedAt, long lastAt) {
-        return lastAt <= drainedAt + DRAINS ? List.of() : List.of(engine + " was sent a query " + (lastAt - drainedAt) / 1_000_000
+    public static List<String> noQueryAfterDrain(String engine, long drainedAt, long lastAt) {
+        return lastAt <= drainedAt + DRAIN_NOTICE_NANOS ? List.of() : List.of(engine + " was sent a query " + (lastAt - drainedAt) / 1_000_000
                 + " ms after it had begun to drain");
     }
 
     /** A load reaches an engine once: {@code sent} has a line for each time that one did. */
-    public static List<String> loadsOnce(List<String> sent) {
+    public static List<String> noDuplicateLoads(List<String> sent) {
         Set<String> seen = new HashSet<>();
         return sent.stream().filter(txn -> !seen.add(txn)).map(txn -> "load " + txn + " was sent twice").toList();
     }
--- a/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
@@ -17,34 +17,34 @@
  */
 public final class Linearizability {
     /** Beyond this many looks the search is given up, and that is said: no verdict is not a good one. */
-    private static final long MOST = 20_000_000;
+    private static final long MAX_STATES = 20_000_000;
 
     private record State(long version, String value) { }
 
-    private record Seen(BitSet done, State state) { }
+    private record Explored(BitSet done, State state) { }
 
-    private final List<Operation> all;
-    private final Set<Seen> seen = new HashSet<>();
-    private long looks;
-    private int furthest = -1;
+    private final List<Operation> operations;
+    private final Set<Explored> visited = new HashSet<>();
+    private long explored;
+    private int furthestOperation = -1;
 
     /** Versions that a write was told it made: no other can have made them. */
-    private final Set<Long> owned = new HashSet<>();
+    private final Set<Long> acknowledgedVersions = new HashSet<>();
     /** What was read at a version: only a write of that can have made it. */
-    private final Map<Long, String> read = new HashMap<>();
+    private final Map<Long, String> valuesRead = new HashMap<>();
 
-    private Linearizability(List<Operation> all) {
-        this.all = all;
-        for (Operation o : all) {
+    private Linearizability(List<Operation> operations) {
+        this.operations = operations;
+        for (Operation o : operations) {
             if (o.outcome() == Outcome.DONE && o.write()) {
-                owned.add(o.version());
+                acknowledgedVersions.add(o.version());
             } else if (o.outcome() == Outcome.DONE) {
-                read.put(o.version(), o.value());
+                valuesRead.put(o.version(), o.value());
             }
         }
     }
 
-    /** What is wrong, a line for each register; none where all is well. */
+    /** What is wrong, a line for each register; none where operations is well. */
     public static List<String> problems(List<Operation> operations) {
         Map<String, List<Operation>> by = new HashMap<>();
         operations.forEach(o -> by.computeIfAbsent(o.register(), r -> new ArrayList<>()).add(o));
@@ -61,8 +61,8 @@
 
     private String check() {
         try {
-            return search(new BitSet(), new State(0, "")) ? null : "no order fits; the longest stops at " + (furthest < 0
-                    ? "the first" : all.get(furthest));
+            return search(new BitSet(), new State(0, "")) ? null : "no order fits; the longest stops at " + (furthestOperation < 0
+                    ? "the first" : operations.get(furthestOperation));
         } catch (IllegalStateException e) {
             return e.getMessage();
         }
@@ -75,31 +75,31 @@
         while (!done.isEmpty()) {
             BitSet d = done.remove(done.size() - 1);
             State s = states.remove(states.size() - 1);
-            if (!seen.add(new Seen(d, s))) {
+            if (!visited.add(new Explored(d, s))) {
                 continue;
             }
-            if (++looks > MOST) {
-                throw new IllegalStateException("not decided after " + MOST + " looks");
+            if (++explored > MAX_STATES) {
+                throw new IllegalStateException("not decided after " + MAX_STATES + " looks");
             }
             if (complete(d)) {
                 return true;
             }
-            for (int more = take(d, s); more > 0; more = take(d, s)) {
-                furthest = Math.max(furthest, d.length() - 1);
+            for (int more = applyReads(d, s); more > 0; more = applyReads(d, s)) {
+                furthestOperation = Math.max(furthestOperation, d.length() - 1);
             }
             if (complete(d)) {
                 return true;
             }
-            long bound = bound(d);
-            for (int i = all.size() - 1; i >= 0; i--) {
-                Operation o = all.get(i);
-                State next = !d.get(i) && o.from() <= bound ? after(s, o) : null;
-                if (next != null && next != s && may(o, next)) {
+            long bound = earliestResponse(d);
+            for (int i = operations.size() - 1; i >= 0; i--) {
+                Operation o = operations.get(i);
+                State next = !d.get(i) && o.invokedAt() <= bound ? apply(s, o) : null;
+                if (next != null && next != s && isPossible(o, next)) {
                     BitSet more = (BitSet) d.clone();
                     more.set(i);
                     done.add(more);
                     states.add(next);
-                    furthest = Math.max(furthest, i);
+                    furthestOperation = Math.max(furthestOperation, i);
                 }
             }
         }
@@ -107,11 +107,11 @@
     }
 
     /** What fits and changes nothing may as well be done now; how much that was. */
-    private int take(BitSet d, State s) {
-        long bound = bound(d);
+    private int applyReads(BitSet d, State s) {
+        long bound = earliestResponse(d);
         int out = 0;
-        for (int i = d.nextClearBit(0); i < all.size(); i = d.nextClearBit(i + 1)) {
-            if (all.get(i).from() <= bound && after(s, all.get(i)) == s) {
+        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
+            if (operations.get(i).invokedAt() <= bound && apply(s, operations.get(i)) == s) {
                 d.set(i);
                 out++;
             }
@@ -120,15 +120,15 @@
     }
 
     /** Each version is made by one write: one of unknown outcome can't have made another's, or what was read otherwise. */
-    private boolean may(Operation o, State next) {
-        return o.outcome() == Outcome.DONE || !owned.contains(next.version()) && next.value().equals(read.getOrDefault(next.version(),
+    private boolean isPossible(Operation o, State next) {
+        return o.outcome() == Outcome.DONE || !acknowledgedVersions.contains(next.version()) && next.value().equals(valuesRead.getOrDefault(next.version(),
                 next.value()));
     }
 
     /** Operations with an unknown outcome need not have been done. */
     private boolean complete(BitSet d) {
-        for (int i = d.nextClearBit(0); i < all.size(); i = d.nextClearBit(i + 1)) {
-            if (all.get(i).outcome() != Outcome.UNKNOWN) {
+        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
+            if (operations.get(i).outcome() != Outcome.UNKNOWN) {
                 return false;
             }
         }
@@ -136,20 +136,20 @@
     }
 
     /** Whatever was called after the first answer among what is not done can't come next. */
-    private long bound(BitSet d) {
+    private long earliestResponse(BitSet d) {
         long least = Long.MAX_VALUE;
-        for (int i = d.nextClearBit(0); i < all.size(); i = d.nextClearBit(i + 1)) {
-            least = Math.min(least, all.get(i).to());
+        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
+            least = Math.min(least, operations.get(i).respondedAt());
         }
         return least;
     }
 
     /** The state after an operation, null where it can't have been done in this one with its answer. */
-    private static State after(State s, Operation o) {
+    private static State apply(State s, Operation o) {
         if (!o.write()) {
             return o.version() == s.version() && o.value().equals(s.value()) ? s : null;
         }
-        boolean fits = o.expected() < 0 || o.expected() == s.version();
+        boolean fits = o.expectedVersion() < 0 || o.expectedVersion() == s.version();
         return switch (o.outcome()) {
             case DONE -> fits && o.version() == s.version() + 1 ? new State(s.version() + 1, o.value()) : null;
             case CONFLICT -> !fits && o.version() == s.version() ? s : null;
--- a/faultbench/src/main/java/quincespar/faultbench/report/Curve.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/LineChart.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /** Figures over time as one SVG picture that needs nothing else. */
-public final class Curve {
+public final class LineChart {
     private static final int WIDTH = 900, HEIGHT = 300, LEFT = 60, BOTTOM = 40;
     private static final String[] COLOURS = {"#4e79a7", "#e15759", "#59a14f", "#b07aa1"};
 
-    private Curve() { }
+    private LineChart() { }
 
     /**
      * A picture.
--- a/faultbench/src/main/java/quincespar/faultbench/report/Page.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/ReportPage.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.Map;
 import quincespar.faultbench.check.Event;
-import quincespar.faultbench.check.History;
-import quincespar.faultbench.check.History.Glance;
 import quincespar.faultbench.check.History.Request;
+import quincespar.faultbench.check.History.StatusSample;
+import quincespar.faultbench.check.History;
 import quincespar.faultbench.schedule.Schedule;
 
 /** A run as one HTML page that needs nothing else: processes as lanes, faults as spans, terms and served requests over time. */
-public final class Page {
+public final class ReportPage {
     private static final int WIDTH = 1200, LEFT = 60, LANE = 26, CHART = 80;
     private static final String[] TERMS = {"#4e79a7", "#f28e2b", "#59a14f", "#b07aa1", "#76b7b2", "#edc948"};
     private static final Map<String, String> ENDS = Map.of("killed", "started", "stopped", "continued", "disk full",
@@ -22,15 +22,15 @@
     private final long from;
     private final long to;
 
-    private Page(long from, long to) {
+    private ReportPage(long from, long to) {
         this.from = from;
         this.to = Math.max(to, from + 1);
     }
 
     /** The page. */
     public static String of(History h, List<String> problems, Schedule s) {
-        long last = h.glances().stream().mapToLong(Glance::at).max().orElse(h.began());
-        return new Page(h.began(), last).draw(h, problems, s);
+        long last = h.statusSamples().stream().mapToLong(StatusSample::at).max().orElse(h.began());
+        return new ReportPage(h.began(), last).draw(h, problems, s);
     }
 
     private static String escaped(String text) {
@@ -51,7 +51,7 @@
     }
 
     private String draw(History h, List<String> problems, Schedule s) {
-        List<String> lanes = h.glances().stream().map(Glance::node).distinct().sorted().toList();
+        List<String> lanes = h.statusSamples().stream().map(StatusSample::node).distinct().sorted().toList();
         int height = (lanes.size() + 1) * LANE + CHART + 60;
         out.append("<!doctype html><meta charset='utf-8'><title>fault bench</title><style>body{font:13px sans-serif;margin:20px}"
                 + "text{font:11px sans-serif}pre{background:#f4f4f4;padding:8px}.bad{color:#b00}</style><h1>")
@@ -73,15 +73,15 @@
 
     private void lane(History h, String node, double y) {
         text(4, y + LANE / 2.0 + 2, node);
-        Glance before = null;
-        for (Glance g : h.glances()) {
+        StatusSample before = null;
+        for (StatusSample g : h.statusSamples()) {
             if (!g.node().equals(node)) {
                 continue;
             }
             if (before != null) {
                 boolean leads = before.voting() && before.leader().equals(node);
                 out.append("<g opacity='").append(leads ? 1 : 0.35).append("'>");
-                rect(before.at(), g.at(), y, LANE - 6.0, before.inTouch() ? TERMS[(int) (before.term() % TERMS.length)] : "#bbb",
+                rect(before.at(), g.at(), y, LANE - 6.0, before.quorumReachable() ? TERMS[(int) (before.term() % TERMS.length)] : "#bbb",
                         node + " term " + before.term() + " version " + before.version() + " " + before.phase());
                 out.append("</g>");
             }
@@ -89,7 +89,7 @@
         }
         Map<String, Long> open = new LinkedHashMap<>();
         for (Event e : h.events()) {
-            if (!e.lane().equals(node)) {
+            if (!e.subject().equals(node)) {
                 continue;
             }
             if (ENDS.containsKey(e.kind())) {
@@ -114,15 +114,15 @@
         long begins = h.events().stream().filter(e -> e.kind().equals("begins")).mapToLong(Event::at).findFirst().orElse(from);
         Map<String, Schedule.Step> open = new LinkedHashMap<>();
         for (Schedule.Step step : s.steps()) {
-            long at = begins + step.at() * 1_000_000L;
+            long at = begins + step.atMillis() * 1_000_000L;
             if (step.verb() == Schedule.Verb.MEND) {
                 for (String key : new ArrayList<>(open.keySet())) {
-                    if (step.on().equals("*") || open.get(key).on().equals(step.on())) {
+                    if (step.target().equals("*") || open.get(key).target().equals(step.target())) {
                         Schedule.Step o = open.remove(key);
-                        rect(begins + o.at() * 1_000_000L, at, y, LANE - 8.0, "#d9a4a4", o.toString());
+                        rect(begins + o.atMillis() * 1_000_000L, at, y, LANE - 8.0, "#d9a4a4", o.toString());
                     }
                 }
-            } else if (step.on().contains(">")) {
+            } else if (step.target().contains(">")) {
                 open.put(step.toString(), step);
             }
         }
@@ -133,7 +133,7 @@
         int[] good = new int[buckets];
         int[] bad = new int[buckets];
         for (Request r : requests) {
-            int at = (int) Math.min(buckets - 1, Math.max(0, buckets * (r.to() - from) / (to - from)));
+            int at = (int) Math.min(buckets - 1, Math.max(0, buckets * (r.endedAt() - from) / (to - from)));
             if (r.answer().equals("served")) {
                 good[at]++;
             } else {
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
@@ -20,10 +20,10 @@
      * @param on an instance, {@code leader}, or a link as {@code n1>n2}; {@code n1>*} and {@code *>n1} are all of one side
      * @param amount milliseconds, bytes, or 0
      */
-    public record Step(int at, Verb verb, String on, int amount) {
+    public record Step(int atMillis, Verb verb, String target, int amount) {
         @Override
         public String toString() {
-            return at + " " + verb.name().toLowerCase(java.util.Locale.ROOT) + " " + on + (amount == 0 ? "" : " " + amount);
+            return atMillis + " " + verb.name().toLowerCase(java.util.Locale.ROOT) + " " + target + (amount == 0 ? "" : " " + amount);
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** A drawn schedule is over by then, in milliseconds. */
-    private static final int LONGEST = 9000;
+    private static final int MAX_DURATION_MS = 9000;
 
     /** Reads lines; throws {@link IllegalArgumentException} with the line that is none. */
     public static Schedule read(String text) {
@@ -126,7 +126,7 @@
                 throw new IllegalArgumentException("no step: '" + line + "'", e);
             }
         }
-        out.sort(Comparator.comparingInt(Step::at));
+        out.sort(Comparator.comparingInt(Step::atMillis));
         return new Schedule(List.copyOf(out));
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** Without one step and what belongs to it: a fault goes with its end. */
-    public Schedule without(int index) {
+    public Schedule withoutStep(int index) {
         List<Step> out = new ArrayList<>(steps);
         out.remove(index);
         return new Schedule(List.copyOf(out));
@@ -144,30 +144,30 @@
 
     /** Of a seed, for so many instances: some faults, each undone after a while, several at a time. */
     public static Schedule draw(long seed, int instances) {
-        Random chance = new Random(seed * 0x9E3779B97F4A7C15L);
+        Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         List<Step> out = new ArrayList<>();
-        int faults = 3 + chance.nextInt(5);
+        int faults = 3 + random.nextInt(5);
         for (int i = 0; i < faults; i++) {
-            int at = chance.nextInt(LONGEST - 1000);
-            int end = Math.min(LONGEST, at + 200 + chance.nextInt(4000));
-            String node = chance.nextInt(3) == 0 ? "leader" : "n" + (1 + chance.nextInt(instances));
-            String link = chance.nextInt(3) == 0 ? node + ">*" : chance.nextInt(2) == 0 ? "*>" + node
-                    : node + ">n" + (1 + chance.nextInt(instances));
-            switch (chance.nextInt(14)) {
+            int at = random.nextInt(MAX_DURATION_MS - 1000);
+            int end = Math.min(MAX_DURATION_MS, at + 200 + random.nextInt(4000));
+            String node = random.nextInt(3) == 0 ? "leader" : "n" + (1 + random.nextInt(instances));
+            String link = random.nextInt(3) == 0 ? node + ">*" : random.nextInt(2) == 0 ? "*>" + node
+                    : node + ">n" + (1 + random.nextInt(instances));
+            switch (random.nextInt(14)) {
                 case 0, 1 -> {
                     out.add(new Step(at, Verb.KILL, node, 0));
-                    out.add(new Step(end, Verb.STARTALL, "*", chance.nextInt(100)));
+                    out.add(new Step(end, Verb.STARTALL, "*", random.nextInt(100)));
                 }
                 case 2, 3 -> {
                     out.add(new Step(at, Verb.STOP, node, 0));
                     out.add(new Step(end, Verb.CONT, "*", 0));
                 }
-                case 4, 5 -> link(out, at, end, Verb.HOLD, link, 0);
-                case 6 -> link(out, at, end, Verb.HOLDBACK, link, 0);
-                case 7 -> link(out, at, end, Verb.CUT, link, 0);
-                case 8 -> link(out, at, end, Verb.STALL, link, 0);
-                case 9 -> link(out, at, end, chance.nextBoolean() ? Verb.SLOW : Verb.JITTER, link, 20 + chance.nextInt(400));
-                case 10 -> link(out, at, end, Verb.THROTTLE, link, 500 + chance.nextInt(20_000));
+                case 4, 5 -> addLinkFault(out, at, end, Verb.HOLD, link, 0);
+                case 6 -> addLinkFault(out, at, end, Verb.HOLDBACK, link, 0);
+                case 7 -> addLinkFault(out, at, end, Verb.CUT, link, 0);
+                case 8 -> addLinkFault(out, at, end, Verb.STALL, link, 0);
+                case 9 -> addLinkFault(out, at, end, random.nextBoolean() ? Verb.SLOW : Verb.JITTER, link, 20 + random.nextInt(400));
+                case 10 -> addLinkFault(out, at, end, Verb.THROTTLE, link, 500 + random.nextInt(20_000));
                 case 11 -> out.add(new Step(at, Verb.FLIP, link, 0));
                 case 12 -> {
                     out.add(new Step(at, Verb.FULL, node, 0));
@@ -175,15 +175,15 @@
                 }
                 default -> {
                     out.add(new Step(at, Verb.KILLALL, "*", 10));
-                    out.add(new Step(Math.min(end, at + 1500), Verb.STARTALL, "*", chance.nextInt(100)));
+                    out.add(new Step(Math.min(end, at + 1500), Verb.STARTALL, "*", random.nextInt(100)));
                 }
             }
         }
-        out.sort(Comparator.comparingInt(Step::at));
+        out.sort(Comparator.comparingInt(Step::atMillis));
         return new Schedule(List.copyOf(out));
     }
 
-    private static void link(List<Step> out, int at, int end, Verb verb, String link, int amount) {
+    private static void addLinkFault(List<Step> out, int at, int end, Verb verb, String link, int amount) {
         out.add(new Step(at, verb, link, amount));
         out.add(new Step(end, Verb.MEND, link, 0));
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Operator.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /** Calls at an instance's second address. */
-public final class Operator {
+public final class AdminClient {
     private static final int HEAD = 4;
 
     /** An answer: its status, 0 where there was none, and its text. */
-    public record Answer(int status, String body) {
+    public record Response(int status, String body) {
         /** Single values, by name; those of the objects of a list are in {@link #rows}. */
         public Map<String, String> values() {
             Map<String, String> out = new LinkedHashMap<>();
@@ -26,7 +26,7 @@
         }
 
         /** Status and first line, as a report has it. */
-        public String inShort() {
+        public String summary() {
             return status + " " + body.lines().findFirst().orElse("");
         }
 
@@ -56,10 +56,10 @@
         }
     }
 
-    private Operator() { }
+    private AdminClient() { }
 
     /** One call, which takes so long at the most. */
-    public static Answer call(InetSocketAddress at, String method, String path, int waitMs) {
+    public static Response call(InetSocketAddress at, String method, String path, int waitMs) {
         try (Socket s = new Socket()) {
             s.connect(at, waitMs);
             s.setSoTimeout(waitMs);
@@ -67,10 +67,10 @@
                     StandardCharsets.US_ASCII));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             int head = text.indexOf("\r\n\r\n");
-            return head < 0 || !text.startsWith("HTTP/1.1 ") ? new Answer(0, "")
-                    : new Answer(Integer.parseInt(text.substring(9, 12)), text.substring(head + HEAD));
+            return head < 0 || !text.startsWith("HTTP/1.1 ") ? new Response(0, "")
+                    : new Response(Integer.parseInt(text.substring(9, 12)), text.substring(head + HEAD));
         } catch (IOException e) { // not there, cut off or late: all the same to a caller
-            return new Answer(0, "");
+            return new Response(0, "");
         }
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Client.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Client.java
@@ -14,10 +14,10 @@
 /** A client of one instance: asks at a steady pace on one connection, and on a new one where that ends. */
 public final class Client {
     /** Where the number of a call stands in an answer, behind version, length and name. */
-    private static final int NUMBER_AT = 12, TYPE_AT = 3, REPLY = 2, LIMIT_MS = 3000;
+    private static final int CALL_ID_OFFSET = 12, TYPE_OFFSET = 3, REPLY_TYPE = 2, REQUEST_LIMIT_MS = 3000;
     private static final byte[] STATEMENT = "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8);
 
-    private record Open(String txn, long from, boolean load) { }
+    private record OpenRequest(String txn, long from, boolean load) { }
 
     private final String node;
     private final InetSocketAddress at;
@@ -38,10 +38,10 @@
 
     /** Starts; the thread ends once it was told to stop and all is answered. */
     public Thread start() {
-        return Sockets.thread("client-" + node, () -> {
+        return Sockets.startDaemon("client-" + node, () -> {
             while (!stopping) {
                 try {
-                    connection();
+                    runConnection();
                 } catch (IOException e) { // nobody is there now
                     pause(everyMs);
                 } catch (InterruptedException e) {
@@ -64,18 +64,18 @@
         }
     }
 
-    private void connection() throws IOException, InterruptedException {
-        Map<Integer, Open> open = new ConcurrentHashMap<>();
+    private void runConnection() throws IOException, InterruptedException {
+        Map<Integer, OpenRequest> open = new ConcurrentHashMap<>();
         try (Socket s = new Socket(at.getAddress(), at.getPort())) {
             s.setTcpNoDelay(true);
-            s.setSoTimeout(LIMIT_MS + 1000);
-            Thread reader = Sockets.thread("client-reader", () -> read(s, open));
+            s.setSoTimeout(REQUEST_LIMIT_MS + 1000);
+            Thread reader = Sockets.startDaemon("client-reader", () -> read(s, open));
             for (int call = 1; !stopping && reader.isAlive(); call++) {
                 boolean load = call % 10 == 0;
                 String txn = String.format("%08x%08x", number, ++asked);
-                open.put(call, new Open(txn, System.nanoTime(), load));
+                open.put(call, new OpenRequest(txn, System.nanoTime(), load));
                 s.getOutputStream().write(FrontCodec.call(call, Map.of("verb", load ? "load" : "lookup", "txn", txn, "limit",
-                        Integer.toString(LIMIT_MS), "team", "acme", "cpu", Integer.toString(World.WORK_MS), "heap_mb", "1"), STATEMENT));
+                        Integer.toString(REQUEST_LIMIT_MS), "team", "acme", "cpu", Integer.toString(Cluster.WORK_MS), "heap_mb", "1"), STATEMENT));
                 Thread.sleep(everyMs);
             }
             while (!open.isEmpty() && reader.isAlive()) {
@@ -89,16 +89,16 @@
         }
     }
 
-    private void read(Socket s, Map<Integer, Open> open) {
+    private void read(Socket s, Map<Integer, OpenRequest> open) {
         try {
             DataInputStream in = new DataInputStream(s.getInputStream());
             while (true) {
                 byte[] frame = new byte[in.readInt()];
                 in.readFully(frame);
-                Open o = open.remove(ByteBuffer.wrap(frame).getInt(NUMBER_AT));
+                OpenRequest o = open.remove(ByteBuffer.wrap(frame).getInt(CALL_ID_OFFSET));
                 if (o != null) {
                     String text = new String(frame, StandardCharsets.ISO_8859_1);
-                    history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_AT] != REPLY
+                    history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_OFFSET] != REPLY_TYPE
                             ? "exception" : text.contains(o.txn() + "\ta\tb\n") ? "served" : "refused or failed", o.load()));
                 } else {
                     history.add(node, "unasked", "an answer to no open request");
--- a/faultbench/src/main/java/quincespar/faultbench/world/World.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Cluster.java
@@ -14,7 +14,7 @@
 import quincespar.faultbench.check.History;
 
 /** All processes of a run, the relays between them, and the stand-ins round them. */
-public final class World implements AutoCloseable {
+public final class Cluster implements AutoCloseable {
     private static final int ENGINES = 3, COLD_ENGINES = 8, LOAD_MS = 300;
     /** The rules of cold engines, and what they come to for queries of that work: N + 3 x root of N + 3, as on the platform. */
     private static final int COLD_MS = 6000, FALL_MS = 1000, CORES = 4;
@@ -28,49 +28,49 @@
      * @param cold whether engines can be cold, and fall
      * @param recovery whether front ends look for a return from a loss of power
      */
-    public record Make(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder, boolean cold, boolean recovery) {
+    public record Options(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder, boolean cold, boolean recovery) {
         /** Without losses of power. */
-        public Make(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder) {
+        public Options(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder) {
             this(instances, voters, fleet, jar, plant, folder, false, false);
         }
     }
 
     private final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Map<String, Relay> relays = new HashMap<>();
-    private final List<Engine> engines = new ArrayList<>();
-    private final ChangeLog changes = new ChangeLog();
-    private final List<Node> seconds = new ArrayList<>();
-    private final Map<String, InetSocketAddress> votes = new LinkedHashMap<>();
-    private final Make make;
-    private final String net;
+    private final List<StandInEngine> engines = new ArrayList<>();
+    private final StandInChangeLog changeLog = new StandInChangeLog();
+    private final List<Node> duplicates = new ArrayList<>();
+    private final Map<String, InetSocketAddress> voterAddresses = new LinkedHashMap<>();
+    private final Options options;
+    private final String addressPrefix;
     private final History history;
 
     /** Makes all of it; nothing of the program runs yet. */
-    public World(Make m, History history) throws IOException {
-        make = m;
+    public Cluster(Options options, History history) throws IOException {
+        this.options = options;
         this.history = history;
-        double bears = FALL_MULTIPLE * COLD_SHARE * CORES * FALL_MS / WORK_MS;
-        Engine.Cold cold = new Engine.Cold(COLD_MS, FALL_MS, (int) (bears + 3 * Math.sqrt(bears) + 3));
-        for (int i = 0; i < (m.cold() ? COLD_ENGINES : ENGINES); i++) {
-            engines.add(m.cold() ? new Engine(5, LOAD_MS, cold, history) : new Engine(5, 20, null, history));
+        double sustainableQueries = FALL_MULTIPLE * COLD_SHARE * CORES * FALL_MS / WORK_MS;
+        StandInEngine.ColdLimits cold = new StandInEngine.ColdLimits(COLD_MS, FALL_MS, (int) (sustainableQueries + 3 * Math.sqrt(sustainableQueries) + 3));
+        for (int i = 0; i < (options.cold() ? COLD_ENGINES : ENGINES); i++) {
+            engines.add(options.cold() ? new StandInEngine(5, LOAD_MS, cold, history) : new StandInEngine(5, 20, null, history));
         }
-        net = Sockets.net(Node.VOTES);
-        for (int i = 1; i <= m.voters(); i++) {
-            votes.put("n" + i, new InetSocketAddress(net + i, Node.VOTES));
+        addressPrefix = Sockets.freeAddressPrefix(Node.VOTE_PORT);
+        for (int i = 1; i <= options.voters(); i++) {
+            voterAddresses.put("n" + i, new InetSocketAddress(addressPrefix + i, Node.VOTE_PORT));
         }
-        try (URLClassLoader program = new URLClassLoader(new URL[] {m.jar().toUri().toURL()},
+        try (URLClassLoader program = new URLClassLoader(new URL[] {options.jar().toUri().toURL()},
                 ClassLoader.getPlatformClassLoader())) {
-            make(m, program);
+            createNodes(options, program);
         }
     }
 
-    private void make(Make m, ClassLoader program) throws IOException {
-        for (int i = 0; i < m.instances(); i++) {
+    private void createNodes(Options options, ClassLoader program) throws IOException {
+        for (int i = 0; i < options.instances(); i++) {
             String name = "n" + (i + 1);
-            Node n = new Node(name, m.folder().resolve(name), m.jar(), m.plant(), net + (i + 1), history);
-            n.write(configuration(name, i, m.instances(), n), conf(name, n));
-            if (m.fleet() && votes.containsKey(name)) {
-                n.begin(program);
+            Node n = new Node(name, options.folder().resolve(name), options.jar(), options.plant(), addressPrefix + (i + 1), history);
+            n.write(configuration(name, i, options.instances(), n), conf(name, n));
+            if (options.fleet() && voterAddresses.containsKey(name)) {
+                n.initFolder(program);
             }
             nodes.put(name, n);
         }
@@ -90,42 +90,42 @@
              "projects":[{"name":"acme","quotaPerS":5000,"share":1}],"requestClasses":[
              {"name":"lookup","slo":1000,"hardLimit":3000,"effect":"safe","points":1},
              {"name":"load","slo":2000,"hardLimit":3000,"effect":"unsafe","points":1}]}}
-            """.formatted(name, address(n.listen()), address(n.admin()), number + 1, changes.port(), members, all, number, make.cold() ? ("\"rules\":{\"cold\":%d,"
+            """.formatted(name, address(n.listenAddress()), address(n.adminAddress()), number + 1, changeLog.port(), members, all, number, options.cold() ? ("\"rules\":{\"cold\":%d,"
                 + "\"coldShare\":%s,\"fall\":%d,\"fallMultiple\":%s},\"extra\":{\"sizeCores\":[%d.0],\"writesTables\":[false,true]},").formatted(
                 COLD_MS, COLD_SHARE, FALL_MS, FALL_MULTIPLE, CORES) : "");
     }
 
-    private static String member(Engine e, String phase) {
+    private static String member(StandInEngine e, String phase) {
         return "{\"id\":\"" + e.id() + "\",\"host_port\":\"127.0.0.1:" + e.port() + "\",\"phase\":\"" + phase + "\",\"size\":1}";
     }
 
     /** The engines, in order. */
-    public List<Engine> engines() {
+    public List<StandInEngine> engines() {
         return engines;
     }
 
     /** The change log. */
-    public ChangeLog changes() {
-        return changes;
+    public StandInChangeLog changeLog() {
+        return changeLog;
     }
 
     /** An engine drains, as the change log tells it. */
     public void drain(int engine) {
-        changes.tell(member(engines.get(engine), "draining"));
+        changeLog.append(member(engines.get(engine), "draining"));
     }
 
     /** What the world was made with. */
-    public Make made() {
-        return make;
+    public Options options() {
+        return options;
     }
 
     /** A second process under the name of an instance, with a copy of its folder and addresses of its own. */
-    public Node second(String name) throws IOException {
-        Node n = new Node(name + "-second", make.folder().resolve(name + "-second"), make.jar(), make.plant(),
-                net + (make.instances() + 1 + seconds.size()), history);
-        n.write(configuration(name, 0, make.instances(), n), conf(name, n));
+    public Node createDuplicate(String name) throws IOException {
+        Node n = new Node(name + "-second", options.folder().resolve(name + "-second"), options.jar(), options.plant(),
+                addressPrefix + (options.instances() + 1 + duplicates.size()), history);
+        n.write(configuration(name, 0, options.instances(), n), conf(name, n));
         n.takeCopyOf(nodes.get(name));
-        seconds.add(n);
+        duplicates.add(n);
         return n;
     }
 
@@ -143,19 +143,19 @@
             """;
 
     private String conf(String name, Node n) throws IOException {
-        if (!make.fleet()) {
+        if (!options.fleet()) {
             return "";
         }
-        List<String> via = new ArrayList<>();
-        for (Map.Entry<String, InetSocketAddress> v : votes.entrySet()) {
+        List<String> relayAddresses = new ArrayList<>();
+        for (Map.Entry<String, InetSocketAddress> v : voterAddresses.entrySet()) {
             if (!v.getKey().equals(name)) {
                 Relay r = relays.get(name + ">" + v.getKey());
                 r = r == null ? new Relay(v.getValue()) : r;
                 relays.put(name + ">" + v.getKey(), r);
-                via.add(v.getKey() + "=127.0.0.1:" + r.port());
+                relayAddresses.add(v.getKey() + "=127.0.0.1:" + r.port());
             }
         }
-        String voters = votes.entrySet().stream().map(v -> v.getKey() + "=" + address(v.getValue())).collect(
+        String voters = voterAddresses.entrySet().stream().map(v -> v.getKey() + "=" + address(v.getValue())).collect(
                 Collectors.joining(","));
         return """
             fleet {
@@ -171,12 +171,12 @@
             state {
                 folder "%s"
             }
-            %s""".formatted(voters, String.join(",", via), n.state(), make.recovery() ? RECOVERY : "");
+            %s""".formatted(voters, String.join(",", relayAddresses), n.stateFolder(), options.recovery() ? RECOVERY : "");
     }
 
     /** Deletes a run's folder with all that is in it. */
-    public static void drop(Path folder) throws IOException {
-        Node.drop(folder);
+    public static void deleteFolder(Path folder) throws IOException {
+        Node.deleteFolder(folder);
     }
 
     /** All instances, by name. */
@@ -190,8 +190,8 @@
     }
 
     /** Whether it is one of those that vote. */
-    public boolean votes(String name) {
-        return make.fleet() && votes.containsKey(name);
+    public boolean isVoter(String name) {
+        return options.fleet() && voterAddresses.containsKey(name);
     }
 
     /** All links. */
@@ -200,14 +200,14 @@
     }
 
     /** The ids of all loads that reached an engine, each as often as it did. */
-    public List<String> loads() {
-        return engines.stream().flatMap(e -> e.loads().stream()).toList();
+    public List<String> receivedLoads() {
+        return engines.stream().flatMap(e -> e.receivedLoads().stream()).toList();
     }
 
     @Override
     public void close() throws IOException {
         List<Node> all = new ArrayList<>(nodes.values());
-        all.addAll(seconds);
+        all.addAll(duplicates);
         for (Node n : all) {
             try {
                 n.kill();
@@ -218,9 +218,9 @@
         for (Relay r : relays.values()) {
             r.close();
         }
-        for (Engine e : engines) {
+        for (StandInEngine e : engines) {
             e.close();
         }
-        changes.close();
+        changeLog.close();
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Node.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Node.java
@@ -14,29 +14,29 @@
 
 /** One instance: its folder, its files, and the process that runs for it now, if any. */
 public final class Node {
-    private static final List<String> JVM = List.of("-Djava.net.preferIPv4Stack=true", "-XX:+UseSerialGC",
+    private static final List<String> JVM_OPTIONS = List.of("-Djava.net.preferIPv4Stack=true", "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xshare:auto", "-Xms48m", "-Xmx96m", "-Xss256k",
             "-XX:CICompilerCount=1");
 
     /** While this file is there, the clock of a process with that plant runs an hour ahead. */
-    static final String HOUR = "hour";
+    static final String CLOCK_AHEAD_FILE = "hour";
     /** While one of these is there, the disk of a process with that plant is slow, or refuses. */
-    static final String LATE = "late", READONLY = "readonly";
-    private static final List<String> FILES = List.of("facts", "mark", "log_inprogress", "kept");
+    static final String DISK_SLOW_FILE = "late", DISK_READ_ONLY_FILE = "readonly";
+    private static final List<String> STATE_FILE_PREFIXES = List.of("facts", "mark", "log_inprogress", "kept");
 
-    static final int VOTES = 7000;
-    private static final int LISTEN = 8080, ADMIN = 9090;
+    static final int VOTE_PORT = 7000;
+    private static final int LISTEN_PORT = 8080, ADMIN_PORT = 9090;
 
     private final String name;
     private final Path folder;
     private final Path jar;
     private final Path plant;
     private final String host;
-    private volatile int admin = ADMIN;
+    private volatile int adminPort = ADMIN_PORT;
     private final History history;
     private Process process;
     private int starts;
-    private boolean stopped;
+    private boolean paused;
 
     Node(String name, Path folder, Path jar, Path plant, String host, History history) {
         this.name = name;
@@ -53,22 +53,22 @@
     }
 
     /** Its second address. */
-    public InetSocketAddress admin() {
-        return new InetSocketAddress(host, admin);
+    public InetSocketAddress adminAddress() {
+        return new InetSocketAddress(host, adminPort);
     }
 
     /** Its clients' address. */
-    public InetSocketAddress listen() {
-        return new InetSocketAddress(host, LISTEN);
+    public InetSocketAddress listenAddress() {
+        return new InetSocketAddress(host, LISTEN_PORT);
     }
 
     /** Where it votes. */
-    InetSocketAddress votes() {
-        return new InetSocketAddress(host, VOTES);
+    InetSocketAddress voteAddress() {
+        return new InetSocketAddress(host, VOTE_PORT);
     }
 
     /** Where it keeps what must last. */
-    public Path state() {
+    public Path stateFolder() {
         return folder.resolve("state");
     }
 
@@ -98,21 +98,21 @@
      * A new version under load: a second process with the same files and another second address; at its yes the old one is
      * told to stop, and its end is waited for. False where no process ran, or the new one did not say yes in time.
      */
-    public boolean upgrade(long longestMs) throws IOException, InterruptedException {
+    public boolean upgrade(long timeoutMs) throws IOException, InterruptedException {
         Process old;
-        int otherAdmin = admin + 1;
+        int newAdminPort = adminPort + 1;
         synchronized (this) {
             old = process;
             if (old == null || !old.isAlive()) {
                 return false;
             }
-            int before = admin;
-            admin = otherAdmin;
+            int before = adminPort;
+            adminPort = newAdminPort;
             process = launch();
-            admin = before;
+            adminPort = before;
         }
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
-        while (Operator.call(new InetSocketAddress(host, otherAdmin), "GET", "/status", 1000).status() != 200) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (AdminClient.call(new InetSocketAddress(host, newAdminPort), "GET", "/status", 1000).status() != 200) {
             if (System.nanoTime() > end) {
                 return false;
             }
@@ -120,14 +120,14 @@
         }
         history.add(name, "told to stop", "the new version serves");
         old.destroy();
-        boolean ended = old.waitFor(longestMs, TimeUnit.MILLISECONDS);
-        admin = otherAdmin;
+        boolean ended = old.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
+        adminPort = newAdminPort;
         return ended;
     }
 
     private Process launch() throws IOException {
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         if (plant == null) {
             command.addAll(List.of("-jar", jar.toString()));
         } else {
@@ -136,14 +136,14 @@
         command.addAll(List.of("serve", "--conf", folder.resolve("quincespar.conf").toString()));
         ProcessBuilder b = new ProcessBuilder(command);
         b.environment().putAll(Map.of("GW_CONFIG", folder.resolve("config.json").toString(), "TMPDIR",
-                folder.resolve("tmp").toString(), "GW_ADMIN_ADDR", host + ":" + admin));
+                folder.resolve("tmp").toString(), "GW_ADMIN_ADDR", host + ":" + adminPort));
         history.add(name, "started", "");
-        stopped = false;
+        paused = false;
         return b.redirectErrorStream(true).redirectOutput(folder.resolve("log-" + ++starts).toFile()).start();
     }
 
     /** Begins its folder as a voter's, as operators do before a fleet's first start, by this program's command line. */
-    void begin(ClassLoader program) throws IOException {
+    void initFolder(ClassLoader program) throws IOException {
         int code;
         try {
             code = (int) program.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
@@ -176,7 +176,7 @@
     }
 
     /** SIGTERM. */
-    public synchronized void term() {
+    public synchronized void terminate() {
         if (alive()) {
             history.add(name, "told to stop", "");
             process.destroy();
@@ -193,23 +193,23 @@
     }
 
     /** SIGSTOP or SIGCONT. */
-    public synchronized void stopped(boolean now) throws IOException, InterruptedException {
-        if (alive() && now != stopped) {
-            stopped = now;
+    public synchronized void setPaused(boolean now) throws IOException, InterruptedException {
+        if (alive() && now != paused) {
+            paused = now;
             history.add(name, now ? "stopped" : "continued", "");
             run("kill", now ? "-STOP" : "-CONT", Long.toString(process.pid()));
         }
     }
 
     /** Has its process write what its threads are at to its log. */
-    public synchronized void threads() throws IOException, InterruptedException {
+    public synchronized void dumpThreads() throws IOException, InterruptedException {
         if (alive()) {
             run("kill", "-QUIT", Long.toString(process.pid()));
         }
     }
 
     /** From now on files of its process can't grow beyond so many bytes, as on a full disk; negative for no limit. */
-    public synchronized void fileLimit(long bytes) throws IOException, InterruptedException {
+    public synchronized void limitFileSize(long bytes) throws IOException, InterruptedException {
         if (alive()) {
             history.add(name, bytes < 0 ? "disk has room" : "disk full", "");
             run("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + (bytes < 0 ? "unlimited" : bytes + ":unlimited"));
@@ -221,19 +221,19 @@
     }
 
     /** Its clock steps an hour ahead, or back; only with the plant for that. */
-    public void hour(boolean ahead) throws IOException {
-        flag(HOUR, ahead);
+    public void shiftClock(boolean ahead) throws IOException {
+        setFlagFile(CLOCK_AHEAD_FILE, ahead);
         history.add(name, ahead ? "clock steps ahead" : "clock steps back", "");
     }
 
     /** Its disk is slow or refuses from now on, or neither; only with the plant for that. */
-    public void disk(boolean late, boolean readOnly) throws IOException {
-        flag(LATE, late);
-        flag(READONLY, readOnly);
+    public void setDiskFault(boolean late, boolean readOnly) throws IOException {
+        setFlagFile(DISK_SLOW_FILE, late);
+        setFlagFile(DISK_READ_ONLY_FILE, readOnly);
         history.add(name, late ? "disk slow" : readOnly ? "disk read-only" : "disk sound", "");
     }
 
-    private void flag(String file, boolean there) throws IOException {
+    private void setFlagFile(String file, boolean there) throws IOException {
         Path at = folder.resolve("tmp").resolve(file);
         if (there) {
             Files.writeString(at, "");
@@ -243,10 +243,10 @@
     }
 
     /** One bit is turned in the middle of its facts (0), its mark (1), its log (2) or its list of loads (3); throws where there is no such file. */
-    public void spoil(int which) throws IOException {
-        try (Stream<Path> all = Files.walk(state())) {
-            Path p = all.filter(f -> f.getFileName().toString().startsWith(FILES.get(which))).findFirst().orElseThrow(
-                    () -> new IOException(name + " has no " + FILES.get(which)));
+    public void flipBit(int which) throws IOException {
+        try (Stream<Path> all = Files.walk(stateFolder())) {
+            Path p = all.filter(f -> f.getFileName().toString().startsWith(STATE_FILE_PREFIXES.get(which))).findFirst().orElseThrow(
+                    () -> new IOException(name + " has no " + STATE_FILE_PREFIXES.get(which)));
             byte[] bytes = Files.readAllBytes(p);
             int end = bytes.length;
             while (end > 0 && bytes[end - 1] == 0) { // room that was set aside
@@ -255,40 +255,40 @@
             bytes[end / 2] ^= 1;
             Files.write(p, bytes);
         }
-        history.add(name, "a bit turned", FILES.get(which));
+        history.add(name, "a bit turned", STATE_FILE_PREFIXES.get(which));
     }
 
     /** Has this folder beside what it is told by its files, as a copy of another's. */
     void takeCopyOf(Node other) throws IOException {
-        copy(other.state(), state());
+        copy(other.stateFolder(), stateFolder());
     }
 
-    /** Puts its folder aside, for {@link #restore}. */
+    /** Puts its folder aside, for {@link #replaceFolder}. */
     public void copyFolder() throws IOException {
-        copy(state(), folder.resolve("copy"));
+        copy(stateFolder(), folder.resolve("copy"));
         history.add(name, "folder copied", "");
     }
 
     /** Takes the folder that was put aside, another's, or none; only while no process runs. */
-    public void restore(Path from) throws IOException {
-        drop(state());
+    public void replaceFolder(Path from) throws IOException {
+        deleteFolder(stateFolder());
         if (from != null && Files.exists(from)) {
-            copy(from, state());
+            copy(from, stateFolder());
         }
         history.add(name, "folder replaced", from == null ? "by none" : "");
     }
 
     /** Where {@link #copyFolder} put it. */
-    public Path copied() {
+    public Path folderCopy() {
         return folder.resolve("copy");
     }
 
     /** Cuts so many bytes off the end of the log that it votes by, as where the last of them never reached the disk. */
-    public void tear(int bytes) throws IOException {
-        if (!Files.exists(state())) {
+    public void truncateLog(int bytes) throws IOException {
+        if (!Files.exists(stateFolder())) {
             return;
         }
-        try (Stream<Path> all = Files.walk(state())) {
+        try (Stream<Path> all = Files.walk(stateFolder())) {
             for (Path p : all.filter(f -> f.getFileName().toString().startsWith("log_inprogress")).toList()) {
                 byte[] whole = Files.readAllBytes(p);
                 int end = whole.length;
@@ -302,7 +302,7 @@
     }
 
     private static void copy(Path from, Path to) throws IOException {
-        drop(to);
+        deleteFolder(to);
         try (Stream<Path> all = Files.walk(from)) {
             for (Path p : all.toList()) {
                 Files.copy(p, to.resolve(from.relativize(p).toString()));
@@ -312,7 +312,7 @@
         }
     }
 
-    static void drop(Path what) throws IOException {
+    static void deleteFolder(Path what) throws IOException {
         if (Files.exists(what)) {
             try (Stream<Path> all = Files.walk(what)) {
                 for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
--- a/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
@@ -14,7 +14,7 @@
  * guard's text replaced, compiled anew. Throws where that text is not there, so that a plant can't come to plant nothing.
  */
 public final class Plant {
-    private record Edit(String file, String from, String to) { }
+    private record Edit(String file, String original, String replacement) { }
 
     private static final String STATE = "fleet/src/main/java/quincespar/fleet/FleetState.java";
     private static final String PARTICIPATION = "fleet/src/main/java/quincespar/fleet/Participation.java";
@@ -35,14 +35,14 @@
 
     static { // no guard: the program's clock, which runs an hour ahead from when a file is there
         GUARDS.put("clock", List.of(new Edit(CLOCK, "return offset + System.nanoTime() / 1e6;", "return offset + System.nanoTime()"
-                + " / 1e6 + (new java.io.File(System.getenv(\"TMPDIR\"), \"" + Node.HOUR + "\").exists() ? 3_600_000 : 0);")));
+                + " / 1e6 + (new java.io.File(System.getenv(\"TMPDIR\"), \"" + Node.CLOCK_AHEAD_FILE + "\").exists() ? 3_600_000 : 0);")));
     }
 
     static { // no guard: a disk that is slow or refuses while a file is there
         GUARDS.put("disk", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "java.io.File now = new java.io.File(System.getenv(\"TMPDIR\"));\n"
-                + "if (new java.io.File(now, \"" + Node.READONLY + "\").exists()) { throw new IOException(\"Read-only file system\"); }\n"
-                + "if (new java.io.File(now, \"" + Node.LATE + "\").exists()) {\n"
+                + "if (new java.io.File(now, \"" + Node.DISK_READ_ONLY_FILE + "\").exists()) { throw new IOException(\"Read-only file system\"); }\n"
+                + "if (new java.io.File(now, \"" + Node.DISK_SLOW_FILE + "\").exists()) {\n"
                 + "try { Thread.sleep(5000); } catch (InterruptedException e) { Thread.currentThread().interrupt(); } }\n"
                 + "Path next = folder.resolve(name + NEXT);")));
     }
@@ -55,7 +55,7 @@
     }
 
     /** Compiles the program without a guard into a folder, for the front of the class path of {@code jar}. */
-    public static Path out(String guard, Path root, Path jar, Path folder) throws IOException {
+    public static Path compileWithout(String guard, Path root, Path jar, Path folder) throws IOException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null || !GUARDS.containsKey(guard)) {
             throw new IOException(compiler == null ? "a JDK is needed to take a guard out" : "no guard '" + guard + "'; known are "
@@ -64,11 +64,11 @@
         Path to = Files.createDirectories(folder.resolve("plant-" + guard));
         for (Edit e : GUARDS.get(guard)) {
             String text = Files.readString(root.resolve(e.file()));
-            if (!text.contains(e.from())) {
+            if (!text.contains(e.original())) {
                 throw new IOException("the guard '" + guard + "' is not where it was, in " + e.file());
             }
             Path source = to.resolve(Path.of(e.file()).getFileName());
-            Files.writeString(source, text.replace(e.from(), e.to()));
+            Files.writeString(source, text.replace(e.original(), e.replacement()));
             if (compiler.run(null, null, null, "-nowarn", "-d", to.toString(), "-cp", jar.toString(), source.toString()) != 0) {
                 throw new IOException("the program without guard '" + guard + "' does not compile");
             }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
@@ -11,7 +11,7 @@
 
 /** The link from one instance to another: passes bytes on, or does to them what it is told. */
 public final class Relay implements AutoCloseable {
-    private static final int CHUNK = 8192;
+    private static final int BUFFER_BYTES = 8192;
 
     /** What is done to the bytes of one direction. */
     public enum Mode {
@@ -31,20 +31,20 @@
         FLIP
     }
 
-    private record Way(Mode mode, int amount) { }
+    private record DirectionFault(Mode mode, int amount) { }
 
     private final ServerSocket server = Sockets.listen();
     private final InetSocketAddress to;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final Object changed = new Object();
     private volatile boolean cut;
-    private Way out = new Way(Mode.PASS, 0);
-    private Way back = new Way(Mode.PASS, 0);
+    private DirectionFault forwardFault = new DirectionFault(Mode.PASS, 0);
+    private DirectionFault backwardFault = new DirectionFault(Mode.PASS, 0);
 
     /** From an address of its own to this one. */
     public Relay(InetSocketAddress to) throws IOException {
         this.to = to;
-        Sockets.serve(server, "relay", this::play);
+        Sockets.serve(server, "relay", this::serveConnection);
     }
 
     /** Where it listens. */
@@ -52,20 +52,20 @@
         return server.getLocalPort();
     }
 
-    /** Sets what is done to bytes on their way there ({@code forth}) or back, from now on. */
-    public void set(boolean forth, Mode mode, int amount) {
+    /** Sets what is done to bytes on their fault there ({@code forward}) or back, from now on. */
+    public void setMode(boolean forward, Mode mode, int amount) {
         synchronized (changed) {
-            if (forth) {
-                out = new Way(mode, amount);
+            if (forward) {
+                forwardFault = new DirectionFault(mode, amount);
             } else {
-                back = new Way(mode, amount);
+                backwardFault = new DirectionFault(mode, amount);
             }
             changed.notifyAll();
         }
     }
 
     /** Resets all connections, and refuses new ones for as long as it is cut. */
-    public void cut(boolean now) {
+    public void setCut(boolean now) {
         cut = now;
         if (now) {
             open.forEach(Relay::reset);
@@ -81,7 +81,7 @@
         }
     }
 
-    private void play(Socket from) throws IOException {
+    private void serveConnection(Socket from) throws IOException {
         if (cut) {
             reset(from);
             return;
@@ -90,7 +90,7 @@
             there.setTcpNoDelay(true);
             open.add(from);
             open.add(there);
-            Thread other = Sockets.thread("relay-back", () -> pump(there, from, false));
+            Thread other = Sockets.startDaemon("relay-back", () -> pump(there, from, false));
             pump(from, there, true);
             other.join();
         } catch (InterruptedException e) {
@@ -100,14 +100,14 @@
         }
     }
 
-    private void pump(Socket from, Socket into, boolean forth) {
-        byte[] bytes = new byte[CHUNK];
+    private void pump(Socket from, Socket into, boolean forward) {
+        byte[] bytes = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream to = into.getOutputStream();
-            int turn = 0;
+            int chunkNumber = 0;
             for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                int sent = pass(bytes, n, to, forth, turn++);
+                int sent = applyFault(bytes, n, to, forward, chunkNumber++);
                 to.write(bytes, sent, n - sent);
             }
             into.shutdownOutput();
@@ -122,31 +122,31 @@
     }
 
     /** Does what is asked for, and returns how much of the chunk has gone out with that. */
-    private int pass(byte[] bytes, int n, OutputStream to, boolean forth, int turn) throws InterruptedException, IOException {
+    private int applyFault(byte[] bytes, int n, OutputStream to, boolean forward, int chunkNumber) throws InterruptedException, IOException {
         int sent = 0;
         while (true) {
-            Way way;
+            DirectionFault fault;
             synchronized (changed) {
-                way = forth ? out : back;
-                if (way.mode() == Mode.HOLD || way.mode() == Mode.STALL && sent > 0) {
+                fault = forward ? forwardFault : backwardFault;
+                if (fault.mode() == Mode.HOLD || fault.mode() == Mode.STALL && sent > 0) {
                     changed.wait();
                     continue;
                 }
             }
-            if (way.mode() == Mode.STALL) {
+            if (fault.mode() == Mode.STALL) {
                 sent = n / 2;
                 to.write(bytes, 0, sent);
                 continue;
             }
-            if (way.mode() == Mode.SLOW) {
-                Thread.sleep(way.amount());
-            } else if (way.mode() == Mode.JITTER) {
-                Thread.sleep((long) way.amount() * (turn * 7919L % 10) / 10);
-            } else if (way.mode() == Mode.THROTTLE) {
-                Thread.sleep(1000L * n / Math.max(1, way.amount()));
-            } else if (way.mode() == Mode.FLIP) {
+            if (fault.mode() == Mode.SLOW) {
+                Thread.sleep(fault.amount());
+            } else if (fault.mode() == Mode.JITTER) {
+                Thread.sleep((long) fault.amount() * (chunkNumber * 7919L % 10) / 10);
+            } else if (fault.mode() == Mode.THROTTLE) {
+                Thread.sleep(1000L * n / Math.max(1, fault.amount()));
+            } else if (fault.mode() == Mode.FLIP) {
                 bytes[sent + (n - sent) / 2] ^= 0x10;
-                set(forth, Mode.PASS, 0);
+                setMode(forward, Mode.PASS, 0);
             }
             return sent;
         }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Sockets.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Sockets.java
@@ -13,8 +13,8 @@
     private static final int BACKLOG = 128;
 
     /** Plays one connection; its end is told by the exception. */
-    interface Script {
-        void play(Socket s) throws IOException;
+    interface ConnectionHandler {
+        void handle(Socket s) throws IOException;
     }
 
     private Sockets() { }
@@ -23,13 +23,13 @@
      * A net of loopback addresses that nobody listens in, as {@code 127.A.B.}: ports of the one common address may be taken by
      * any connection that goes out between the look and the use.
      */
-    static String net(int port) throws IOException {
-        Random chance = new Random();
+    static String freeAddressPrefix(int port) throws IOException {
+        Random random = new Random();
         while (true) {
-            String net = "127." + (10 + chance.nextInt(240)) + "." + chance.nextInt(250) + ".";
+            String prefix = "127." + (10 + random.nextInt(240)) + "." + random.nextInt(250) + ".";
             try (ServerSocket free = new ServerSocket()) {
-                free.bind(new InetSocketAddress(net + "1", port));
-                return net;
+                free.bind(new InetSocketAddress(prefix + "1", port));
+                return prefix;
             } catch (BindException e) { // another run's
                 Thread.onSpinWait();
             }
@@ -41,15 +41,15 @@
     }
 
     /** Accepts until the listener is closed, and plays each connection on a thread of its own. */
-    static void serve(ServerSocket server, String name, Script script) {
-        thread(name, () -> {
+    static void serve(ServerSocket server, String name, ConnectionHandler handler) {
+        startDaemon(name, () -> {
             while (!server.isClosed()) {
                 try {
                     Socket s = server.accept();
                     s.setTcpNoDelay(true);
-                    thread(name + "-link", () -> {
+                    startDaemon(name + "-link", () -> {
                         try (s) {
-                            script.play(s);
+                            handler.handle(s);
                         } catch (IOException e) { // the end of this connection, whichever side ended it
                             return;
                         }
@@ -61,7 +61,7 @@
         });
     }
 
-    static Thread thread(String name, Runnable body) {
+    static Thread startDaemon(String name, Runnable body) {
         Thread t = new Thread(body, name);
         t.setDaemon(true);
         t.start();
--- a/faultbench/src/main/java/quincespar/faultbench/world/ChangeLog.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInChangeLog.java
@@ -10,16 +10,16 @@
 import java.util.List;
 
 /** A stand-in change log: answers each question with what came after it, or when its time is over; it can fall silent, and forget. */
-public final class ChangeLog implements AutoCloseable {
-    private static final int LOOK_MS = 20, FIRST = 1;
+public final class StandInChangeLog implements AutoCloseable {
+    private static final int POLL_MS = 20, FIRST_SEQUENCE = 1;
 
     private final ServerSocket server = Sockets.listen();
     private final List<String> events = new ArrayList<>();
     private volatile boolean silent;
 
     /** Begins to answer. */
-    public ChangeLog() throws IOException {
-        Sockets.serve(server, "change-log", this::play);
+    public StandInChangeLog() throws IOException {
+        Sockets.serve(server, "change-log", this::serveConnection);
     }
 
     /** Where it listens. */
@@ -28,53 +28,53 @@
     }
 
     /** It answers nothing from now on, or does again. */
-    public void silent(boolean now) {
+    public void setSilent(boolean now) {
         silent = now;
     }
 
     /** Members of the list have changed, as JSON objects. */
-    public synchronized void tell(String members) {
-        int seq = FIRST + events.size() + 1;
+    public synchronized void append(String members) {
+        int seq = FIRST_SEQUENCE + events.size() + 1;
         events.add("{\"seq\":" + seq + ",\"fleet\":{\"revision\":" + seq + ",\"complete\":false,\"members\":[" + members + "]}}");
     }
 
     /** It has started anew from an older list: what it was told is not in it. */
-    public synchronized void forget() {
+    public synchronized void forgetChanges() {
         events.clear();
     }
 
-    private synchronized String answer(long since) {
-        int known = (int) Math.max(0, since - FIRST);
+    private synchronized String body(long since) {
+        int known = (int) Math.max(0, since - FIRST_SEQUENCE);
         List<String> news = known >= events.size() ? List.of() : events.subList(known, events.size());
-        return "{\"seq\":" + Math.max(since, FIRST + events.size()) + ",\"results\":[" + String.join(",", news) + "]}";
+        return "{\"seq\":" + Math.max(since, FIRST_SEQUENCE + events.size()) + ",\"results\":[" + String.join(",", news) + "]}";
     }
 
-    private synchronized boolean has(long since) {
-        return FIRST + events.size() > since;
+    private synchronized boolean hasChangesSince(long since) {
+        return FIRST_SEQUENCE + events.size() > since;
     }
 
-    private static long number(String line, String name) {
+    private static long numberAfter(String line, String name) {
         int at = line.indexOf(name + "=");
         return at < 0 ? 0 : Long.parseLong(line.substring(at + name.length() + 1).split("[^0-9]")[0]);
     }
 
-    private void play(Socket s) throws IOException {
+    private void serveConnection(Socket s) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            long since = number(line, "since");
-            long end = System.nanoTime() + number(line, "timeout") * 1_000_000;
+            long since = numberAfter(line, "since");
+            long end = System.nanoTime() + numberAfter(line, "timeout") * 1_000_000;
             while (!line.isEmpty()) {
                 line = in.readLine();
             }
             try {
-                while (silent || !has(since) && System.nanoTime() < end) {
-                    Thread.sleep(LOOK_MS);
+                while (silent || !hasChangesSince(since) && System.nanoTime() < end) {
+                    Thread.sleep(POLL_MS);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
-            byte[] body = answer(since).getBytes(StandardCharsets.US_ASCII);
+            byte[] body = body(since).getBytes(StandardCharsets.US_ASCII);
             s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(
                     StandardCharsets.US_ASCII));
             s.getOutputStream().write(body);
--- a/faultbench/src/main/java/quincespar/faultbench/world/Engine.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
@@ -25,29 +25,29 @@
  * A stand-in engine: answers each query with one row after a while, and remembers the loads that reached it. One that has lost its power
  * returns cold, and falls over for good where it gets more than a cold one bears.
  */
-public final class Engine implements AutoCloseable {
-    private static final int CHUNK = 65_536;
+public final class StandInEngine implements AutoCloseable {
+    private static final int READ_BUFFER_BYTES = 65_536;
 
     /**
      * What a cold engine bears.
      *
      * @param coldMs how long it is cold after its power is back
-     * @param spanMs within any span of that length, milliseconds
+     * @param windowMs within any span of that length, milliseconds
      * @param most it bears so many queries
      */
-    public record Cold(int coldMs, int spanMs, int most) { }
+    public record ColdLimits(int coldMs, int windowMs, int maxQueries) { }
 
-    private final Cold cold;
+    private final ColdLimits cold;
     private final History history;
     private final Set<Socket> links = ConcurrentHashMap.newKeySet();
     private final Deque<Long> recent = new ArrayDeque<>();
     private final AtomicLong lastAt = new AtomicLong();
     private final int port;
     private volatile ServerSocket server = Sockets.listen();
-    private volatile long backAt = Long.MIN_VALUE;
+    private volatile long powerBackAt = Long.MIN_VALUE;
     private volatile boolean fallen;
     private volatile boolean powered = true;
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(1, r -> {
+    private final ScheduledExecutorService delayed = Executors.newScheduledThreadPool(1, r -> {
         Thread t = new Thread(r, "engine-later");
         t.setDaemon(true);
         return t;
@@ -57,13 +57,13 @@
     private final int loadMs;
 
     /** One that takes so long for a lookup and a load; {@code cold} is null where it never falls. */
-    public Engine(int lookupMs, int loadMs, Cold cold, History history) throws IOException {
+    public StandInEngine(int lookupMs, int loadMs, ColdLimits cold, History history) throws IOException {
         this.lookupMs = lookupMs;
         this.loadMs = loadMs;
         this.cold = cold;
         this.history = history;
         port = server.getLocalPort();
-        Sockets.serve(server, "engine", this::play);
+        Sockets.serve(server, "engine", this::serveConnection);
     }
 
     /** Where it listens. */
@@ -77,29 +77,29 @@
     }
 
     /** When a query last reached it, on the machine's monotonic clock. */
-    public long lastAt() {
+    public long lastQueryAt() {
         return lastAt.get();
     }
 
     /** Its power is lost, with all that it does and knows, or is back: then it is cold. */
-    public synchronized void power(boolean on) throws IOException {
+    public synchronized void setPowered(boolean on) throws IOException {
         if (on == powered || fallen) {
             return;
         }
         powered = on;
         history.add(id(), on ? "power back" : "power lost", "");
         if (on) {
-            backAt = System.nanoTime();
+            powerBackAt = System.nanoTime();
             server = new ServerSocket();
             server.setReuseAddress(true);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            Sockets.serve(server, "engine", this::play);
+            Sockets.serve(server, "engine", this::serveConnection);
         } else {
-            end();
+            closeSockets();
         }
     }
 
-    private void end() throws IOException {
+    private void closeSockets() throws IOException {
         server.close();
         for (Socket s : links) {
             s.close();
@@ -107,48 +107,48 @@
     }
 
     /** A query has come; false where it was one too many. */
-    private synchronized boolean bears() {
+    private synchronized boolean acceptsQuery() {
         long now = System.nanoTime();
         lastAt.set(now);
-        if (cold == null || backAt == Long.MIN_VALUE || now - backAt > TimeUnit.MILLISECONDS.toNanos(cold.coldMs())) {
+        if (cold == null || powerBackAt == Long.MIN_VALUE || now - powerBackAt > TimeUnit.MILLISECONDS.toNanos(cold.coldMs())) {
             return true;
         }
         recent.add(now);
-        while (recent.peek() < now - TimeUnit.MILLISECONDS.toNanos(cold.spanMs())) {
+        while (recent.peek() < now - TimeUnit.MILLISECONDS.toNanos(cold.windowMs())) {
             recent.poll();
         }
-        if (recent.size() > cold.most() && !fallen) {
+        if (recent.size() > cold.maxQueries() && !fallen) {
             fallen = true;
-            history.add(id(), "fell", recent.size() + " queries within " + cold.spanMs() + " ms");
+            history.add(id(), "fell", recent.size() + " queries within " + cold.windowMs() + " ms");
         }
         return !fallen;
     }
 
     /** The ids of all loads that came, each as often as it came. */
-    public List<String> loads() {
+    public List<String> receivedLoads() {
         return List.copyOf(loads);
     }
 
-    private void play(Socket s) throws IOException {
+    private void serveConnection(Socket s) throws IOException {
         links.add(s);
         if (!powered) { // it came between
             s.close();
         }
         RespDecoder decoder = new RespDecoder();
         InputStream in = s.getInputStream();
-        byte[] bytes = new byte[CHUNK];
+        byte[] bytes = new byte[READ_BUFFER_BYTES];
         for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-            decoder.feed(bytes, n, words -> command(s, words));
+            decoder.feed(bytes, n, words -> handleCommand(s, words));
         }
         links.remove(s);
     }
 
-    private void command(Socket s, List<byte[]> words) {
+    private void handleCommand(Socket s, List<byte[]> words) {
         String word = text(words.get(0));
         String id = words.size() > 1 ? text(words.get(1)) : "";
-        if (word.equals("serve") && !bears()) {
+        if (word.equals("serve") && !acceptsQuery()) {
             try {
-                end();
+                closeSockets();
             } catch (IOException e) { // it is over either way
                 return;
             }
@@ -157,7 +157,7 @@
             if (load) {
                 loads.add(id);
             }
-            later.schedule(() -> send(s, id, "DONE", "count=1", id + "\ta\tb\n"), load ? loadMs : lookupMs,
+            delayed.schedule(() -> send(s, id, "DONE", "count=1", id + "\ta\tb\n"), load ? loadMs : lookupMs,
                     TimeUnit.MILLISECONDS);
         } else if (word.equals("health") || word.equals("gauges")) {
             send(s, id, "FIT", "-");
@@ -185,7 +185,7 @@
 
     @Override
     public void close() throws IOException {
-        later.shutdownNow();
+        delayed.shutdownNow();
         server.close();
     }
 }
--- a/faultbench/src/test/java/quincespar/faultbench/FixedSchedulesIT.java
+++ b/faultbench/src/test/java/quincespar/faultbench/FixedSchedulesIT.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import quincespar.faultbench.schedule.Fixed;
+import quincespar.faultbench.schedule.FixedSchedules;
 import quincespar.faultbench.schedule.Schedule;
+import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Plant;
-import quincespar.faultbench.world.World;
 
 /** Five processes of the program under each fixed schedule; and that the checkers find what a guard guards against. */
 @Timeout(150)
@@ -25,19 +25,19 @@
     private Path folder;
 
     static List<String> names() {
-        return Fixed.atEachBuild();
+        return FixedSchedules.playedAtEachBuild();
     }
 
     private List<String> played(String name, Path plant) throws IOException, InterruptedException {
-        boolean loss = Fixed.loss(name);
-        return new Run(new World.Make(5, 5, true, JAR, plant, folder, loss, loss), Schedule.read(Fixed.all().get(name))).play();
+        boolean loss = FixedSchedules.isPowerLoss(name);
+        return new Run(new Cluster.Options(5, 5, true, JAR, plant, folder, loss, loss), Schedule.read(FixedSchedules.texts().get(name))).play();
     }
 
     @ParameterizedTest
     @MethodSource("names")
     void everythingHolds(String name) throws IOException, InterruptedException {
-        String planted = Fixed.plant(name);
-        Path plant = planted == null ? null : Plant.out(planted, ROOT, JAR, folder);
+        String planted = FixedSchedules.requiredPlant(name);
+        Path plant = planted == null ? null : Plant.compileWithout(planted, ROOT, JAR, folder);
         assertThat(played(name, plant)).isEmpty();
     }
 
@@ -45,7 +45,7 @@
     @CsvSource({"incarnation, gone-and-back, was over", "old-folder, folder-of-before, votes on a folder that is older",
         "fsync, restart, what it was told to keep was lost"})
     void withoutItsGuardAScheduleBreaks(String guard, String name, String found) throws IOException, InterruptedException {
-        Path plant = Plant.out(guard, ROOT, JAR, folder);
+        Path plant = Plant.compileWithout(guard, ROOT, JAR, folder);
         assertThat(played(name, plant)).anySatisfy(line -> assertThat(line).contains(found));
     }
 }
--- a/faultbench/src/test/java/quincespar/faultbench/schedule/ScheduleTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/schedule/ScheduleTest.java
@@ -15,7 +15,7 @@
             assertThat(s.steps()).isNotEmpty();
         }
         assertThat(Schedule.draw(1, 5)).isNotEqualTo(Schedule.draw(2, 5));
-        Fixed.names().forEach(n -> assertThat(Schedule.read(Fixed.all().get(n)).steps()).isNotEmpty());
+        FixedSchedules.names().forEach(n -> assertThat(Schedule.read(FixedSchedules.texts().get(n)).steps()).isNotEmpty());
         assertThatThrownBy(() -> Schedule.read("5 explode n1")).hasMessage("no step: '5 explode n1'");
     }
 }
--- a/laboratory/src/main/java/quincespar/laboratory/Laboratory.java
+++ b/laboratory/src/main/java/quincespar/laboratory/Laboratory.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import quincespar.faultbench.report.Curve;
+import quincespar.faultbench.report.LineChart;
 
 /** The command line. */
 @Command(name = "laboratory", description = "Many front ends in one process and in virtual time.", mixinStandardHelpOptions = true)
@@ -53,7 +53,7 @@
             }
         }
         if (plot != null) {
-            Files.writeString(plot, Curve.of("Worth served a second after a loss of power", series));
+            Files.writeString(plot, LineChart.of("Worth served a second after a loss of power", series));
         }
         return held ? 0 : 1;
     }
