--- a/decision/src/main/java/quincespar/decision/DecisionExplainer.java
+++ b/decision/src/main/java/quincespar/decision/DecisionExplainer.java
@@ -93,7 +93,7 @@
     private void runUpToFirstChoice(double time, List<Event> events) {
         scheduler.actions = new ArrayList<>();
         scheduler.stalled = scheduler.timerDueAt > scheduler.now
-                && time > scheduler.timerDueAt + 3 * scheduler.baseInterval;
+                && time > scheduler.timerDueAt + GcMuScheduler.STALL_INTERVALS * scheduler.baseInterval;
         scheduler.now = Math.max(scheduler.now, time);
         events.forEach(scheduler::handle);
         if (scheduler.now >= scheduler.nextSupervisionAt) {
--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -102,6 +102,56 @@
     private static final double PEER_ATTEMPT_STALE_MULTIPLE = 3;
     /** Time within which an engine's report fades, in ms: short queries have finished by then. */
     private static final double REPORT_FADE_MS = 2000;
+    /** Looks at held queries within the shortest latency target. */
+    private static final int LOOKS_PER_TARGET = 40;
+    /** Base intervals between looks while no query is held: running queries need fewer looks. */
+    private static final int RUNNING_LOOK_INTERVALS = 5;
+    /** Base intervals by which a timer must be late to count as a stall of this router. */
+    static final int STALL_INTERVALS = 3;
+    /** Share of its target within which a query counts as in time whatever its estimate says. */
+    private static final double FRESH_TARGET_SHARE = 0.25;
+    /** Time per unit of estimated work until it is learned. */
+    private static final double DEFAULT_TIME_PER_ESTIMATE = 1.3;
+    /** Cores of an engine where they are not told. */
+    private static final int DEFAULT_CORES = 4;
+    /** Part of the way to a lower log stretch that the best one takes in a step. */
+    private static final double BEST_STRETCH_GAIN = 0.1;
+    /** Rise of the best log stretch in a step. */
+    private static final double BEST_STRETCH_DRIFT = 0.0005;
+    /** Factor on the limit when an engine refuses an attempt because it is full. */
+    private static final double FULL_LIMIT_FACTOR = 0.8;
+    /** Length of the first ejection of an engine, in ms; each further one is twice as long. */
+    private static final int MIN_EJECTION_MS = 1000;
+    /** Length of the longest ejection of an engine, in ms. */
+    private static final int MAX_EJECTION_MS = 8000;
+    /** Failure rate above the median of all engines at which an engine is ejected. */
+    private static final double EXCESS_FAILURE_RATE = 0.25;
+    /** Weight of results, in attempts, up to which the failure rate is not judged. */
+    private static final double MIN_FAILURE_WEIGHT = 1.5;
+    /** Time between checks for stale peer attempts, in ms. */
+    private static final int PEER_EXPIRY_INTERVAL_MS = 1000;
+    /** Least capacity of a core, relative to the nominal one. */
+    private static final double LEAST_CORE_CAPACITY = 0.85;
+    /** Share of its expected time that a query must have left before its deadline. */
+    private static final double HOPELESS_TIME_SHARE = 0.7;
+    /** Factor of a memory grant on the learned need. */
+    private static final double LEARNED_GRANT_MARGIN = 1.3;
+    /** Factor of a memory grant on the estimated need, until that is learned. */
+    private static final double ESTIMATED_GRANT_MARGIN = 2.5;
+    /** Standard deviations beyond which an attempt is a straggler where engines send notes. */
+    private static final double STRAGGLER_DEVIATIONS_WITH_NOTES = 2.5;
+    /** Standard deviations beyond which an attempt is a straggler where they send none. */
+    private static final double STRAGGLER_DEVIATIONS = 1.4;
+    /** Ratio of the standard deviation to the mean absolute deviation. */
+    private static final double MEAN_TO_STANDARD_DEVIATION = 1.25;
+    /** Factor on the engine of the last failed attempt. */
+    private static final double FAILED_ENGINE_FACTOR = 0.1;
+    /** Multiple of its expected time, projected from progress, at which an attempt is too slow. */
+    private static final int SLOW_PROGRESS_MULTIPLE = 4;
+    /** Multiple of its expected time that a slow attempt must still need to be cancelled. */
+    private static final int SLOW_REMAINDER_MULTIPLE = 2;
+    /** Sends of which the credit for cancellations is kept. */
+    private static final int MAX_CANCEL_CREDIT_SENDS = 30;
 
     final SeededRandom random;
     Settings settings;
@@ -192,14 +242,13 @@
         }
         nodes.values().forEach(node -> node.ensureClassStats(statsCount));
         quotas = QuotaBucket.forTenants(quotas, settings.tenants());
-        // forty looks within the shortest target
-        baseInterval = Math.max(settings.tick(), shortestTarget / 40);
+        baseInterval = Math.max(settings.tick(), shortestTarget / LOOKS_PER_TARGET);
     }
 
     @Override
     public List<Action> decide(double time, List<Event> events) {
         actions = new ArrayList<>();
-        stalled = timerDueAt > now && time > timerDueAt + 3 * baseInterval;
+        stalled = timerDueAt > now && time > timerDueAt + STALL_INTERVALS * baseInterval;
         now = Math.max(now, time);
         startedAt = startedAt < 0 ? now : startedAt;
         for (Event event : events) {
@@ -217,8 +266,8 @@
         }
         dispatch();
         boolean queriesHeld = Arrays.stream(queues).anyMatch(queue -> !queue.queries.isEmpty());
-        // held queries need more frequent looks than running ones
-        double delay = queriesHeld || !allLimitsShared ? supervisionInterval() : 5 * baseInterval;
+        double delay = queriesHeld || !allLimitsShared ? supervisionInterval()
+                : RUNNING_LOOK_INTERVALS * baseInterval;
         if ((openRequests > 0 || settings.discoveryOnRequest() && !watching)
                 && (timerDueAt < now + 0.01 || now + delay < timerDueAt)) {
             timerDueAt = now + delay;
@@ -332,7 +381,7 @@
     private double latestStart(Query query, double slowness) {
         double target = targetTime(query);
         return Math.max(target - 2 * expectedTime(query) * slowness,
-                query.agedFrom + 0.25 * (target - query.agedFrom));
+                query.agedFrom + FRESH_TARGET_SHARE * (target - query.agedFrom));
     }
 
     /** The time by which the query ought to be answered. */
@@ -347,7 +396,7 @@
     double expectedTime(Query query) {
         ClassStats stats = classStats[query.classIndex * 2 + query.band];
         double timePerEstimate = stats.timePerEstimate.weight > 1 ? stats.timePerEstimate.value(1)
-                : classStats[query.classIndex * 2].timePerEstimate.value(1.3);
+                : classStats[query.classIndex * 2].timePerEstimate.value(DEFAULT_TIME_PER_ESTIMATE);
         return Math.max(1, timePerEstimate * query.estimatedWork / query.spec.threads());
     }
 
@@ -394,7 +443,7 @@
     double cores(Engine engine) {
         List<Double> coresByKind = settings.engineTraits().coresByKind();
         double cores = engine.kind() < coresByKind.size() ? coresByKind.get(engine.kind()) : 0;
-        return cores > 0 ? cores : 4;
+        return cores > 0 ? cores : DEFAULT_CORES;
     }
 
     /**
@@ -514,9 +563,9 @@
         if (logStretch.weight > 3) {
             stats.bestLogStretch = stats.bestLogStretch > 9 ? level
                     : Math.min(stats.bestLogStretch,
-                            stats.bestLogStretch + 0.1 * (level - stats.bestLogStretch));
+                            stats.bestLogStretch + BEST_STRETCH_GAIN * (level - stats.bestLogStretch));
         }
-        stats.bestLogStretch += 0.0005;
+        stats.bestLogStretch += BEST_STRETCH_DRIFT;
         double growth = Math.exp(level - stats.bestLogStretch);
         boolean wanted = limit.threads + 2 * stats.spec.threads() > limit.maxThreads;
         if (growth > GROWN_STRETCH) {
@@ -708,7 +757,7 @@
         factor *= (loadHoldsTables(query, node) ? HELD_TABLES_FACTOR : 1) * tableAffinity(query, node);
         // an engine's own limit already tells how full it is
         factor /= node.limit == sharedLimit ? 1 + estimatedLoad(node) * estimatedLoad(node) : 1;
-        return query.avoidedNode == node ? factor * 0.1 : factor;
+        return query.avoidedNode == node ? factor * FAILED_ENGINE_FACTOR : factor;
     }
 
     // ---- terms of an attempt -----------------------------------------------------------------------------
@@ -720,8 +769,8 @@
         if (traits.acceptsMemoryGrants() && query.request.estimatedMemory() > 0) {
             LogLinearFit memoryFit = classStats[query.classIndex * 2].memoryFit;
             memory = memoryFit.hasEnoughSamples()
-                    ? memoryFit.predict(query.request.estimatedMemory(), 0) * 1.3
-                    : query.request.estimatedMemory() * 2.5;
+                    ? memoryFit.predict(query.request.estimatedMemory(), 0) * LEARNED_GRANT_MARGIN
+                    : query.request.estimatedMemory() * ESTIMATED_GRANT_MARGIN;
         }
         if (priority != query.priority || memory != query.memoryGrant) {
             query.priority = priority;
@@ -760,7 +809,7 @@
         }
         query.sendCount++;
         ClassStats stats = classStats[query.classIndex * 2];
-        stats.cancelCredit = Math.min(CANCEL_CREDIT_PER_SEND * 30,
+        stats.cancelCredit = Math.min(CANCEL_CREDIT_PER_SEND * MAX_CANCEL_CREDIT_SENDS,
                 stats.cancelCredit + CANCEL_CREDIT_PER_SEND);
         query.attempts.add(attempt);
         node.outstanding.add(attempt);
@@ -910,7 +959,7 @@
         if (end.outcome() == Outcome.OK) {
             recordSuccess(attempt, end, stats);
         } else if (end.outcome() == Outcome.FULL) {
-            node.limit.maxThreads = Math.max(1, node.limit.maxThreads * 0.8);
+            node.limit.maxThreads = Math.max(1, node.limit.maxThreads * FULL_LIMIT_FACTOR);
             node.failures.add(now, 0.5);
         } else if (end.outcome() == Outcome.TIMEOUT || end.outcome() == Outcome.CANCELLED) {
             // it answered nothing since: the engine is silent, not the plan bad
@@ -959,7 +1008,8 @@
         double[] failureRates = nodes.values().stream().mapToDouble(other -> other.failures.value(0))
                 .sorted().toArray();
         double usual = failureRates[failureRates.length / 2];
-        if (node.failures.weight > 1.5 && node.failures.value(0) > 0.25 + usual) {
+        if (node.failures.weight > MIN_FAILURE_WEIGHT
+                && node.failures.value(0) > EXCESS_FAILURE_RATE + usual) {
             eject(node);
         }
     }
@@ -972,7 +1022,7 @@
         if (2 * (ejected + 1) > nodes.size()) {
             return;
         }
-        node.backoff = Math.min(8000, Math.max(1000, node.backoff * 2));
+        node.backoff = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, node.backoff * 2));
         node.retryAt = now + node.backoff;
         node.ejectedAt = now;
     }
@@ -980,7 +1030,7 @@
     /** Looks at running attempts: ejects silent engines and cancels stragglers. */
     void supervise() {
         if (now >= nextPeerExpiryAt) {
-            nextPeerExpiryAt = now + 1000;
+            nextPeerExpiryAt = now + PEER_EXPIRY_INTERVAL_MS;
             peerAttempts.expire(now);
         }
         rescaleSharedLimit();
@@ -1028,9 +1078,9 @@
     private boolean isStraggler(Attempt attempt) {
         ClassStats stats = classStats[attempt.query.classIndex * 2 + attempt.query.band];
         // where engines send notes, these are more reliable than the elapsed time
-        double deviations = settings.engineTraits().noteInterval() > 0 ? 2.5 : 1.4;
-        // 1.25: from mean to standard deviation
-        double deviation = Math.exp(deviations * 1.25 * stats.logDeviation.value(0.5));
+        double deviations = settings.engineTraits().noteInterval() > 0
+                ? STRAGGLER_DEVIATIONS_WITH_NOTES : STRAGGLER_DEVIATIONS;
+        double deviation = Math.exp(deviations * MEAN_TO_STANDARD_DEVIATION * stats.logDeviation.value(0.5));
         double limit = Math.max(MIN_STRAGGLER_MULTIPLE, Math.min(MAX_STRAGGLER_MULTIPLE, deviation));
         // under the shared limit a router knows too little of one engine to excuse an attempt by its slowness
         double slowness = attempt.node.limit == sharedLimit ? 1 : Math.max(1, slowness(attempt.node));
@@ -1079,8 +1129,10 @@
         } else if (note.value() > 0 && note.kind() == NoteKind.PROGRESS) {
             attempt.node.lastHeardAt = Math.max(attempt.node.lastHeardAt, now - baseInterval);
             double projectedTime = (now - attempt.sentAt) / Math.min(1, note.value());
-            if (projectedTime > 4 * attempt.expectedTime * Math.max(1, slowness(attempt.node))
-                    && projectedTime - (now - attempt.sentAt) > 2 * attempt.expectedTime) {
+            if (projectedTime
+                    > SLOW_PROGRESS_MULTIPLE * attempt.expectedTime * Math.max(1, slowness(attempt.node))
+                    && projectedTime - (now - attempt.sentAt)
+                    > SLOW_REMAINDER_MULTIPLE * attempt.expectedTime) {
                 cancelForRetry(attempt, 1, CancelReason.SLOW_PROGRESS);
             }
         }
@@ -1241,8 +1293,8 @@
         if (!isCold(node) || rules.overloadWindow() <= 0) {
             return true;
         }
-        double allowance = COLD_ALLOWANCE_USED * rules.overloadMultiple() * rules.coldCapacityShare() * 0.85
-                * cores(node.engine) * rules.overloadWindow();
+        double allowance = COLD_ALLOWANCE_USED * rules.overloadMultiple() * rules.coldCapacityShare()
+                * LEAST_CORE_CAPACITY * cores(node.engine) * rules.overloadWindow();
         double hosts = Math.max(1, Math.min(settings.routers(), Math.floor(allowance / largestUsualWork)));
         long place = settings.routerIndex()
                 + (long) (SchedulerState.hashToUnitInterval(node.engine.id()) * settings.routers());
@@ -1287,7 +1339,7 @@
      * Whether a query can't finish by its deadline, would only earn nothing late, or may not be sent again.
      */
     private boolean isHopeless(Query query) {
-        return now + Math.max(supervisionInterval() + baseInterval, 0.7 * expectedTime(query))
+        return now + Math.max(supervisionInterval() + baseInterval, HOPELESS_TIME_SHARE * expectedTime(query))
                 > query.deadline
                 || query.spec.lateReward() <= 0 && prospect(query) == QueryQueue.LATE
                 || query.sendCount > 0 && !mayRepeat(query, null);
