--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -16,14 +16,20 @@
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 
-/** What the front end is told at its start; {@code admin} is the second address, null where there is none. */
+/**
+ * The configuration of a front end.
+ *
+ * @param admin the address of the status server; null for none
+ * @param sockets the maximum number of descriptors
+ * @param known the change log's events known when the file was written
+ */
 record Configuration(String name, InetSocketAddress listen, InetSocketAddress admin, String changeLog, long seed, int sockets,
         int memoryMb, RoutingSettings site, ChangeLogCodec.Changes known) {
 
-    private static final int SOCKETS = 256;
-    private static final int MEMORY_MB = 128;
+    private static final int DEFAULT_SOCKETS = 256;
+    private static final int DEFAULT_MEMORY_MB = 128;
 
-    /** The bounds that fit these limits and the operators' settings. */
+    /** The bounds for these limits and the operators' settings. */
     Bounds bounds(Settings s) {
         return new Bounds(Math.max(1, (int) (sockets * s.number(Keyword.CLIENTS_DESCRIPTOR_SHARE) / 100)),
                 Bounds.maxRequestsFor(memoryMb), s.number(Keyword.CLIENTS_FIRST_REQUEST_TIMEOUT),
@@ -36,31 +42,31 @@
                         s.number(Keyword.CHANGE_LOG_STALE_AFTER)));
     }
 
-    /** Reads the file that {@code GW_CONFIG} names; throws {@link IllegalArgumentException} in one plain line. */
+    /** Reads the file that {@code GW_CONFIG} names; throws {@link IllegalArgumentException} with a message of one line. */
     static Configuration read(Map<String, String> environment) {
         return read(environment, null).configuration();
     }
 
-    /** As {@link #read(Map)}, held against the document in force, null at a start. */
-    static ConfigurationCheck.Good read(Map<String, String> environment, Map<String, Object> inForce) {
+    /** As {@link #read(Map)}, but also checked against the current document; null at a start. */
+    static ConfigurationCheck.Valid read(Map<String, String> environment, Map<String, Object> current) {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException("GW_CONFIG is not set");
         }
         try {
-            ConfigurationCheck.Result r = ConfigurationCheck.check(Files.readAllBytes(Path.of(file)), environment, inForce);
-            if (r instanceof ConfigurationCheck.Good good) {
-                return good;
+            ConfigurationCheck.Result r = ConfigurationCheck.check(Files.readAllBytes(Path.of(file)), environment, current);
+            if (r instanceof ConfigurationCheck.Valid valid) {
+                return valid;
             }
-            throw new IllegalArgumentException("configuration " + file + ": " + ((ConfigurationCheck.Bad) r).line());
+            throw new IllegalArgumentException("configuration " + file + ": " + ((ConfigurationCheck.Invalid) r).line());
         } catch (NoSuchFileException | InvalidPathException e) {
             throw new IllegalArgumentException("can't read " + file + ": " + e.getMessage(), e);
         } catch (IOException e) {
-            throw new UnreadableException("can't read " + file + ": " + e.getMessage(), e);
+            throw new ConfigurationIOException("can't read " + file + ": " + e.getMessage(), e);
         }
     }
 
-    /** Of a document whose settings and known events have been read; throws {@link IllegalArgumentException}. */
+    /** The configuration of a document; throws {@link IllegalArgumentException} if it is invalid. */
     static Configuration of(Map<String, Object> all, Map<String, String> environment, RoutingSettings site,
             ChangeLogCodec.Changes known) {
         Map<String, Object> limits = all.get("limits") == null ? Map.of() : Json.object(all.get("limits"), "limits");
@@ -68,14 +74,14 @@
         String admin = environment.getOrDefault("GW_ADMIN_ADDR",
                 all.get("admin_addr") == null ? "" : Json.text(all.get("admin_addr"), "admin_addr"));
         String changeLog = Json.text(all.get("changelog"), "changelog");
-        Addresses.of(changeLog); // complains where it is none
+        Addresses.of(changeLog); // throws if it is not an address
         return new Configuration(environment.getOrDefault("GW_NAME", String.valueOf(all.get("name"))),
                 Addresses.of(listen), admin.isEmpty() ? null : Addresses.of(admin), changeLog,
                 Long.parseUnsignedLong(Json.text(all.get("seed"), "seed"), 16),
-                limit(limits, "sockets", SOCKETS), limit(limits, "memory_mb", MEMORY_MB), site, known);
+                limit(limits, "sockets", DEFAULT_SOCKETS), limit(limits, "memory_mb", DEFAULT_MEMORY_MB), site, known);
     }
 
-    private static int limit(Map<String, Object> limits, String name, int absent) {
-        return limits.get(name) == null ? absent : (int) Math.max(1, Json.number(limits.get(name), name));
+    private static int limit(Map<String, Object> limits, String name, int defaultValue) {
+        return limits.get(name) == null ? defaultValue : (int) Math.max(1, Json.number(limits.get(name), name));
     }
 }
--- a/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationCheck.java
@@ -11,33 +11,30 @@
 import quincespar.protocol.MalformedException;
 import quincespar.routing.RoutingSettings;
 
-/**
- * Looks a configuration's text over: it can be used as it stands, or here is all that is wrong with it. Pure: reading
- * the file and applying the result are others' business.
- */
+/** Validates the text of a configuration and reports all problems at once. Has no side effects: callers read the file. */
 final class ConfigurationCheck {
-    /** What a check finds. */
+    /** Result of a check. */
     sealed interface Result { }
 
-    /** It can be used; {@code document} is what a later file is held against. */
-    record Good(Configuration configuration, Map<String, Object> document) implements Result { }
+    /** A valid configuration; a later file is compared with {@code document}. */
+    record Valid(Configuration configuration, Map<String, Object> document) implements Result { }
 
-    /** It can't, for these reasons, each a plain phrase without line breaks. */
-    record Bad(List<String> faults) implements Result {
-        /** All reasons in one line. */
+    /** An invalid configuration with its problems, each a text without line breaks. */
+    record Invalid(List<String> problems) implements Result {
+        /** All problems in one line. */
         String line() {
-            return String.join("; ", faults);
+            return String.join("; ", problems);
         }
     }
 
-    /** Milliseconds: longer than this no request waits. */
-    private static final double LONGEST = 1e9;
-    private static final double MOST_ATTEMPTS = 1000;
+    /** Upper bound of the durations in a class. */
+    private static final double MAX_DURATION_MS = 1e9;
+    private static final double MAX_ATTEMPTS = 1000;
     private static final Set<String> EFFECTS = Set.of("safe", "keyed", "unsafe");
-    /** What a start can't do without; a later file must have all that the one in force has. */
-    private static final List<String> KEYS = List.of("seed", "changelog", "known", "settings");
+    /** Keys required at a start; a later file must have all keys of the current document. */
+    private static final List<String> REQUIRED_KEYS = List.of("seed", "changelog", "known", "settings");
 
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> problems = new ArrayList<>();
     private final Map<String, String> environment;
 
     private ConfigurationCheck(Map<String, String> environment) {
@@ -45,108 +42,108 @@
     }
 
     /**
-     * Checks a text. {@code environment} has what may stand in for keys; {@code inForce} is the document in force, or
-     * null at a start. A key that it has must not be lacking: a file that was cut or half written by hand would
-     * otherwise pass, with defaults that nobody chose. Keys of {@code known} come and go and are not held against it.
+     * Checks a text. Variables of {@code environment} may replace keys. {@code current} is the document in use, or null at a
+     * start. Each key of the current document is required: a truncated or incomplete file would otherwise be accepted with
+     * default values that nobody chose. Keys below {@code known} may come and go.
      */
-    static Result check(byte[] text, Map<String, String> environment, Map<String, Object> inForce) {
-        ConfigurationCheck c = new ConfigurationCheck(environment);
+    static Result check(byte[] text, Map<String, String> environment, Map<String, Object> current) {
+        ConfigurationCheck check = new ConfigurationCheck(environment);
         try {
             Map<String, Object> all = Json.object(Json.read(text), "the configuration");
-            Configuration made = c.read(all, inForce);
-            return c.faults.isEmpty() ? new Good(made, all) : new Bad(List.copyOf(c.faults));
+            Configuration configuration = check.read(all, current);
+            return check.problems.isEmpty() ? new Valid(configuration, all) : new Invalid(List.copyOf(check.problems));
         } catch (MalformedException e) {
-            c.faults.add(plain(e));
-            return new Bad(List.copyOf(c.faults));
+            check.problems.add(singleLine(e));
+            return new Invalid(List.copyOf(check.problems));
         }
     }
 
-    private Configuration read(Map<String, Object> all, Map<String, Object> inForce) {
-        if (inForce != null) {
-            sameKeys("", inForce, all);
+    private Configuration read(Map<String, Object> all, Map<String, Object> current) {
+        if (current != null) {
+            requireKeysOf("", current, all);
         }
-        KEYS.stream().filter(k -> all.get(k) == null).forEach(k -> fault(k, "is missing"));
+        REQUIRED_KEYS.stream().filter(k -> all.get(k) == null).forEach(k -> addProblem(k, "is missing"));
         if (all.get("settings") instanceof Map<?, ?> settings) {
-            classes(settings.get("requestClasses"));
+            checkClasses(settings.get("requestClasses"));
             if (settings.get("limits") instanceof Map<?, ?> limits && limits.containsKey("maxAttempts")) {
-                aboveZero("settings.limits.maxAttempts", limits.get("maxAttempts"), MOST_ATTEMPTS);
+                checkPositive("settings.limits.maxAttempts", limits.get("maxAttempts"), MAX_ATTEMPTS);
             }
         }
-        if (!faults.isEmpty()) {
-            return null; // what follows would only say the same in other words
+        if (!problems.isEmpty()) {
+            return null; // reading on would report the same problems again
         }
         try {
-            return Configuration.of(all, environment, RoutingSettings.of(Json.flatten(Json.object(all.get("settings"), "settings"))),
-                    ChangeLogCodec.read(all.get("known")));
+            RoutingSettings settings = RoutingSettings.of(Json.flatten(Json.object(all.get("settings"), "settings")));
+            return Configuration.of(all, environment, settings, ChangeLogCodec.read(all.get("known")));
         } catch (MalformedException | IllegalArgumentException e) {
-            faults.add(plain(e));
+            problems.add(singleLine(e));
             return null;
         }
     }
 
-    private void classes(Object list) {
+    private void checkClasses(Object list) {
         if (!(list instanceof List<?> all) || all.isEmpty()) {
-            fault("settings.requestClasses", "is no list of classes");
+            addProblem("settings.requestClasses", "is not a list of classes");
             return;
         }
         Set<Object> names = new HashSet<>();
         for (int i = 0; i < all.size(); i++) {
             String path = "settings.requestClasses." + i;
             if (!(all.get(i) instanceof Map<?, ?> c)) {
-                fault(path, "is no class");
+                addProblem(path, "is not a class");
                 continue;
             }
             if (!(c.get("name") instanceof String name) || name.isBlank()) {
-                fault(path + ".name", "is no name");
+                addProblem(path + ".name", "is not a name");
             } else if (!names.add(name)) {
-                fault(path + ".name", "is the name of another class too");
+                addProblem(path + ".name", "is also the name of another class");
             }
-            aboveZero(path + ".hardLimit", c.get("hardLimit"), LONGEST);
-            aboveZero(path + ".slo", c.get("slo"), LONGEST);
+            checkPositive(path + ".hardLimit", c.get("hardLimit"), MAX_DURATION_MS);
+            checkPositive(path + ".slo", c.get("slo"), MAX_DURATION_MS);
             if (c.containsKey("effect") && !EFFECTS.contains(String.valueOf(c.get("effect")))) {
-                fault(path + ".effect", "is none of safe, keyed, unsafe");
+                addProblem(path + ".effect", "is not one of safe, keyed, unsafe");
             }
         }
     }
 
-    private void aboveZero(String path, Object value, double most) {
-        // a text that reads like a number is none; infinity and what is no number compare as false
-        if (!(value instanceof Number n) || !(n.doubleValue() > 0 && n.doubleValue() <= most)) {
-            fault(path, "is no number above 0" + (value instanceof Number ? " and up to " + (long) most : ""));
-        } else if (most == MOST_ATTEMPTS && n.doubleValue() != Math.rint(n.doubleValue())) {
-            fault(path, "is no whole number");
+    private void checkPositive(String path, Object value, double max) {
+        // strings are not accepted as numbers; the comparison is false for infinity and NaN
+        if (!(value instanceof Number n) || !(n.doubleValue() > 0 && n.doubleValue() <= max)) {
+            addProblem(path, "is not a number above 0" + (value instanceof Number ? " and at most " + (long) max : ""));
+        } else if (max == MAX_ATTEMPTS && n.doubleValue() != Math.rint(n.doubleValue())) {
+            addProblem(path, "is not an integer");
         }
     }
 
-    /** Each key that stands in the file in force, at its place, stands in this one too and holds the like. */
-    private void sameKeys(String path, Map<?, ?> before, Map<?, ?> now) {
-        before.forEach((key, old) -> {
+    /** Requires each key of the current document at the same place, with an object or list where the current one has it. */
+    private void requireKeysOf(String path, Map<?, ?> current, Map<?, ?> next) {
+        current.forEach((key, old) -> {
             String at = path.isEmpty() ? String.valueOf(key) : path + "." + key;
-            Object value = now.get(key);
+            Object value = next.get(key);
             if (value == null && old != null) {
-                fault(at, "is missing");
+                addProblem(at, "is missing");
             } else if (at.equals("known")) {
                 return;
             } else if (old instanceof Map<?, ?> m) {
                 if (value instanceof Map<?, ?> n) {
-                    sameKeys(at, m, n);
+                    requireKeysOf(at, m, n);
                 } else {
-                    fault(at, "is no object");
+                    addProblem(at, "is not an object");
                 }
             } else if (old instanceof List<?> l) {
-                sameList(at, l, value);
+                requireListLike(at, l, value);
             }
         });
     }
 
-    /** A list may grow and shrink; what all of its objects had in the file in force, each has now. */
-    private void sameList(String at, List<?> before, Object now) {
-        if (!(now instanceof List<?> list)) {
-            fault(at, "is no list");
+    /** A list may grow and shrink; keys that all of its objects have in the current document are required in each object. */
+    private void requireListLike(String at, List<?> current, Object next) {
+        if (!(next instanceof List<?> list)) {
+            addProblem(at, "is not a list");
             return;
         }
         Set<Object> common = null;
-        for (Object o : before) {
+        for (Object o : current) {
             if (o instanceof Map<?, ?> m) {
                 common = common == null ? new LinkedHashSet<>(m.keySet()) : common;
                 common.retainAll(m.keySet());
@@ -154,25 +151,25 @@
         }
         for (int i = 0; common != null && i < list.size(); i++) {
             if (!(list.get(i) instanceof Map<?, ?> m)) {
-                fault(at + "." + i, "is no object");
+                addProblem(at + "." + i, "is not an object");
                 continue;
             }
             for (Object key : common) {
                 if (m.get(key) == null) {
-                    fault(at + "." + i + "." + key, "is missing");
+                    addProblem(at + "." + i + "." + key, "is missing");
                 }
             }
         }
     }
 
-    private void fault(String path, String what) {
-        String said = path + " " + what;
-        if (!faults.contains(said)) {
-            faults.add(said);
+    private void addProblem(String path, String problem) {
+        String text = path + " " + problem;
+        if (!problems.contains(text)) {
+            problems.add(text);
         }
     }
 
-    private static String plain(RuntimeException e) {
+    private static String singleLine(RuntimeException e) {
         return String.valueOf(e.getMessage()).replaceAll("\\s+", " ");
     }
 }
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -42,145 +42,149 @@
 import quincespar.transport.Listener;
 import quincespar.transport.Retry;
 
-/** The running front end: wires the layers, and runs the one thread that feeds the reducer. */
+/** A running front end: connects the reducer with its I/O, and runs the thread that feeds inputs to the reducer. */
 final class FrontEnd {
     private final Logger log = LoggerFactory.getLogger(FrontEnd.class);
-    /** After word to stop, connections come for up to 0.4 s and requests on open ones for 0.2 s more. */
+    /** After SIGTERM clients may connect for up to 0.4 s, and send requests on open connections for 0.2 s more. */
     private static final double LEAVING_MS = 800;
+    /** Time limit for writing the last answers. */
     private static final double FLUSH_MS = 300;
-    /** So long after the word to stop the system's own end follows, deadlines or not: alone, and beside a new process. */
-    private static final double LONGEST_LEAVE_MS = 3000, LONGEST_YIELD_MS = 5000, END_MS = 700;
-    /** How often clients' connections are looked at for a moment in which they can end. */
-    private static final double MOVE_LOOK_MS = 25;
     /**
-     * What is open is answered so long before the system's own end: on a busy machine the word to stop may come 0.4 s
-     * late, and the process may be stopped for as long once more before its last clients have moved.
+     * SIGKILL may follow SIGTERM after the longest deadline, but at most these times (alone, and beside a new process), and then
+     * {@code KILL_DELAY_MS}.
+     */
+    private static final double MAX_LEAVE_MS = 3000, MAX_YIELD_MS = 5000, KILL_DELAY_MS = 700;
+    /** Interval at which idle client connections are closed during a shutdown. */
+    private static final double CLOSE_IDLE_INTERVAL_MS = 25;
+    /**
+     * Open requests are answered this long before SIGKILL: on a busy machine SIGTERM may be handled 0.4 s late, and the process
+     * may be paused for as long again before its last clients have moved.
      */
     private static final double YIELD_MARGIN_MS = 800;
-    /** So long after that time what still comes is turned away at once, and its client moves in the moment that follows. */
-    private static final double LAST_LOOKS_MS = 400;
-    /** What came last may lie unread for so long, on a part of a core: stopped before, it would be lost. */
+    /** For this long after that, new requests are refused at once, which lets their connections be closed as idle. */
+    private static final double REFUSE_PERIOD_MS = 400;
+    /** On a fraction of a core the last requests may stay unread for this long: stopped earlier, the process would lose them. */
     private static final double SETTLE_MS = 300;
     /** How long a start waits for the change log's first answer. */
-    private static final double FIRST_LIST_MS = 1500;
-    private static final long LIST_LOOK_MS = 20;
-    /** Descriptors: a third is the clients' by the protocol; the rest covers theirs that linger, and ours. */
+    private static final double FIRST_LIST_TIMEOUT_MS = 1500;
+    private static final long LIST_CHECK_INTERVAL_MS = 20;
+    /** Share of the descriptors for clients: the protocol grants them a third; the rest covers closing connections and our own. */
     private static final double CLIENT_SHARE = 0.45;
     /**
-     * Beside an older process, which holds its part of one front end's descriptors until it ends: what clients hold at
-     * the most by the protocol, and a little less from which on they make room for each other.
+     * The same during an upgrade, while an older process holds part of the front end's descriptors until it ends: what clients
+     * may hold by the protocol, and a lower share from which idle connections are closed for new ones.
      */
-    private static final double BESIDE_SHARE = 1 / 3.0, BESIDE_REVIEW = 0.3;
-    private static final double BESIDE_LOOK_MS = 500;
-    /** At the end the fleet's word is waited for so long at the most, when all clients have had theirs. */
-    private static final long FAREWELL_MS = 100;
-    private static final long ASK_FLEET_MS = 100;
+    private static final double UPGRADE_CLIENT_SHARE = 1 / 3.0, UPGRADE_CALLER_SHARE = 0.3;
+    private static final double OTHERS_CHECK_INTERVAL_MS = 500;
+    /** Time limit for closing the fleet service and the recovery journal, after all clients have their answers. */
+    private static final long CLOSE_TIMEOUT_MS = 100;
+    private static final long FLEET_READ_DELAY_MS = 100;
 
     private final AtomicLong stepUs = new AtomicLong(), longestStepUs = new AtomicLong();
     private final Lifecycle lifecycle = new Lifecycle();
     private final Counters counters = new Counters();
     private final Clock clock = new Clock();
-    private final Standstill standstill = new Standstill();
+    private final PauseDetector pauseDetector = new PauseDetector();
     private final Intake inputs = new Intake();
     private final Timers timers = new Timers(inputs::add);
-    private final ConfigurationReader configurations;
+    private final ConfigurationReloader configurationReloader;
     private final Logs logs;
     private final Configuration configuration;
-    /** The document that was taken last, on the reducer's thread: a new one must not lack what it has. */
-    private Map<String, Object> inForce;
+    /** The last accepted document, used on the reducer's thread only; a new one must have all of its keys. */
+    private Map<String, Object> currentDocument;
     private final Bounds bounds;
     private final Reducer reducer;
-    /** Null where nothing is captured. */
-    private final Capturing capturing;
+    /** Null without a capture. */
+    private final Capturing capture;
     private final EventLoop clientLoop = new EventLoop("clients");
     private final EventLoop engineLoop = new EventLoop("engines");
-    private final Siblings siblings;
+    private final ProcessLocks processLocks;
     private final Listener listener;
     private final StatusAddress status;
-    /** Null where there is no fleet. */
-    private final FleetLink fellows;
-    /** Null where no return from a loss of power is looked for. */
-    private final KeptFolder kept;
-    private volatile RecoveryReport returned;
-    /** The last that the reducer's thread has published, for whoever reads it. */
-    private volatile MetricsSnapshot figures = MetricsSnapshot.NONE;
-    private final ThriftFront front;
+    /** Null without a fleet. */
+    private final FleetLink fleetService;
+    /** Null without recovery from a power loss. */
+    private final KeptFolder recoveryJournal;
+    private volatile RecoveryReport recoveryReport;
+    /** Published by the reducer's thread. */
+    private volatile MetricsSnapshot metrics = MetricsSnapshot.NONE;
+    private final ThriftFront thriftServer;
     private final EngineLinks engines;
-    private final ChangeLog changes;
+    private final ChangeLog changeLogClient;
 
-    /** One that shares nothing with others. */
+    /** Creates a front end without a fleet and without recovery. */
     FrontEnd(Map<String, String> environment, Settings settings, Logs logs) throws IOException {
         this(environment, settings, null, null, logs);
     }
 
     /**
-     * Reads the configuration and binds the address, so that what is wrong is told before anything runs; {@code fleet} is
-     * null where there is none, and {@code recovery} where no return from a loss of power is looked for.
+     * Reads the configuration and starts the status server, so that errors are reported before anything runs. {@code fleet} is null
+     * without a fleet, and {@code recovery} without recovery from a power loss.
      */
     FrontEnd(Map<String, String> environment, Settings settings, FleetSettings fleet, RecoverySettings recovery, Logs logs)
             throws IOException {
-        configurations = new ConfigurationReader(environment, clock, timers, inputs::add);
+        configurationReloader = new ConfigurationReloader(environment, clock, timers, inputs::add);
         this.logs = logs;
-        ConfigurationCheck.Good read = readAtStart(environment);
-        inForce = read.document();
-        Configuration c = read.configuration();
+        ConfigurationCheck.Valid valid = readAtStart(environment);
+        currentDocument = valid.document();
+        Configuration c = valid.configuration();
         configuration = c;
-        siblings = Siblings.join(environment, c.listen());
+        processLocks = ProcessLocks.acquire(environment, c.listen());
         bounds = c.bounds(settings);
         String folder = settings.text(Keyword.CAPTURE_FOLDER);
-        capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
+        capture = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
-        reducer = new Reducer(c.site(), bounds, capturing == null ? new GcMuScheduler(c.site().decision(), c.seed())
-                : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
+        reducer = new Reducer(c.site(), bounds, capture == null ? new GcMuScheduler(c.site().decision(), c.seed())
+                : capture.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
                 Reducer.classTraits(c.site())), recovery != null && recovery.notesLoads());
-        kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
-        if (c.admin() != null) { // first, so that its "not ready" is heard while the rest starts
+        recoveryJournal = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
+        if (c.admin() != null) { // first, so that it answers "not ready" while the rest starts
             status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
-                    () -> PrometheusText.text(figures) + fleetFigures() + recoveryFigures());
+                    () -> PrometheusText.text(metrics) + fleetMetrics() + recoveryMetrics());
             status.start();
         } else {
             status = null;
         }
         listener = new Listener(clientLoop, c.listen(), true);
-        front = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
-                clock, counters, inputs::addFromPeer, this::report);
-        fellows = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
+        thriftServer = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
+                clock, counters, inputs::addFromPeer, this::allCounters);
+        fleetService = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
                 view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().shareGrowthDelayMs())));
-        if (status != null && (fellows != null || kept != null)) {
-            FleetPages pages = fellows == null ? null : new FleetPages(fellows);
-            RecoveryPages more = kept == null ? null : recoveryPages();
+        if (status != null && (fleetService != null || recoveryJournal != null)) {
+            FleetPages pages = fleetService == null ? null : new FleetPages(fleetService);
+            RecoveryPages more = recoveryJournal == null ? null : recoveryPages();
             status.also((method, path) -> {
                 FleetPages.Page page = more == null ? null : more.page(method, path);
                 return page != null ? CompletableFuture.completedFuture(page) : pages == null ? null : pages.page(method, path);
             });
         }
         engines = new EngineLinks(engineLoop, c.site(), inputs::addFromPeer);
-        changes = new ChangeLog(engineLoop, inputs::addFromPeer);
+        changeLogClient = new ChangeLog(engineLoop, inputs::addFromPeer);
     }
 
-    private static ConfigurationCheck.Good readAtStart(Map<String, String> environment) throws IOException {
+    private static ConfigurationCheck.Valid readAtStart(Map<String, String> environment) throws IOException {
         return Retry.atStartup(() -> {
             try {
                 return Configuration.read(environment, null);
-            } catch (UnreadableException e) {
+            } catch (ConfigurationIOException e) {
                 throw new IOException(e.getMessage(), e);
             }
         });
     }
 
-    /** Serves until told to stop and all that was taken is answered; throws where the address can't be bound. */
+    /** Serves until told to stop and all accepted requests are answered; throws if the address can't be bound. */
     void run() throws IOException, InterruptedException {
         try {
-            if (capturing != null) {
-                capturing.start();
+            if (capture != null) {
+                capture.start();
             }
-            if (fellows != null) {
-                fellows.start();
+            if (fleetService != null) {
+                fleetService.start();
             }
-            if (kept != null) {
-                kept.start();
+            if (recoveryJournal != null) {
+                recoveryJournal.start();
             }
             start();
             while (lifecycle.phase() != Phase.STOPPED) {
@@ -190,179 +194,181 @@
                 }
             }
         } finally {
-            if (capturing != null) {
-                capturing.stop();
+            if (capture != null) {
+                capture.stop();
             }
-            if (fellows != null) {
-                fellows.close(FAREWELL_MS);
+            if (fleetService != null) {
+                fleetService.close(CLOSE_TIMEOUT_MS);
             }
-            if (kept != null) {
-                kept.close(FAREWELL_MS);
+            if (recoveryJournal != null) {
+                recoveryJournal.close(CLOSE_TIMEOUT_MS);
             }
-            lifecycle.enter(Phase.STOPPED); // whoever waits for the end must not wait for good
+            lifecycle.enter(Phase.STOPPED); // after an exception too, or threads waiting for the end would wait forever
         }
     }
 
-    /** Waits until it serves, or has ended without. */
+    /** Waits until it serves, or has stopped without serving. */
     void awaitServing() throws InterruptedException {
         lifecycle.await(Phase.SERVING);
     }
 
-    /** The port of the clients' address, once it serves. */
+    /** The port of the clients' address; known once it serves. */
     int port() throws IOException {
         return listener.port();
     }
 
     private void start() throws IOException, InterruptedException {
-        if (siblings.beside()) {
-            inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * BESIDE_REVIEW))));
-            front.places((int) (configuration.sockets() * BESIDE_SHARE));
-            untilAlone();
+        if (processLocks.othersAlive()) {
+            inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * UPGRADE_CALLER_SHARE))));
+            thriftServer.places((int) (configuration.sockets() * UPGRADE_CLIENT_SHARE));
+            raiseLimitsOnceAlone();
         }
-        new Warmup(configuration, bounds, front).run();
+        new Warmup(configuration, bounds, thriftServer).run();
         engineLoop.start();
-        perform(reducer.start(clock.now(), configuration.changeLog(), configuration.known().events(), siblings.beside()));
+        perform(reducer.start(clock.now(), configuration.changeLog(), configuration.known().events(), processLocks.othersAlive()));
         publish();
-        awaitList(clock.now() + FIRST_LIST_MS);
+        awaitEngineList(clock.now() + FIRST_LIST_TIMEOUT_MS);
         if (lifecycle.phase() != Phase.STARTING) {
             return; // told to stop meanwhile
         }
         try {
-            listener.bind(); // last: from here on clients connect, and wait
+            listener.bind(); // last: from here on clients connect and wait for answers
         } catch (IOException | RuntimeException e) {
             throw new IOException("listen " + configuration.listen() + ": " + e.getMessage(), e);
         }
-        front.start();
+        thriftServer.start();
         clientLoop.start();
-        lifecycle.serve(siblings::serves, siblings::leaves);
-        stands(Standing.SERVING);
+        lifecycle.serve(processLocks::markServing, processLocks::clearServing);
+        setStanding(Standing.SERVING);
         log.info("{}: serving on {}", configuration.name(), configuration.listen());
     }
 
-    /** The list of the start is as old as the start: servers may drain since. It is served by only where nobody answers. */
-    private void awaitList(double until) throws InterruptedException {
-        while (!reducer.listConfirmed() && clock.now() < until && lifecycle.phase() == Phase.STARTING) {
-            step(inputs.take(LIST_LOOK_MS));
+    /** Waits for the change log: engines of the configured list may be draining. Without an answer the configured list is used. */
+    private void awaitEngineList(double deadline) throws InterruptedException {
+        while (!reducer.listConfirmed() && clock.now() < deadline && lifecycle.phase() == Phase.STARTING) {
+            step(inputs.take(LIST_CHECK_INTERVAL_MS));
         }
         if (!reducer.listConfirmed() && lifecycle.phase() == Phase.STARTING) {
-            log.warn("{}: the change log has not answered yet; serving by the list of the start", configuration.name());
+            log.warn("{}: the change log has not answered yet; serving with the engine list of the configuration", configuration.name());
         }
     }
 
-    private void stands(Standing s) {
-        if (fellows != null) {
-            fellows.stands(s);
+    private void setStanding(Standing standing) {
+        if (fleetService != null) {
+            fleetService.stands(standing);
         }
     }
 
     private RecoveryPages recoveryPages() {
-        return new RecoveryPages(() -> returned, kept::counts, inputs::add);
+        return new RecoveryPages(() -> recoveryReport, recoveryJournal::counts, inputs::add);
     }
 
-    private String recoveryFigures() {
-        return kept == null ? "" : recoveryPages().figures();
+    private String recoveryMetrics() {
+        return recoveryJournal == null ? "" : recoveryPages().figures();
     }
 
-    private String fleetFigures() {
-        return fellows == null ? "" : FleetPages.figures(fellows);
+    private String fleetMetrics() {
+        return fleetService == null ? "" : FleetPages.figures(fleetService);
     }
 
-    private void untilAlone() {
-        timers.after(BESIDE_LOOK_MS, () -> {
-            if (siblings.beside()) {
-                untilAlone();
+    /** Sets the full limits once the older process has ended. */
+    private void raiseLimitsOnceAlone() {
+        timers.after(OTHERS_CHECK_INTERVAL_MS, () -> {
+            if (processLocks.othersAlive()) {
+                raiseLimitsOnceAlone();
             } else if (lifecycle.phase().compareTo(Phase.SERVING) <= 0) {
                 inputs.add(new Input.CallerLimitChanged(bounds.maxCallers()));
-                front.places((int) (configuration.sockets() * CLIENT_SHARE));
+                thriftServer.places((int) (configuration.sockets() * CLIENT_SHARE));
             }
         });
     }
 
+    /** Publishes the reducer's state for other threads. */
     private void publish() {
-        lifecycle.listed(reducer.canServe());
+        lifecycle.setEngineAvailable(reducer.canServe());
         if (status != null) {
-            figures = reducer.metrics();
+            metrics = reducer.metrics();
         }
-        if (kept != null) {
-            returned = reducer.recoveryReport();
+        if (recoveryJournal != null) {
+            recoveryReport = reducer.recoveryReport();
         }
     }
 
-    /** Asks for an orderly end and waits for it; called from another thread. */
-    void leave() throws InterruptedException {
-        if (!lifecycle.leave(siblings.othersServe())) {
+    /** Starts a graceful shutdown and waits for its end; called from another thread. */
+    void shutDown() throws InterruptedException {
+        if (!lifecycle.stop(processLocks.othersServing())) {
             lifecycle.await(Phase.STOPPED);
             return;
         }
-        siblings.leaves();
-        stands(Standing.LEAVING);
+        processLocks.clearServing();
+        setStanding(Standing.LEAVING);
         if (lifecycle.phase() == Phase.YIELDING) {
             log.info("{}: another process serves at this address, clients are moved to it", configuration.name());
-            double endsAt = killedAt(LONGEST_YIELD_MS) - YIELD_MARGIN_MS;
+            double endsAt = killTime(MAX_YIELD_MS) - YIELD_MARGIN_MS;
             inputs.add(new Input.ShutdownScheduled(endsAt));
-            listener.close(() -> moveSome(endsAt + LAST_LOOKS_MS));
+            listener.close(() -> closeIdleConnections(endsAt + REFUSE_PERIOD_MS));
         } else if (lifecycle.phase() == Phase.LEAVING) {
-            double until = killedAt(LONGEST_LEAVE_MS);
-            front.leave();
+            double until = killTime(MAX_LEAVE_MS);
+            thriftServer.leave();
             timers.after(LEAVING_MS, () -> {
                 listener.close(() -> {
                     lifecycle.enter(Phase.SETTLING);
                     timers.after(SETTLE_MS, () -> {
                         inputs.add(new Input.RefuseNewRequests());
-                        clientLoop.executeAfterReads(() -> moveSome(until));
+                        clientLoop.executeAfterReads(() -> closeIdleConnections(until));
                     });
                 });
             });
         }
         lifecycle.await(Phase.STOPPED);
-        log.info("{}: stopped: {}", configuration.name(), report());
+        log.info("{}: stopped: {}", configuration.name(), allCounters());
     }
 
-    /** The system's own end may follow from that time on. */
-    private double killedAt(double longestMs) {
-        double longest = configuration.site().decision().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
-        return clock.now() - standstill.lateness(clock.now()) + Math.min(longest, longestMs) + END_MS;
+    /** The earliest time of SIGKILL. */
+    private double killTime(double maxDeadlineMs) {
+        double longestDeadline = configuration.site().decision().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
+        return clock.now() - pauseDetector.maxDelayMs(clock.now()) + Math.min(longestDeadline, maxDeadlineMs) + KILL_DELAY_MS;
     }
 
     /**
-     * Ends each client's connection at a moment when nothing of its client's is open, half there or unread, so that the
-     * client moves with its next request: the one way in which they end at a stop, beside another process or alone. What
-     * has had no such moment by the end is left to {@link #stop}.
+     * Closes, now and repeatedly until {@code until}, each client connection without open, partial or unread requests, so that the
+     * client reconnects for its next request without losing one. Connections that are never idle are left to {@link #stop}.
      */
-    private void moveSome(double until) {
-        front.move();
-        if (front.connections() == 0) {
-            finishing();
+    private void closeIdleConnections(double until) {
+        thriftServer.move();
+        if (thriftServer.connections() == 0) {
+            enterFinishing();
         } else if (clock.now() >= until) {
-            clientLoop.executeAfterReads(this::finishing); // after a stop of the process requests may lie unread
+            clientLoop.executeAfterReads(this::enterFinishing); // after a pause of the process requests may be unread
         } else {
-            timers.after(MOVE_LOOK_MS, () -> moveSome(until));
+            timers.after(CLOSE_IDLE_INTERVAL_MS, () -> closeIdleConnections(until));
         }
     }
 
-    private void finishing() {
+    private void enterFinishing() {
         lifecycle.enter(Phase.FINISHING);
-        inputs.add(new Input.CallerDisconnected(0)); // wakes the loop, which may have nothing open
+        inputs.add(new Input.CallerDisconnected(0)); // unknown caller, ignored: wakes the reducer's thread
     }
 
-    /** Writes the counters to the log every so often, from now on. */
-    void reportEvery(long everyMs) {
-        timers.after(everyMs, () -> {
-            log.info("{}: counters: {}", configuration.name(), report());
+    /** Logs the counters at this interval from now on. */
+    void logCountersEvery(long intervalMs) {
+        timers.after(intervalMs, () -> {
+            log.info("{}: counters: {}", configuration.name(), allCounters());
             log.info("{}: engines: {}", configuration.name(), reducer.engineCounters());
-            reportEvery(everyMs);
+            logCountersEvery(intervalMs);
         });
     }
 
-    /** The configuration has been replaced; called from another thread, at any time from the start on. */
-    void hangup() {
+    /** Requests a reload of the configuration file; called from any thread, at any time. */
+    void requestReload() {
         inputs.add(new Input.ReloadRequested());
     }
 
+    /** Writes the last answers and closes the remaining connections. */
     private void stop() throws InterruptedException {
-        front.finish();
-        double until = clock.now() + FLUSH_MS;
-        while (front.connections() > 0 && clock.now() < until) {
+        thriftServer.finish();
+        double deadline = clock.now() + FLUSH_MS;
+        while (thriftServer.connections() > 0 && clock.now() < deadline) {
             inputs.take(10);
         }
         lifecycle.enter(Phase.STOPPED);
@@ -372,14 +378,14 @@
         try {
             batch.forEach(counters::taken);
             double from = clock.now();
-            standstill.ran(from);
+            pauseDetector.stepped(from);
             perform(reducer.step(from, batch));
             publish();
             long us = Math.round(1000 * (clock.now() - from));
             stepUs.addAndGet(us);
             longestStepUs.accumulateAndGet(us, Math::max);
-        } catch (RuntimeException | OutOfMemoryError e) { // nothing that comes from a peer may end the program
-            uncaught("in the reducer", e);
+        } catch (RuntimeException | OutOfMemoryError e) { // no input from a peer may end the program
+            reportError("in the reducer", e);
         }
     }
 
@@ -388,14 +394,14 @@
             counters.done(e);
             try {
                 perform(e);
-            } catch (RuntimeException | OutOfMemoryError x) { // one that fails must not keep back the others
-                uncaught("performing " + e.getClass().getSimpleName(), x);
+            } catch (RuntimeException | OutOfMemoryError x) { // the other effects must still be performed
+                reportError("performing " + e.getClass().getSimpleName(), x);
             }
         }
     }
 
-    private void uncaught(String where, Throwable e) {
-        log.error("{}: {}", configuration.name(), where, e);
+    private void reportError(String activity, Throwable e) {
+        log.error("{}: {}", configuration.name(), activity, e);
         counters.count(Counters.Count.ERRORS_UNCAUGHT);
     }
 
@@ -405,7 +411,7 @@
         } else if (effect instanceof Effect.StopTimer e) {
             timers.stop(e.key());
         } else if (effect instanceof Effect.Answer e) {
-            front.reply(e.caller(), e.reply());
+            thriftServer.reply(e.caller(), e.reply());
         } else if (effect instanceof Effect.Send e) {
             engines.send(e);
         } else if (effect instanceof Effect.Cancel e) {
@@ -419,28 +425,28 @@
         } else if (effect instanceof Effect.CloseLink e) {
             engines.close(e);
         } else if (effect instanceof Effect.AnswerHealth e) {
-            front.health(e.caller(), lifecycle.ready());
+            thriftServer.health(e.caller(), lifecycle.ready());
         } else if (effect instanceof Effect.Probe e) {
             engines.probe(e);
         } else if (effect instanceof Effect.PollChangeLog e) {
-            changes.poll(e);
+            changeLogClient.poll(e);
         } else if (effect instanceof Effect.CloseCaller e) {
-            front.close(e);
+            thriftServer.close(e);
         } else if (effect instanceof Effect.UnexpectedError e) {
-            uncaught(e.activity(), e.error());
+            reportError(e.activity(), e.error());
         } else if (effect instanceof Effect.ReloadConfiguration e) {
-            configurations.read(e.reloadId(), inForce);
+            configurationReloader.reload(e.reloadId(), currentDocument);
         } else if (effect instanceof Effect.ConfigurationAccepted e) {
-            inForce = e.document();
+            currentDocument = e.document();
         } else if (effect instanceof Effect.ApplySettings e) {
-            front.adopt(e.settings());
+            thriftServer.adopt(e.settings());
             engines.adopt(e.settings());
         } else if (effect instanceof Effect.PersistEntry e) {
-            kept.add(e.entry(), e.request());
+            recoveryJournal.add(e.entry(), e.request());
         } else if (effect instanceof Effect.ReadFleetState) {
-            askFleet();
+            readFleetState();
         } else if (effect instanceof Effect.CancelPoll) {
-            changes.drop();
+            changeLogClient.drop();
         } else if (effect instanceof Effect.Log e) {
             log.info("{}: {}", configuration.name(), e.line());
         } else if (effect instanceof Effect.Trace e && log.isDebugEnabled()) {
@@ -448,19 +454,19 @@
         }
     }
 
-    /** What is agreed now, or nothing where nobody says so; not at once, as the next question may follow on the answer. */
-    private void askFleet() {
-        timers.after(ASK_FLEET_MS, () -> fellows.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
+    /** Reads the fleet's replicated state, null on failure. Delayed, as the reducer may answer the result with another read. */
+    private void readFleetState() {
+        timers.after(FLEET_READ_DELAY_MS, () -> fleetService.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
     }
 
-    private Map<String, String> report() {
+    private Map<String, String> allCounters() {
         Map<String, String> all = new LinkedHashMap<>(counters.all());
         all.put("phase", lifecycle.phase().name().toLowerCase(java.util.Locale.ROOT));
         reducer.retainedCounts().forEach((name, n) -> all.put(name, n.toString()));
         all.put("changes.age_ms", Long.toString(Math.round(reducer.listAgeMs(clock.now()))));
         reducer.attemptCounters().forEach((name, n) -> all.put(name, n.toString()));
-        if (capturing != null) {
-            capturing.counts().forEach((name, n) -> all.put(name, n.toString()));
+        if (capture != null) {
+            capture.counts().forEach((name, n) -> all.put(name, n.toString()));
         }
         all.put("steps.us", stepUs.toString());
         all.put("steps.longest_us", longestStepUs.toString());
@@ -469,7 +475,7 @@
         all.put("held.timers", Integer.toString(timers.size()));
         all.put("held.inputs", Integer.toString(inputs.size()));
         all.put("requests.open", Integer.toString(reducer.openRequests()));
-        all.put("clients.connected", Integer.toString(front.connections()));
+        all.put("clients.connected", Integer.toString(thriftServer.connections()));
         all.put("engines.connected", Integer.toString(engines.size()));
         return all;
     }
--- a/frontend/src/main/java/quincespar/program/Lifecycle.java
+++ b/frontend/src/main/java/quincespar/program/Lifecycle.java
@@ -1,43 +1,43 @@
 package quincespar.program;
 
-/** Where the program stands between its start and its exit. */
+/** The phase of the process between its start and its exit. Thread-safe. */
 final class Lifecycle {
-    /** The phases, in order; none is entered twice. */
+    /** The phases in order; none is entered twice. */
     enum Phase {
         /** Reading the configuration and binding the address. */
         STARTING,
-        /** Taking requests and answering them. */
+        /** Accepting and answering requests. */
         SERVING,
-        /** Told to stop: clients may not know yet, so all that comes is still taken. */
+        /** Told to stop: clients may not know yet, so new connections and requests are still accepted. */
         LEAVING,
-        /** Accepting no more connections; what came last may still lie unread. */
+        /** Accepting no more connections; the last requests may not have been read yet. */
         SETTLING,
-        /** Told to stop while another process serves at this address: clients are moved to it one by one. */
+        /** Told to stop while another process serves at this address: connections are closed so that clients move to it. */
         YIELDING,
-        /** All that came was read; what was taken is answered. */
+        /** All received requests have been read; open requests are being answered. */
         FINISHING,
-        /** All is answered: the last bytes are written and the program ends. */
+        /** All requests are answered and written; the program ends. */
         STOPPED
     }
 
     private Phase phase = Phase.STARTING;
-    private boolean listed;
+    private boolean engineAvailable;
 
     synchronized Phase phase() {
         return phase;
     }
 
-    /** Whether an engine is listed that takes work. */
-    synchronized void listed(boolean some) {
-        listed = some;
+    /** Sets whether an engine is listed that accepts requests. */
+    synchronized void setEngineAvailable(boolean available) {
+        engineAvailable = available;
     }
 
-    /** Whether this process is ready to serve clients: the one source of that, whoever asks. */
+    /** Whether this process is ready to serve clients; both addresses answer readiness checks by this. */
     synchronized boolean ready() {
-        return phase == Phase.SERVING && listed;
+        return phase == Phase.SERVING && engineAvailable;
     }
 
-    /** Goes on to a later phase; false where it is that far already. */
+    /** Enters a later phase; false if this phase or a later one has been entered already. */
     synchronized boolean enter(Phase next) {
         if (next.compareTo(phase) <= 0) {
             return false;
@@ -48,28 +48,29 @@
     }
 
     /**
-     * Serves from now on; false where it was told to stop meanwhile. Other processes are told first and the yes is said
-     * then: whoever hears the yes may send the old process its word to stop at once, and that one must find that this one
-     * serves, or it would not move its clients. No lock is held while they are told.
+     * Enters {@link Phase#SERVING}; false if the process was told to stop meanwhile. {@code markServing} runs before this process
+     * reports ready: an operator may stop the old process as soon as this one is ready, and the old one moves its clients only if
+     * it sees that another process serves. {@code clearServing} reverts it. No lock is held while these run.
      */
-    boolean serve(Runnable tellOthers, Runnable takeBack) {
-        tellOthers.run();
+    boolean serve(Runnable markServing, Runnable clearServing) {
+        markServing.run();
         if (enter(Phase.SERVING)) {
             return true;
         }
-        takeBack.run();
+        clearServing.run();
         return false;
     }
 
     /**
-     * Word to stop: before it serves, nothing has been taken and it ends at once; {@code beside} another process that
-     * serves here it yields to that, else it leaves. True for the first such word.
+     * Starts the shutdown. Before the process serves nothing has been accepted, so it stops at once; if another process serves at
+     * this address, clients are moved to it. True for the first call only.
      */
-    synchronized boolean leave(boolean beside) {
+    synchronized boolean stop(boolean othersServing) {
         return phase.compareTo(Phase.SERVING) <= 0
-                && enter(phase == Phase.STARTING ? Phase.STOPPED : beside ? Phase.YIELDING : Phase.LEAVING);
+                && enter(phase == Phase.STARTING ? Phase.STOPPED : othersServing ? Phase.YIELDING : Phase.LEAVING);
     }
 
+    /** Waits until this phase or a later one has been entered. */
     synchronized void await(Phase wanted) throws InterruptedException {
         while (phase.compareTo(wanted) < 0) {
             wait();
--- a/frontend/src/main/java/quincespar/program/Logs.java
+++ b/frontend/src/main/java/quincespar/program/Logs.java
@@ -16,38 +16,38 @@
 import quincespar.settings.Settings;
 
 /**
- * The log: lines as text or JSON on standard error, written by a thread of their own behind a bounded queue. No log call
- * waits: guards against a reader of the log that stops, which would hold up the reducer. What finds the queue full is
- * dropped and counted.
+ * Configures logging: lines as text or JSON on standard error, written by a separate thread from a bounded queue. Log calls never
+ * block, so that the reducer goes on when the reader of standard error does not. Lines are dropped and counted while the queue is
+ * full.
  */
 public final class Logs extends ContextAwareBase implements Configurator {
     private static final String TEXT = "%d{HH:mm:ss.SSS} %-5level %msg%replace( %kvp){'^ $', ''}%n%ex";
-    /** At the end, what is queued has so long to be written. */
+    /** Time limit for writing the queued lines at the end. */
     private static final int FLUSH_MS = 500;
 
     private final AtomicLong dropped = new AtomicLong();
     private AsyncAppender queue;
 
-    /** The loggers of the agreement's library, where one is opened. */
-    private static final String AGREEMENT = "org.apache.ratis";
+    /** Parent of the loggers of the Raft library, which the agreement module uses. */
+    private static final String RAFT_LOGGER = "org.apache.ratis";
 
-    /** The library makes one at the first log call, before any settings are read. */
+    /** Called by the logging library at the first log call, before any settings are read. */
     public Logs() { }
 
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        to(context, Settings.defaults());
+        install(context, Settings.defaults());
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** Has all loggers write as the settings say. */
+    /** Configures all loggers by the settings. */
     static Logs start(Settings settings) {
         Logs logs = new Logs();
-        logs.to((LoggerContext) LoggerFactory.getILoggerFactory(), settings);
+        logs.install((LoggerContext) LoggerFactory.getILoggerFactory(), settings);
         return logs;
     }
 
-    private void to(LoggerContext context, Settings settings) {
+    private void install(LoggerContext context, Settings settings) {
         context.reset();
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(context);
@@ -60,7 +60,7 @@
                 if (getRemainingCapacity() == 0) {
                     dropped.incrementAndGet();
                 } else {
-                    super.append(event); // one that finds the queue filled meanwhile is not counted, and does not wait
+                    super.append(event); // does not block; a line dropped because the queue has just filled is not counted
                 }
             }
         };
@@ -74,7 +74,8 @@
         ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.toLevel(settings.text(Keyword.LOG_LEVEL)));
         root.addAppender(queue);
-        context.getLogger(AGREEMENT).setLevel(Level.ERROR); // it tells each lost message; what matters is told by the fleet's own lines
+        // the Raft library logs each lost message; the fleet's own lines report what matters
+        context.getLogger(RAFT_LOGGER).setLevel(Level.ERROR);
     }
 
     private static Encoder<ILoggingEvent> encoder(LoggerContext context, boolean json) {
@@ -99,12 +100,12 @@
         return e;
     }
 
-    /** Lines that were not written as too many waited. */
+    /** The number of lines dropped because the queue was full. */
     long dropped() {
         return dropped.get();
     }
 
-    /** Writes what is queued, and then no more. */
+    /** Writes the queued lines and stops. */
     void stop() {
         queue.stop();
     }
--- a/frontend/src/main/java/quincespar/program/Main.java
+++ b/frontend/src/main/java/quincespar/program/Main.java
@@ -27,26 +27,27 @@
 import sun.misc.SignalHandler;
 
 /** The command line. */
-@Command(name = "quincespar", description = "A front end before shared query engines.",
-        mixinStandardHelpOptions = true, versionProvider = Main.Version.class, subcommands = {CaptureCommands.class, FleetCommands.class})
+@Command(name = "quincespar", description = "A front end (router) for shared query engines.",
+        mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
+        subcommands = {CaptureCommands.class, FleetCommands.class})
 public final class Main implements Callable<Integer> {
-    private static final int USAGE = 2;
+    private static final int INVALID_ARGUMENTS = 2;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     private Main() { }
 
-    /** Runs one command: 0 done, 1 failed with a line on standard error, 2 wrong arguments. */
+    /** Runs one command. Exit codes: 0 success, 1 failure with a line on standard error, 2 invalid arguments. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** As {@link #main}, with the exit code returned. */
+    /** As {@link #main}, but returns the exit code. */
     public static int run(String... args) {
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof ConfException c) { // a line each, as scripts and editors read them
+            if (e instanceof ConfException c) { // one line for each problem, readable by scripts and editors
                 c.problems().forEach(System.err::println);
                 return 1;
             }
@@ -55,20 +56,20 @@
         });
         line.setParameterExceptionHandler((e, given) -> {
             System.err.println("quincespar: " + e.getMessage() + "; --help lists the commands");
-            return USAGE;
+            return INVALID_ARGUMENTS;
         });
         return line.execute(args);
     }
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is required");
     }
 
-    @Command(name = "adapter", description = "Host the decision module on the simulator's wire, on standard input"
-            + " and output.")
+    @Command(name = "adapter", description = "Host the decision module for the simulator, by its protocol on standard"
+            + " input and output.")
     int adapter(@CommandLine.Option(names = "--capture", paramLabel = "DIR",
-            description = "Write all that each instance is told and decides to segments there.") Path folder)
+            description = "Capture the events and decisions of each instance in segments in this folder.") Path folder)
             throws IOException, InterruptedException {
         try {
             if (folder == null) {
@@ -82,15 +83,15 @@
         }
     }
 
-    @Command(name = "serve", description = "Serve clients, as GW_CONFIG, GW_LISTEN and GW_NAME say.")
+    @Command(name = "serve", description = "Serve clients, configured by GW_CONFIG, GW_LISTEN and GW_NAME.")
     int serve(@CommandLine.Option(names = "--conf", paramLabel = "FILE",
-            description = "The operators' own file; without it all settings are at their defaults.") Path conf,
+            description = "The operators' settings file; without it all settings have their defaults.") Path conf,
             @CommandLine.Option(names = "--report", paramLabel = "MS", defaultValue = "0",
-            description = "Write the counters to the log every so many milliseconds; 0, the default, is as the file"
-                    + " says.") long reportMs) throws IOException, InterruptedException, ConfException {
-        Hangups hangups = new Hangups();
-        // left alone, it would end the program; where the parent had it ignored, the JVM leaves it so
-        boolean ignored = Signal.handle(new Signal("HUP"), s -> hangups.heard()) == SignalHandler.SIG_IGN;
+            description = "Interval at which the counters are logged, in milliseconds; 0, the default, for the"
+                    + " interval of the settings file.") long reportMs) throws IOException, InterruptedException, ConfException {
+        ReloadSignal reloadSignal = new ReloadSignal();
+        // without a handler SIGHUP would end the program; if the parent process ignores it, the JVM leaves it ignored
+        boolean ignored = Signal.handle(new Signal("HUP"), s -> reloadSignal.received()) == SignalHandler.SIG_IGN;
         Settings settings = conf == null ? Settings.defaults() : read(conf);
         FleetSettings fleet = FleetSettings.on(settings) ? FleetSettings.of(settings, conf.toString()) : null;
         RecoverySettings recovery = RecoverySettings.on(settings) ? RecoverySettings.of(settings, conf.toString()) : null;
@@ -98,47 +99,47 @@
         FrontEnd frontEnd = new FrontEnd(System.getenv(), settings, fleet, recovery, logs);
         long every = reportMs > 0 ? reportMs : (long) settings.number(Keyword.REPORT_INTERVAL);
         if (every > 0) {
-            frontEnd.reportEvery(every);
+            frontEnd.logCountersEvery(every);
         }
-        hangups.to(frontEnd::hangup);
+        reloadSignal.setHandler(frontEnd::requestReload);
         if (ignored) {
-            System.err.println("quincespar: SIGHUP is ignored by whoever started this program, so that a new"
-                    + " configuration will not be heard of; start it by 'env --default-signal=HUP'");
+            System.err.println("quincespar: SIGHUP is ignored by the process that started this program, so it can't"
+                    + " signal a new configuration; start the program with 'env --default-signal=HUP'");
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
-                frontEnd.leave();
+                frontEnd.shutDown();
             } catch (InterruptedException e) {
-                System.err.println("quincespar: interrupted while leaving");
+                System.err.println("quincespar: interrupted during shutdown");
             }
             logs.stop();
-        }, "leave"));
+        }, "shutdown"));
         frontEnd.run();
         return 0;
     }
 
-    /** Signals for a new configuration; one that comes before there is a front end to hear it waits for that. */
-    private static final class Hangups {
-        private Runnable to;
-        private boolean waiting;
+    /** Passes on signals for a new configuration; one received before the handler is set is passed on once it is. */
+    private static final class ReloadSignal {
+        private Runnable handler;
+        private boolean pending;
 
-        synchronized void heard() {
-            waiting = to == null;
-            if (to != null) {
-                to.run();
+        synchronized void received() {
+            pending = handler == null;
+            if (handler != null) {
+                handler.run();
             }
         }
 
-        synchronized void to(Runnable hears) {
-            to = hears;
-            if (waiting) {
-                hears.run();
+        synchronized void setHandler(Runnable newHandler) {
+            handler = newHandler;
+            if (pending) {
+                newHandler.run();
             }
         }
     }
 
-    @Command(name = "check-conf", description = "Check an operators' file: exit code 0 where it can be used, 1 with a"
-            + " line for each thing that is wrong.")
+    @Command(name = "check-conf", description = "Check a settings file: exit code 0 if it is valid, 1 with a line for"
+            + " each problem.")
     int checkConf(@CommandLine.Parameters(paramLabel = "FILE") Path conf) throws IOException, ConfException {
         Settings settings = read(conf);
         if (FleetSettings.on(settings)) {
@@ -151,45 +152,45 @@
         return 0;
     }
 
-    @Command(name = "conf", description = "Print all settings of the operators' file.")
+    @Command(name = "conf", description = "Print all settings of the settings file.")
     int conf(@CommandLine.Option(names = "--defaults", required = true,
-            description = "With unit, range, default and meaning, as a file that can be used.") boolean defaults) {
+            description = "With unit, range, default and meaning, as a valid file.") boolean defaults) {
         System.out.print(Settings.template());
         return 0;
     }
 
-    @Command(name = "replay", description = "Play captures again on this build's module: exit code 0 where it decides the"
-            + " same, 1 where it parts, with the calls before.")
+    @Command(name = "replay", description = "Replay captures on this build's decision module: exit code 0 if its decisions"
+            + " are the same, 1 with the first difference and the calls before it.")
     int replay(@CommandLine.Parameters(paramLabel = "DIR") Path folder,
             @CommandLine.Option(names = "--from", paramLabel = "SERIAL", defaultValue = "1",
-            description = "The number of the first segment that is played.") int from,
+            description = "The number of the first segment to replay.") int from,
             @CommandLine.Option(names = "--decisions", paramLabel = "FILE",
-            description = "Write the decisions there, a line for each call that had some.") Path decisions,
+            description = "Write the decisions to this file, a line for each call that made some.") Path decisions,
             @CommandLine.Option(names = "--against", paramLabel = "JAR",
-            description = "Play them on the module of that build instead.") Path against) throws IOException {
+            description = "Replay them on the decision module of another build.") Path against) throws IOException {
         return against == null ? CaptureCommands.replay(folder, from, decisions)
                 : CaptureCommands.against(against, folder, from, decisions);
     }
 
-    @Command(name = "explain", description = "Tell from captures what became of a request and why, or what was known of an"
+    @Command(name = "explain", description = "Explain from captures how a request was handled, or what was known of an"
             + " engine.")
     int explain(@CommandLine.Parameters(paramLabel = "DIR") Path folder,
-            @CommandLine.Option(names = "--request", paramLabel = "N", description = "The module's number of a request.")
+            @CommandLine.Option(names = "--request", paramLabel = "N", description = "The number of a request in the capture.")
             Long request,
             @CommandLine.Option(names = "--engine", paramLabel = "ID", description = "An engine's id in the list, or"
-            + " its number in a story.") String engine,
-            @CommandLine.Option(names = "--at", paramLabel = "S", description = "When, in seconds since 1970; the end"
-            + " unless told.") Double at) throws IOException {
+            + " its number in an explanation.") String engine,
+            @CommandLine.Option(names = "--at", paramLabel = "S", description = "The time, in seconds since 1970; by"
+            + " default the end of the captures.") Double at) throws IOException {
         if ((request == null) == (engine == null)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "explain takes --request or --engine");
+            throw new CommandLine.ParameterException(spec.commandLine(), "explain needs either --request or --engine");
         }
         return CaptureCommands.explain(folder, request, engine, at);
     }
 
-    @Command(name = "rehearse", description = "Start and end once on loopback, for the build to archive what a start"
-            + " loads.")
+    @Command(name = "rehearse", description = "Start and stop once on loopback, as the training run for the class data"
+            + " archive.")
     int rehearse() throws IOException, InterruptedException {
-        Rehearsal.play();
+        TrainingRun.run();
         return 0;
     }
 
@@ -197,16 +198,16 @@
         try {
             return ConfReader.read(conf.toString(), Files.readString(conf));
         } catch (NoSuchFileException e) {
-            throw new IOException("no file " + conf, e);
+            throw new IOException("file not found: " + conf, e);
         } catch (CharacterCodingException e) {
-            throw new IOException(conf + " is no text in UTF-8", e);
+            throw new IOException(conf + " is not UTF-8 text", e);
         } catch (IOException e) {
             throw new IOException("can't read " + conf + ": " + e.getMessage(), e);
         }
     }
 
-    @Command(name = "health", description = "Ask a running front end whether it can serve, and print its counters;"
-            + " exit code 1 where it can't.")
+    @Command(name = "health", description = "Query a running front end whether it can serve, and print its counters;"
+            + " exit code 1 if it can't.")
     int health(@CommandLine.Parameters(paramLabel = "HOST:PORT") String address) throws IOException {
         FrontCodec.Answer answer = HealthQuestion.ask(Addresses.of(address));
         answer.fields().forEach((name, value) -> System.out.println(name + " " + value));
@@ -220,7 +221,7 @@
         return 0;
     }
 
-    /** Reads the version from the jar. */
+    /** Provides the version stored in the jar. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/frontend/src/main/java/quincespar/program/Rehearsal.java
+++ b/frontend/src/main/java/quincespar/program/TrainingRun.java
@@ -13,11 +13,11 @@
 import quincespar.settings.Settings;
 
 /**
- * One life of the front end on loopback, from start to end, with a client and an operator that ask for its health: what a
- * start loads is then loaded. The build runs it once so that the JVM can archive those classes
- * ({@code -XX:ArchiveClassesAtExit}); a start on a part of a core spends a third of its processor time on loading them.
+ * Training run for the class data archive: starts the front end on loopback, requests its health on both addresses, reloads the
+ * configuration and shuts it down, which loads the classes that a start needs. The build runs it once so that the JVM can archive
+ * them ({@code -XX:ArchiveClassesAtExit}); loading them takes a third of the processor time of a start on a fraction of a core.
  */
-final class Rehearsal {
+final class TrainingRun {
     private static final String CONFIGURATION = """
         {"name":"rehearsal","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:%d","seed":"1","changelog":"127.0.0.1:9",
          "limits":{"cores":1,"memory_mb":128,"sockets":256},"known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,
@@ -27,9 +27,9 @@
          {"name":"query","slo":800,"hardLimit":4000,"effect":"safe"},{"name":"load","slo":800,"hardLimit":4000,
          "effect":"unsafe"}]}}""";
 
-    private Rehearsal() { }
+    private TrainingRun() { }
 
-    static void play() throws IOException, InterruptedException {
+    static void run() throws IOException, InterruptedException {
         int admin;
         try (java.net.ServerSocket free = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             admin = free.getLocalPort();
@@ -51,9 +51,9 @@
             frontEnd.awaitServing();
             if (failed.get() == null) {
                 HealthQuestion.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), frontEnd.port()));
-                ask(admin);
-                frontEnd.hangup();
-                frontEnd.leave();
+                requestMetrics(admin);
+                frontEnd.requestReload();
+                frontEnd.shutDown();
             }
             running.join();
             if (failed.get() != null) {
@@ -64,7 +64,7 @@
         }
     }
 
-    private static void ask(int admin) throws IOException {
+    private static void requestMetrics(int admin) throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), admin)) {
             s.getOutputStream().write("GET /status/metrics HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             s.getInputStream().readAllBytes();
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -23,25 +23,26 @@
 import quincespar.routing.TimerKey;
 
 /**
- * Has the paths of a request compiled before the first one comes. Guards against a start in which the
- * interpreter fills the one core for seconds and answers are late: requests of each class are run in a time of
- * their own through a reducer and a module that are thrown away. No socket is touched.
+ * Gets the code that handles requests compiled by the JVM before the first request arrives. Without it the interpreter occupies a
+ * single core for seconds after a start, and answers are late. Requests of each class are run on a simulated clock through a
+ * reducer and a decision module that are then discarded. Uses no sockets.
  */
 final class Warmup {
-    private static final double BUDGET_MS = 1500;
-    private static final int LEAST = 500, MOST = 6000;
+    private static final double TIME_LIMIT_MS = 1500;
+    private static final int MIN_REQUESTS = 500, MAX_REQUESTS = 6000;
+    /** Simulated time that an engine takes for a request. */
     private static final int SERVICE_MS = 40;
     private static final byte[] STATEMENT = ("SELECT o.item, sum(o.paid) -- 'by' day\nFROM sales_1.orders o JOIN"
             + " staging.days d ON d.id = o.day WHERE o.shop = 'T2_5.x' GROUP BY o.item\n")
             .getBytes(StandardCharsets.US_ASCII);
 
-    private record Due(double at, Input input) { }
+    private record ScheduledInput(double at, Input input) { }
 
     private final Configuration configuration;
     private final Bounds bounds;
     private final ThriftFront front;
-    private final Deque<Due> answers = new ArrayDeque<>();
-    private final List<Due> timers = new ArrayList<>();
+    private final Deque<ScheduledInput> answers = new ArrayDeque<>();
+    private final List<ScheduledInput> timers = new ArrayList<>();
     private final List<Input> inputs = new ArrayList<>();
     private double now;
 
@@ -54,11 +55,11 @@
     void run() {
         Reducer scratch = new Reducer(configuration.site(), bounds,
                 new GcMuScheduler(configuration.site().decision(), configuration.seed()));
-        long until = System.nanoTime() + (long) (BUDGET_MS * 1e6);
+        long until = System.nanoTime() + (long) (TIME_LIMIT_MS * 1e6);
         now = System.currentTimeMillis();
-        follow(scratch.start(now, configuration.changeLog(), configuration.known().events()));
+        perform(scratch.start(now, configuration.changeLog(), configuration.known().events()));
         List<ClassSpec> classes = configuration.site().decision().classes();
-        for (int i = 0; i < MOST && (i < LEAST || System.nanoTime() < until); i++) {
+        for (int i = 0; i < MAX_REQUESTS && (i < MIN_REQUESTS || System.nanoTime() < until); i++) {
             now++;
             inputs.add(new Input.RequestReceived(new Caller(1, i), query(i, classes.get(i % classes.size())), now));
             while (!answers.isEmpty() && answers.peek().at() <= now) {
@@ -68,7 +69,7 @@
             timers.removeIf(t -> t.at() <= now);
             List<Input> batch = List.copyOf(inputs);
             inputs.clear();
-            follow(scratch.step(now, batch));
+            perform(scratch.step(now, batch));
         }
     }
 
@@ -80,14 +81,14 @@
         return front.query(Arrays.copyOfRange(frame, 4, frame.length));
     }
 
-    private void follow(List<Effect> effects) {
+    private void perform(List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.OpenLink e) {
                 inputs.add(new Input.LinkUp(e.link()));
             } else if (effect instanceof Effect.Send e) {
                 byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
                 new RespDecoder().feed(command, command.length, EngineCodec::readReply);
-                answers.add(new Due(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), new EngineMessage.Done(e.txn(), 2,
+                answers.add(new ScheduledInput(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), new EngineMessage.Done(e.txn(), 2,
                         STATEMENT, List.of()))));
             } else if (effect instanceof Effect.ReadPage e) {
                 inputs.add(new Input.EngineMessageReceived(e.link(), new EngineMessage.Page(e.txn(), e.page(), STATEMENT)));
@@ -96,7 +97,7 @@
             } else if (effect instanceof Effect.StartTimer e
                     && (e.key() instanceof TimerKey.Gateway
                     || e.key() instanceof TimerKey.DecisionTick)) {
-                timers.add(new Due(now + e.delayMs(), new Input.TimerFired(e.key())));
+                timers.add(new ScheduledInput(now + e.delayMs(), new Input.TimerFired(e.key())));
             }
         }
     }
--- a/frontend/src/main/java/quincespar/program/package-info.java
+++ b/frontend/src/main/java/quincespar/program/package-info.java
@@ -1,2 +1,2 @@
-/** Start, phases and end of the program: the command line, the configuration, and what wires all sides together. */
+/** The program: command line, configuration, start, phases and shutdown, and the wiring of the reducer with its I/O. */
 package quincespar.program;
--- a/frontend/src/test/java/quincespar/program/CaptureStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureReplayTest.java
@@ -33,22 +33,22 @@
 
 /** The whole program with a capture into a folder, and what the command line then says of it. */
 @Timeout(60)
-class CaptureStoryTest {
+class CaptureReplayTest {
     @TempDir
     private Path folder;
     private Path captures;
-    private Peers.Engine engine;
+    private ScriptedPeers.Engine engine;
     private int port;
     private int requests;
     private CompletableFuture<Void> running;
 
     @BeforeEach
     void peers() throws IOException {
-        engine = new Peers.Engine();
-        Peers.Changes changes = new Peers.Changes();
-        port = Peers.freePort();
+        engine = new ScriptedPeers.Engine();
+        ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
         captures = Files.createDirectory(folder.resolve("captures"));
-        Files.writeString(folder.resolve("config.json"), Peers.configuration(port, changes, engine, Peers.LOOKUP, Peers.LOAD));
+        Files.writeString(folder.resolve("config.json"), ScriptedPeers.configuration(port, changes, engine, ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
     }
 
     private record Said(int code, String out) { }
@@ -71,24 +71,24 @@
         Settings settings = ConfReader.read("f", "capture {\n folder \"" + captures + "\"\n every 1s\n flush 10ms\n}\n");
         FrontEnd frontEnd = new FrontEnd(Map.of("GW_CONFIG", folder.resolve("config.json").toString()), settings,
                 Logs.start(settings));
-        running = Peers.beside(frontEnd::run);
-        Peers.beside(() -> {
+        running = ScriptedPeers.runAsync(frontEnd::run);
+        ScriptedPeers.runAsync(() -> {
             while (!running.isDone()) {
-                Peers.Engine.Command c = engine.commands.poll(10, TimeUnit.MILLISECONDS);
+                ScriptedPeers.Engine.Command c = engine.commands.poll(10, TimeUnit.MILLISECONDS);
                 if (c != null && c.words().get(0).equals("serve")) {
                     c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
                 }
             }
         });
-        Peers.untilHealthy(port);
+        ScriptedPeers.awaitHealthy(port);
         return frontEnd;
     }
 
     /** Asks until a counter is so high. */
-    private void ask(Peers.Client c, String counter, long wanted) throws Exception {
+    private void ask(ScriptedPeers.Client c, String counter, long wanted) throws Exception {
         do {
             String txn = String.format("%016x", ++requests);
-            c.call(requests, Peers.fields(requests % 3 == 0 ? "load" : "lookup", txn));
+            c.call(requests, ScriptedPeers.fields(requests % 3 == 0 ? "load" : "lookup", txn));
             c.frame();
         } while (Long.parseLong(c.counters().get(counter)) < wanted);
     }
@@ -97,11 +97,11 @@
     private Map<String, String> live(int calls) throws Exception {
         FrontEnd frontEnd = start();
         Map<String, String> counters;
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             ask(c, "capture.calls", calls);
             counters = c.counters();
         }
-        Peers.beside(frontEnd::leave).join();
+        ScriptedPeers.runAsync(frontEnd::shutDown).join();
         running.join();
         return counters;
     }
@@ -227,13 +227,13 @@
         FrontEnd frontEnd = start();
         Path aside = folder.resolve("aside");
         Files.move(captures, aside);
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             ask(c, "capture.failures", 1);
             Files.move(aside, captures);
             ask(c, "capture.segments", 2);
             ask(c, "capture.calls", 1 + Long.parseLong(c.counters().get("capture.calls")));
         }
-        Peers.beside(frontEnd::leave).join();
+        ScriptedPeers.runAsync(frontEnd::shutDown).join();
         running.get(30, TimeUnit.SECONDS);
         Said verify = command("capture", "verify", captures);
         assertThat(verify.code()).isEqualTo(1);
--- a/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
+++ b/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
@@ -19,22 +19,22 @@
          "requestClasses":[{"name":"lookup","slo":800.0,"hardLimit":4000.0,"effect":"safe"},
          {"name":"load","slo":800.0,"hardLimit":9000.0,"effect":"unsafe"}]}}""";
 
-    private static final Map<String, Object> IN_FORCE = Json.object(Json.read(GOOD.getBytes(StandardCharsets.UTF_8)), "it");
+    private static final Map<String, Object> CURRENT = Json.object(Json.read(GOOD.getBytes(StandardCharsets.UTF_8)), "it");
 
     private static ConfigurationCheck.Result check(String text) {
-        return ConfigurationCheck.check(text.getBytes(StandardCharsets.UTF_8), Map.of(), IN_FORCE);
+        return ConfigurationCheck.check(text.getBytes(StandardCharsets.UTF_8), Map.of(), CURRENT);
     }
 
-    private static List<String> faults(String text) {
-        return check(text) instanceof ConfigurationCheck.Bad bad ? bad.faults() : List.of();
+    private static List<String> problems(String text) {
+        return check(text) instanceof ConfigurationCheck.Invalid invalid ? invalid.problems() : List.of();
     }
 
     @Test
     void aFileThatIsWholeIsTakenAndSoAreFurtherKeysAndClasses() {
-        assertThat(check(GOOD)).isInstanceOf(ConfigurationCheck.Good.class);
+        assertThat(check(GOOD)).isInstanceOf(ConfigurationCheck.Valid.class);
         String more = GOOD.replace("\"tick\":5", "\"tick\":5,\"further\":[1]").replace("[{\"name\":\"lookup\"",
                 "[{\"name\":\"new\",\"slo\":1,\"hardLimit\":2,\"effect\":\"keyed\"},{\"name\":\"lookup\"");
-        assertThat(((ConfigurationCheck.Good) check(more)).configuration().site().classNumbers()).containsOnlyKeys("new", "lookup",
+        assertThat(((ConfigurationCheck.Valid) check(more)).configuration().site().classNumbers()).containsOnlyKeys("new", "lookup",
                 "load");
     }
 
@@ -43,9 +43,9 @@
     void aFileCutAtAnyByteIsTurnedDown() {
         byte[] whole = GOOD.getBytes(StandardCharsets.UTF_8);
         for (int n = 0; n < whole.length; n++) {
-            ConfigurationCheck.Result r = ConfigurationCheck.check(Arrays.copyOf(whole, n), Map.of(), IN_FORCE);
-            assertThat(r).as("cut after " + n).isInstanceOf(ConfigurationCheck.Bad.class);
-            assertThat(((ConfigurationCheck.Bad) r).line()).hasLineCount(1).isNotBlank();
+            ConfigurationCheck.Result r = ConfigurationCheck.check(Arrays.copyOf(whole, n), Map.of(), CURRENT);
+            assertThat(r).as("cut after " + n).isInstanceOf(ConfigurationCheck.Invalid.class);
+            assertThat(((ConfigurationCheck.Invalid) r).line()).hasLineCount(1).isNotBlank();
         }
     }
 
@@ -61,16 +61,16 @@
                 at = Json.object(at.get(step), step);
             }
             at.remove(steps[steps.length - 1]);
-            assertThat(faults(write(all))).as(path).anyMatch(f -> f.startsWith(path + " "));
+            assertThat(problems(write(all))).as(path).anyMatch(f -> f.startsWith(path + " "));
         }
         for (String key : List.of("name", "slo", "hardLimit", "effect")) {
             Map<String, Object> all = Json.object(Json.read(GOOD.getBytes(StandardCharsets.UTF_8)), "it");
             Object classes = Json.object(all.get("settings"), "settings").get("requestClasses");
             Json.object(Json.list(classes, "classes").get(1), "class").remove(key);
-            assertThat(faults(write(all))).as(key)
+            assertThat(problems(write(all))).as(key)
                     .anyMatch(f -> f.startsWith("settings.requestClasses.1." + key + " "));
         }
-        assertThat(faults(GOOD.replace("\"quotaPerS\":5", "\"share\":5"))).contains("settings.projects.0.quotaPerS is missing");
+        assertThat(problems(GOOD.replace("\"quotaPerS\":5", "\"share\":5"))).contains("settings.projects.0.quotaPerS is missing");
     }
 
     @Test
@@ -78,25 +78,25 @@
         for (String wrong : List.of("0", "-1", "\"soon\"", "\"4000\"", "null", "true", "[1]", "{}", "1e400", "-0.0", "1e30",
                 "\"NaN\"", "NaN")) {
             assertThat(check(GOOD.replace("\"hardLimit\":9000.0", "\"hardLimit\":" + wrong))).as(wrong)
-                    .isInstanceOf(ConfigurationCheck.Bad.class);
+                    .isInstanceOf(ConfigurationCheck.Invalid.class);
             assertThat(check(GOOD.replace("\"maxAttempts\":3", "\"maxAttempts\":" + wrong))).as(wrong)
-                    .isInstanceOf(ConfigurationCheck.Bad.class);
+                    .isInstanceOf(ConfigurationCheck.Invalid.class);
         }
-        assertThat(faults(GOOD.replace("\"maxAttempts\":3", "\"maxAttempts\":1.5"))).hasSize(1);
-        assertThat(check(GOOD.replace("9000.0", "1"))).isInstanceOf(ConfigurationCheck.Good.class);
+        assertThat(problems(GOOD.replace("\"maxAttempts\":3", "\"maxAttempts\":1.5"))).hasSize(1);
+        assertThat(check(GOOD.replace("9000.0", "1"))).isInstanceOf(ConfigurationCheck.Valid.class);
     }
 
     @Test
     void allThatIsWrongIsToldAtOnce() {
-        assertThat(faults(GOOD.replace("9000.0", "0").replace("\"maxAttempts\":3", "\"maxAttempts\":-1")
+        assertThat(problems(GOOD.replace("9000.0", "0").replace("\"maxAttempts\":3", "\"maxAttempts\":-1")
                 .replace("\"name\":\"load\"", "\"name\":\"lookup\"").replace("\"unsafe\"", "\"odd\""))).containsExactlyInAnyOrder(
-                "settings.requestClasses.1.name is the name of another class too",
-                "settings.requestClasses.1.hardLimit is no number above 0 and up to 1000000000",
-                "settings.requestClasses.1.effect is none of safe, keyed, unsafe",
-                "settings.limits.maxAttempts is no number above 0 and up to 1000");
-        assertThat(faults(GOOD.replace("127.0.0.1:3", "somewhere"))).hasSize(1);
-        assertThat(faults("[]")).hasSize(1);
-        assertThat(faults(GOOD + GOOD)).hasSize(1);
+                "settings.requestClasses.1.name is also the name of another class",
+                "settings.requestClasses.1.hardLimit is not a number above 0 and at most 1000000000",
+                "settings.requestClasses.1.effect is not one of safe, keyed, unsafe",
+                "settings.limits.maxAttempts is not a number above 0 and at most 1000");
+        assertThat(problems(GOOD.replace("127.0.0.1:3", "somewhere"))).hasSize(1);
+        assertThat(problems("[]")).hasSize(1);
+        assertThat(problems(GOOD + GOOD)).hasSize(1);
     }
 
     private static String write(Object value) {
--- a/frontend/src/test/java/quincespar/program/EndingsTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -28,7 +28,7 @@
  * bad order every time. The rows are in docs/design/endings.md.
  */
 @Timeout(60)
-class EndingsTest {
+class ConnectionEndTest {
     private static final String LOAD = "{\"name\":\"load\",\"slo\":2000,\"hardLimit\":30000,\"effect\":\"unsafe\"}";
     private static final String LOOKUP = "{\"name\":\"lookup\",\"slo\":2000,\"hardLimit\":30000,\"effect\":\"safe\"}";
     /** Connections that only a stop ends. */
@@ -37,17 +37,17 @@
     @TempDir
     private Path folder;
     private final List<AutoCloseable> peers = new ArrayList<>();
-    private Peers.Engine engine;
-    private Peers.Changes changes;
+    private ScriptedPeers.Engine engine;
+    private ScriptedPeers.ChangeLog changes;
     private int port;
     private FrontEnd frontEnd;
     private CompletableFuture<Void> running;
 
     @BeforeEach
     void peers() throws IOException {
-        engine = new Peers.Engine();
-        changes = new Peers.Changes();
-        port = Peers.freePort();
+        engine = new ScriptedPeers.Engine();
+        changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
     }
 
     @AfterEach
@@ -55,7 +55,7 @@
         for (AutoCloseable p : peers) {
             p.close();
         }
-        Peers.beside(frontEnd::leave).join();
+        ScriptedPeers.runAsync(frontEnd::shutDown).join();
         running.join();
     }
 
@@ -70,22 +70,22 @@
                 String.join(",", classes)));
         frontEnd = new FrontEnd(Map.of("GW_CONFIG", file.toString()), ConfReader.read("f", conf),
                 Logs.start(ConfReader.read("f", conf)));
-        running = Peers.beside(frontEnd::run);
-        Peers.untilHealthy(port);
+        running = ScriptedPeers.runAsync(frontEnd::run);
+        ScriptedPeers.awaitHealthy(port);
     }
 
     private static String member(String id, String phase, int at) {
         return "{\"id\":\"%s\",\"host_port\":\"127.0.0.1:%d\",\"phase\":\"%s\",\"size\":4}".formatted(id, at, phase);
     }
 
-    private Peers.Client client() throws IOException {
-        Peers.Client c = new Peers.Client(port);
+    private ScriptedPeers.Client client() throws IOException {
+        ScriptedPeers.Client c = new ScriptedPeers.Client(port);
         peers.add(c);
         return c;
     }
 
     private static Map<String, String> request(String verb, int number) {
-        Map<String, String> fields = new HashMap<>(Peers.fields(verb, String.format("%016x", number)));
+        Map<String, String> fields = new HashMap<>(ScriptedPeers.fields(verb, String.format("%016x", number)));
         fields.put("limit", "20000");
         return fields;
     }
@@ -94,28 +94,28 @@
         return FrontCodec.call(seqid, fields, "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8));
     }
 
-    private Peers.HeldEngine held() throws IOException {
-        Peers.HeldEngine held = new Peers.HeldEngine();
+    private ScriptedPeers.UnconnectableEngine held() throws IOException {
+        ScriptedPeers.UnconnectableEngine held = new ScriptedPeers.UnconnectableEngine();
         peers.add(held);
         return held;
     }
 
     /** A client whose load waits for the connection to the only engine there is. */
-    private Peers.Client waitsFor(Peers.HeldEngine held, boolean cancels) throws Exception {
+    private ScriptedPeers.Client waitsFor(ScriptedPeers.UnconnectableEngine held, boolean cancels) throws Exception {
         start(PATIENT, held.server.getLocalPort(), "\"cancelling\":" + cancels + ",\"connectTimeout\":30000", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         until(c, "engines.connected", "1");
         return c;
     }
 
-    private static void until(Peers.Client watch, String counter, String value) throws IOException {
+    private static void until(ScriptedPeers.Client watch, String counter, String value) throws IOException {
         while (!value.equals(watch.counters().get(counter))) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
     }
 
-    private static void done(Peers.Engine.Command c) {
+    private static void done(ScriptedPeers.Engine.Command c) {
         c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
     }
 
@@ -123,17 +123,17 @@
     @Test
     void aClientThatRestsIsEndedByTheStopWhileAnotherWaitsForAnEngine() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client waits = client();
-        Peers.Client rests = client();
+        ScriptedPeers.Client waits = client();
+        ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
         waits.call(1, request("load", 1));
-        Peers.Engine.Command out = engine.next("serve");
-        CompletableFuture<Void> leaving = Peers.beside(frontEnd::leave);
-        assertThat(rests.untilEnd()).isTrue();
+        ScriptedPeers.Engine.Command out = engine.next("serve");
+        CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
+        assertThat(rests.awaitEnd()).isTrue();
         assertThat(leaving).isNotDone();
         done(out);
-        assertThat(waits.answer()).isEqualTo(Peers.Kind.SERVED);
-        assertThat(waits.untilEnd()).isTrue();
+        assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+        assertThat(waits.awaitEnd()).isTrue();
         leaving.join();
     }
 
@@ -141,17 +141,17 @@
     @Test
     void whatComesAfterTheStopBehindARequestThatIsOutIsRefusedAndNotSentOn() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client waits = client();
-        Peers.Client rests = client();
+        ScriptedPeers.Client waits = client();
+        ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
         waits.call(1, request("load", 1));
-        Peers.Engine.Command out = engine.next("serve");
-        CompletableFuture<Void> leaving = Peers.beside(frontEnd::leave);
-        assertThat(rests.untilEnd()).isTrue();
+        ScriptedPeers.Engine.Command out = engine.next("serve");
+        CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
+        assertThat(rests.awaitEnd()).isTrue();
         waits.call(2, request("load", 2));
-        assertThat(waits.answer()).isEqualTo(Peers.Kind.REFUSED);
+        assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED);
         done(out);
-        assertThat(waits.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         leaving.join();
         assertThat(engine.commands).noneMatch(c -> c.words().get(0).equals("serve"));
     }
@@ -160,27 +160,27 @@
     @Test
     void aRequestThatIsHalfHereAtTheStopIsReadToItsEndAndAnswered() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client slow = client();
-        Peers.Client rests = client();
+        ScriptedPeers.Client slow = client();
+        ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
         byte[] half = halfBehindAServedRequest(slow);
-        CompletableFuture<Void> leaving = Peers.beside(frontEnd::leave);
-        assertThat(rests.untilEnd()).isTrue();
+        CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
+        assertThat(rests.awaitEnd()).isTrue();
         slow.raw(half);
-        assertThat(slow.answer()).isEqualTo(Peers.Kind.REFUSED);
-        assertThat(slow.untilEnd()).isTrue();
+        assertThat(slow.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED);
+        assertThat(slow.awaitEnd()).isTrue();
         leaving.join();
     }
 
     /** Has a request served with the first half of the next one behind it, in one write; answers the other half. */
-    private byte[] halfBehindAServedRequest(Peers.Client c) throws Exception {
+    private byte[] halfBehindAServedRequest(ScriptedPeers.Client c) throws Exception {
         byte[] first = frame(1, request("load", 1));
         byte[] second = frame(2, request("load", 2));
         byte[] both = Arrays.copyOf(first, first.length + 9);
         System.arraycopy(second, 0, both, first.length, 9);
         c.raw(both);
         done(engine.next("serve"));
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         return Arrays.copyOfRange(second, 9, second.length);
     }
 
@@ -188,16 +188,16 @@
     @Test
     void aConnectionWithARequestHalfHereIsNotClosedAsIdle() throws Exception {
         start("clients {\n idle 100ms\n first-word 3600s\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client slow = client();
+        ScriptedPeers.Client slow = client();
         byte[] half = halfBehindAServedRequest(slow);
-        Peers.Client later = client();
+        ScriptedPeers.Client later = client();
         later.call(1, request("load", 3));
         done(engine.next("serve"));
-        assertThat(later.answer()).isEqualTo(Peers.Kind.SERVED);
-        assertThat(later.untilEnd()).isTrue();
+        assertThat(later.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+        assertThat(later.awaitEnd()).isTrue();
         slow.raw(half);
         done(engine.next("serve"));
-        assertThat(slow.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(slow.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
     /** What came whole before it is owed an answer all the same, though the connection is to end. */
@@ -206,14 +206,14 @@
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         for (byte[] nonsense : List.of(new byte[] {-1, -1, -1, -1}, new byte[] {0, 0, 0, 4, 1, 2, 3, 4},
                 frame(1, request("load", 2)), frame(2, Map.of("verb", "odd")))) {
-            Peers.Client c = client();
+            ScriptedPeers.Client c = client();
             c.call(1, request("load", 1));
-            Peers.Engine.Command out = engine.next("serve");
+            ScriptedPeers.Engine.Command out = engine.next("serve");
             c.raw(nonsense);
-            assertThat(c.answer()).isEqualTo(Peers.Kind.EXCEPTION);
+            assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
             done(out);
-            assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
-            assertThat(c.untilEnd()).isTrue();
+            assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+            assertThat(c.awaitEnd()).isTrue();
         }
     }
 
@@ -221,30 +221,30 @@
     @Test
     void aClientThatGoesOnAfterNonsenseIsClosedWhateverIsOpen() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
-        Peers.Engine.Command out = engine.next("serve");
+        ScriptedPeers.Engine.Command out = engine.next("serve");
         c.raw(new byte[] {-1, -1, -1, -1});
-        assertThat(c.answer()).isEqualTo(Peers.Kind.EXCEPTION);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
         try {
             c.raw(new byte[1 << 20]);
-            assertThat(c.untilEnd()).isTrue();
+            assertThat(c.awaitEnd()).isTrue();
         } catch (IOException reset) {
             assertThat(reset).isInstanceOf(java.net.SocketException.class);
         }
         assertThat(engine.next("cancel").id()).isEqualTo(out.id()); // its client is gone
-        Peers.Client other = client();
+        ScriptedPeers.Client other = client();
         other.call(1, request("load", 3));
         done(engine.next("serve"));
-        assertThat(other.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(other.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
     /** Nobody waits for it any more, whether the site lets attempts be cancelled or not. */
     @Test
     void whatWaitsForAConnectionIsNotSentOnceItsClientHasLeft() throws Exception {
-        Peers.HeldEngine held = held();
-        Peers.Client leaves = waitsFor(held, false);
-        Peers.Client watch = client();
+        ScriptedPeers.UnconnectableEngine held = held();
+        ScriptedPeers.Client leaves = waitsFor(held, false);
+        ScriptedPeers.Client watch = client();
         leaves.close();
         until(watch, "requests.open", "0");
         held.release();
@@ -254,30 +254,30 @@
     /** Engines discard repeats within the window only: a connection that comes up after it must not carry one. */
     @Test
     void aRepeatThatWaitsForAConnectionBeyondItsWindowIsNotSent() throws Exception {
-        Peers.HeldEngine held = held();
+        ScriptedPeers.UnconnectableEngine held = held();
         long windowMs = 2000;
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true,\"connectTimeout\":30000",
                 LOAD.replace("\"unsafe\"", "\"keyed\",\"keyScope\":\"all\",\"repeatWindow\":" + windowMs));
-        Peers.Client watch = client();
-        Peers.Client c = client();
+        ScriptedPeers.Client watch = client();
+        ScriptedPeers.Client c = client();
         long from = System.nanoTime();
         c.call(1, request("load", 1));
-        Peers.Engine.Command first = engine.next("serve");
+        ScriptedPeers.Engine.Command first = engine.next("serve");
         changes.answers.add(news(2, member("s-1", "draining", engine.server.getLocalPort()),
                 member("s-2", "up", held.server.getLocalPort())));
         until(watch, "held.engines", "2");
         first.answer(first.id(), "BROKE", "-", "");
         until(watch, "engines.connected", "2"); // the repeat waits for its connection
         while (System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(windowMs + 100)) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
         held.release();
         isIdleUnasked(watch, held);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.REFUSED); // by the scope a repeat is harmless
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED); // by the scope a repeat is harmless
     }
 
     /** Waits until the front end has no connection to an engine any more, and nothing was asked on this one's. */
-    private static void isIdleUnasked(Peers.Client watch, Peers.HeldEngine held) throws IOException {
+    private static void isIdleUnasked(ScriptedPeers.Client watch, ScriptedPeers.UnconnectableEngine held) throws IOException {
         while (!watch.counters().get("engines.connected").equals("0")) {
             assertThat(held.heard()).doesNotContain("serve");
         }
@@ -294,32 +294,32 @@
     void aRepeatCarriesTheIdempotencyKeyOfItsRequest() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true",
                 LOAD.replace("\"unsafe\"", "\"keyed\",\"keyScope\":\"all\",\"repeatWindow\":20000"));
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         Map<String, String> request = request("load", 1);
         request.put("unique", "8f3a=90/b1");
         c.call(1, request);
-        Peers.Engine.Command first = engine.next("serve");
+        ScriptedPeers.Engine.Command first = engine.next("serve");
         assertThat(first.words().get(2)).matches("queue=load,budget=\\d+,uniq=8f3a=90/b1");
         first.answer(first.id(), "BROKE", "-", "");
-        Peers.Engine.Command again = engine.next("serve");
+        ScriptedPeers.Engine.Command again = engine.next("serve");
         assertThat(again.words().get(2)).matches("queue=load,budget=\\d+,uniq=8f3a=90/b1");
         done(again);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         request.put("unique", "a,budget=1"); // it would be read as another field
         c.call(2, request);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.EXCEPTION);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
     }
 
     /** Word of a drain between the choice of the engine and the first byte. */
     @Test
     void whatWaitsForAConnectionToAnEngineThatBeginsToDrainGoesElsewhere() throws Exception {
-        Peers.HeldEngine held = held();
-        Peers.Client c = waitsFor(held, true);
-        Peers.Client watch = client();
+        ScriptedPeers.UnconnectableEngine held = held();
+        ScriptedPeers.Client c = waitsFor(held, true);
+        ScriptedPeers.Client watch = client();
         changes.answers.add(news(2, member("s-1", "draining", held.server.getLocalPort()),
                 member("s-2", "up", engine.server.getLocalPort())));
         done(engine.next("serve"));
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         held.release();
         isIdleUnasked(watch, held);
     }
@@ -328,20 +328,20 @@
     @Test
     void aSecondLastWordDoesNotEndTheNextAttempt() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
-        Peers.Engine.Command first = engine.next("serve");
+        ScriptedPeers.Engine.Command first = engine.next("serve");
         first.answer(first.id(), "WAIT", "-", "");
-        Peers.Engine.Command second = engine.next("serve");
+        ScriptedPeers.Engine.Command second = engine.next("serve");
         first.answer(first.id(), "WAIT", "-", "");
-        Peers.Client other = client();
+        ScriptedPeers.Client other = client();
         other.call(1, request("load", 2)); // shares the first one's connection, so its answer comes behind that word
-        Peers.Engine.Command behind = engine.next("serve");
+        ScriptedPeers.Engine.Command behind = engine.next("serve");
         assertThat(behind.id()).as("nothing is sent twice").isNotEqualTo(first.id());
         first.answer(behind.id(), "BROKE", "-", "");
-        assertThat(other.answer()).isNotEqualTo(Peers.Kind.SERVED);
+        assertThat(other.answer()).isNotEqualTo(ScriptedPeers.Kind.SERVED);
         done(second);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(engine.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
 
@@ -349,21 +349,21 @@
     @Test
     void aLoadWhoseConnectionEndsUnderItIsFailedAndNotSentAgain() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         engine.next("serve").from().close();
-        assertThat(c.answer()).isEqualTo(Peers.Kind.FAILED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.FAILED);
         c.call(2, request("load", 2));
-        Peers.Engine.Command next = engine.next("serve");
+        ScriptedPeers.Engine.Command next = engine.next("serve");
         assertThat(next.id()).isEqualTo(request("load", 2).get("txn"));
         done(next);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
     @Test
     void allThatAClientHasOpenIsCancelledWhenItLeaves() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOOKUP);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         Set<String> out = new HashSet<>();
         for (int i = 1; i <= 3; i++) {
             c.call(i, request("lookup", i));
@@ -378,9 +378,9 @@
     /** A watch that goes silent is replaced, and what it did not tell is heard from the next one. */
     @Test
     void aWatchThatFallsSilentIsReplacedAndTheDrainIsHeard() throws Exception {
-        Peers.Engine old = new Peers.Engine();
+        ScriptedPeers.Engine old = new ScriptedPeers.Engine();
         start(PATIENT + "change-log {\n wait 200ms\n slack 100ms\n}\n", old.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         assertThat(changes.questions.take()).startsWith("GET /changes?since=1&");
         assertThat(changes.questions.take()).startsWith("GET /changes?since=1&"); // the first is never answered
         String drain = news(2, member("s-1", "draining", old.server.getLocalPort()),
@@ -391,49 +391,49 @@
         until(c, "held.engines", "2");
         c.call(1, request("load", 1));
         done(engine.next("serve"));
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(old.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
 
     /** Nothing ran behind a refused connection: its client is told that a repeat is harmless, also for a load. */
     @Test
     void aLoadThatMeetsRefusedConnectionsOnlyIsRefusedAndNotFailed() throws Exception {
-        start(PATIENT, Peers.freePort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        start(PATIENT, ScriptedPeers.freePort(), "\"cancelling\":true", LOAD);
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
-        assertThat(c.answer()).isEqualTo(Peers.Kind.REFUSED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED);
     }
 
     /** The old one's connection is not the new one's, and what is out there is answered there. */
     @Test
     void aNewEngineAtTheAddressOfOneThatHasGoneIsDialledAnew() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client watch = client();
-        Peers.Client c = client();
+        ScriptedPeers.Client watch = client();
+        ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
-        Peers.Engine.Command old = engine.next("serve");
+        ScriptedPeers.Engine.Command old = engine.next("serve");
         changes.answers.add(news(2, member("s-1", "removed", engine.server.getLocalPort()),
                 member("s-2", "up", engine.server.getLocalPort())));
         until(watch, "held.engines", "2"); // the old one is kept for what is out
         c.call(2, request("load", 2));
-        Peers.Engine.Command next = engine.next("serve");
+        ScriptedPeers.Engine.Command next = engine.next("serve");
         assertThat(next.from()).isNotSameAs(old.from());
         done(next);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         done(old);
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
     /** What a whole list does not name is gone, as if its removal had been told. */
     @Test
     void whatWaitsForAnEngineThatAWholeListLeavesOutGoesElsewhere() throws Exception {
-        Peers.HeldEngine held = held();
-        Peers.Client c = waitsFor(held, true);
-        Peers.Client watch = client();
+        ScriptedPeers.UnconnectableEngine held = held();
+        ScriptedPeers.Client c = waitsFor(held, true);
+        ScriptedPeers.Client watch = client();
         changes.answers.add(news(2, member("s-2", "up", engine.server.getLocalPort())).replace("\"complete\":false",
                 "\"complete\":true"));
         done(engine.next("serve"));
-        assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         held.release();
         isIdleUnasked(watch, held);
     }
@@ -442,10 +442,10 @@
     @Test
     void whatAnEngineSaysBesideItsAnswerReachesNoClient() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         for (int i = 1; i <= 3; i++) {
             c.call(i, request("load", i));
-            Peers.Engine.Command serve = engine.next("serve");
+            ScriptedPeers.Engine.Command serve = engine.next("serve");
             serve.answer("00000000000000ff", "DONE", "count=1", "odd\ta\tb\n");
             serve.answer(serve.id(), "DONE", "count=1", "row" + i + "\ta\tb\n");
             serve.answer(serve.id(), "DONE", "count=1", "again" + i + "\ta\tb\n");
@@ -457,15 +457,15 @@
     @Test
     void aLoadOfWhichHalfAnAnswerCameIsFailedWhenItsConnectionEndsOrStops() throws Exception {
         start(PATIENT + "links {\n midway 100ms\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         for (boolean ends : new boolean[] {true, false}) {
             c.call(ends ? 1 : 2, request("load", ends ? 1 : 2));
-            Peers.Engine.Command serve = engine.next("serve");
+            ScriptedPeers.Engine.Command serve = engine.next("serve");
             serve.raw("*4\r\n$16\r\n" + serve.id() + "\r\n$4\r\nDO");
             if (ends) {
                 serve.from().close();
             }
-            assertThat(c.answer()).isEqualTo(Peers.Kind.FAILED);
+            assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.FAILED);
         }
         assertThat(engine.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
@@ -474,15 +474,15 @@
     @Test
     void aShortDeadlineIsKeptAndALateAnswerIsDropped() throws Exception {
         start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        Peers.Client c = client();
+        ScriptedPeers.Client c = client();
         Map<String, String> brief = request("load", 1);
         brief.put("limit", "1000");
         c.call(1, brief);
-        Peers.Engine.Command late = engine.next("serve");
-        assertThat(c.answer()).isEqualTo(Peers.Kind.FAILED);
+        ScriptedPeers.Engine.Command late = engine.next("serve");
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.FAILED);
         done(late);
         c.call(2, request("load", 2));
-        Peers.Engine.Command next = engine.next("serve");
+        ScriptedPeers.Engine.Command next = engine.next("serve");
         next.answer(next.id(), "DONE", "count=1", "next\ta\tb\n");
         assertThat(new String(c.frame(), StandardCharsets.ISO_8859_1)).contains("next\ta\tb\n");
     }
--- a/frontend/src/test/java/quincespar/program/DescriptorsIT.java
+++ b/frontend/src/test/java/quincespar/program/DescriptorLimitIT.java
@@ -25,40 +25,40 @@
 
 /** The jar as {@code run} starts it, with few descriptors, which idle clients fill while the change log is down. */
 @Timeout(120)
-class DescriptorsIT {
+class DescriptorLimitIT {
     private static final int DESCRIPTORS = 128, CROWD = 300;
 
     @Test
     void enginesTheSecondAddressAndTheChangeLogAreReachedAmidIdleClients(@TempDir Path folder) throws Exception {
-        Peers.Engine engine = new Peers.Engine();
-        int port = Peers.freePort();
-        int admin = Peers.freePort();
-        int changeLog = Peers.freePort(); // down: nothing listens there
+        ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
+        int port = ScriptedPeers.freePort();
+        int admin = ScriptedPeers.freePort();
+        int changeLog = ScriptedPeers.freePort(); // down: nothing listens there
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":%d,"memory_mb":144},
              "changelog":"127.0.0.1:%d","known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,
              "members":[{"id":"s-1","host_port":"127.0.0.1:%d","phase":"up","size":4}]}}]},
              "settings":{"tick":5,"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":50,"share":1}],"requestClasses":[%s]}}
-            """.formatted(port, DESCRIPTORS, changeLog, engine.server.getLocalPort(), Peers.LOAD));
-        Process p = Peers.run("ulimit -n " + DESCRIPTORS + "; ", file, admin, Files.createDirectory(folder.resolve("tmp")),
+            """.formatted(port, DESCRIPTORS, changeLog, engine.server.getLocalPort(), ScriptedPeers.LOAD));
+        Process p = ScriptedPeers.startProcess("ulimit -n " + DESCRIPTORS + "; ", file, admin, Files.createDirectory(folder.resolve("tmp")),
                 folder.resolve("log"));
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger connected = new AtomicInteger();
         CompletableFuture<Void> crowd = null;
         try {
-            Peers.untilReady(admin);
-            crowd = Peers.beside(() -> crowd(port, connected, over));
+            ScriptedPeers.awaitReady(admin);
+            crowd = ScriptedPeers.runAsync(() -> crowd(port, connected, over));
             while (connected.get() < 2 * CROWD) { // all of them, and as many again in place of those that were closed
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
-            CompletableFuture<Void> answering = Peers.beside(() -> {
-                Peers.Engine.Command c = engine.next("serve");
+            CompletableFuture<Void> answering = ScriptedPeers.runAsync(() -> {
+                ScriptedPeers.Engine.Command c = engine.next("serve");
                 c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
             });
-            assertThat(askedUntilHeard(port)).isEqualTo(Peers.Kind.SERVED);
+            assertThat(askedUntilHeard(port)).isEqualTo(ScriptedPeers.Kind.SERVED);
             answering.join();
-            assertThat(Peers.status(admin)).isEqualTo(200);
+            assertThat(ScriptedPeers.status(admin)).isEqualTo(200);
             assertThat(asked(changeLog)).startsWith("GET /changes?since=1&");
             assertThat(p.isAlive()).isTrue();
         } finally {
@@ -71,13 +71,13 @@
     }
 
     /** A connection may be shut unread in such a crowd: then a client asks again on a new one. */
-    private static Peers.Kind askedUntilHeard(int port) {
+    private static ScriptedPeers.Kind askedUntilHeard(int port) {
         for (int i = 1; ; i++) {
-            try (Peers.Client c = new Peers.Client(port)) {
-                c.call(1, Peers.fields("load", String.format("%016x", i)));
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
+                c.call(1, ScriptedPeers.fields("load", String.format("%016x", i)));
                 return c.answer();
             } catch (IOException shut) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
         }
     }
--- a/frontend/src/test/java/quincespar/program/StoriesTest.java
+++ b/frontend/src/test/java/quincespar/program/FrontEndTest.java
@@ -21,12 +21,12 @@
 /** The whole program over loopback against scripted peers, one story for each failure met. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @Timeout(60)
-class StoriesTest {
+class FrontEndTest {
     private static final Map<String, String> LOOKUP = Map.of("verb", "lookup", "txn", "9b1f03aa5c7e2d41", "limit",
             "3000", "team", "acme", "cpu", "1200.0", "heap_mb", "9");
 
-    private Peers.Engine engine;
-    private Peers.Changes changes;
+    private ScriptedPeers.Engine engine;
+    private ScriptedPeers.ChangeLog changes;
     private FrontEnd frontEnd;
     private Thread running;
     private Path file;
@@ -36,9 +36,9 @@
     @BeforeAll
     @Timeout(60) // the class's own is for its stories only
     void start(@TempDir Path folder) throws Exception {
-        engine = new Peers.Engine();
-        changes = new Peers.Changes();
-        port = Peers.freePort();
+        engine = new ScriptedPeers.Engine();
+        changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
         file = folder.resolve("config.json");
         Files.writeString(file, """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"8c1f30d27a5be964","limits":{"sockets":64},
@@ -60,28 +60,28 @@
             }
         });
         running.start();
-        Peers.untilHealthy(port);
+        ScriptedPeers.awaitHealthy(port);
     }
 
     /** Last, so that it is a story too: what was taken before the word to stop is answered after it. */
     @AfterAll
     @Timeout(60)
     void whatWasTakenIsAnsweredBeforeTheEnd() throws Exception {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
-            Peers.Engine.Command serve = engine.next("serve");
+            ScriptedPeers.Engine.Command serve = engine.next("serve");
             Thread leaving = new Thread(() -> {
                 try {
-                    frontEnd.leave();
+                    frontEnd.shutDown();
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
             leaving.start();
             while (c.healthy()) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
-            try (Peers.Client late = new Peers.Client(port)) { // clients come for a while yet
+            try (ScriptedPeers.Client late = new ScriptedPeers.Client(port)) { // clients come for a while yet
                 late.call(1, with("txn", "00000000000000bb"));
                 engine.next("serve").answer("00000000000000bb", "DONE", "count=1", "late\ta\tb\n");
                 assertThat(text(late.frame())).contains("late\ta\tb\n");
@@ -117,11 +117,11 @@
 
     @Test
     void allPagesAreServedInOrder() throws Exception {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             Map<String, String> load = lookup(); // what may not run twice: the module cuts none on a slow machine
             load.put("verb", "load");
             c.call(1, load);
-            Peers.Engine.Command serve = engine.next("serve");
+            ScriptedPeers.Engine.Command serve = engine.next("serve");
             assertThat(serve.words().get(2)).matches("queue=load,budget=\\d+");
             assertThat(serve.words().get(3)).isEqualTo("SELECT 1 FROM sales_3.t");
             serve.answer(serve.id(), "TELL", "detail=share,reading=0.5", "");
@@ -135,11 +135,11 @@
 
     @Test
     void closesAreCountedByTheirCause() throws Exception {
-        try (Peers.Client silent = new Peers.Client(port); Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client silent = new ScriptedPeers.Client(port); ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThatThrownBy(silent::frame).isInstanceOf(IOException.class); // it has said nothing for too long
-            try (Peers.Client again = new Peers.Client(port)) {
+            try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                 while (!again.counters().containsKey("closed.nothing_open")) { // counted once the socket is closed
-                    Peers.goOnWaiting();
+                    ScriptedPeers.spin();
                 }
             }
         }
@@ -148,7 +148,7 @@
     @Test
     void aClientThatLeavesHasItsAttemptCancelled() throws Exception {
         String id;
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
             id = engine.next("serve").id();
         }
@@ -157,17 +157,17 @@
 
     @Test
     void whatCannotBeUsedGetsAnApplicationExceptionAndNothingElseEnds() throws Exception {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (Map<String, String> wrong : java.util.List.of(with("verb", "odd"), with("team", "odd"),
                     with("limit", "-1"), with("limit", "99999"), with("cpu", "much"), with("cpu", "NaN"),
                     with("heap_mb", "99999999"), with("txn", "short"), without("txn"), without("cpu"))) {
-                try (Peers.Client bad = new Peers.Client(port)) {
+                try (ScriptedPeers.Client bad = new ScriptedPeers.Client(port)) {
                     bad.call(1, wrong);
                     assertThat(bad.frame()[3]).isEqualTo((byte) 3);
                     assertThatThrownBy(bad::frame).isInstanceOf(IOException.class); // it would try again for good
                 }
             }
-            try (Peers.Client malformed = new Peers.Client(port)) {
+            try (ScriptedPeers.Client malformed = new ScriptedPeers.Client(port)) {
                 malformed.raw(new byte[] {0, 0, 0, 4, 1, 2, 3, 4});
                 assertThat(malformed.frame()[3]).isEqualTo((byte) 3); // it is told so, and then its connection ends
                 assertThatThrownBy(malformed::frame).isInstanceOf(IOException.class);
@@ -178,10 +178,10 @@
 
     @Test
     void aMalformedAnswerEndsItsConnectionOnlyAndTheQueryIsTriedAgain() throws Exception {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
             engine.next("serve").raw("+nonsense\r\n");
-            Peers.Engine.Command again = engine.next("serve");
+            ScriptedPeers.Engine.Command again = engine.next("serve");
             again.answer(again.id(), "DONE", "count=1", "row\ta\tb\n");
             assertThat(text(c.frame())).contains("row\ta\tb\n");
         }
@@ -194,32 +194,32 @@
         for (int i = 0; i < 3; i++) {
             assertThat(changes.questions.take()).startsWith("GET /changes?since=1&timeout=");
         }
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.healthy()).isTrue();
         }
     }
 
     @Test
     void aNewConfigurationIsTakenWhileServing() throws Exception {
-        Peers.Changes moved = new Peers.Changes();
+        ScriptedPeers.ChangeLog moved = new ScriptedPeers.ChangeLog();
         String old = Files.readString(file);
         Files.writeString(file, "{");
-        frontEnd.hangup();
-        try (Peers.Client c = new Peers.Client(port)) {
+        frontEnd.requestReload();
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             while (!c.counters().get("configurations.refused").equals("1")) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
         }
         Files.writeString(file, old.replace("\"changelog\":\"127.0.0.1:" + changes.server.getLocalPort(),
                 "\"changelog\":\"127.0.0.1:" + moved.server.getLocalPort()));
-        frontEnd.hangup();
+        frontEnd.requestReload();
         assertThat(moved.questions.take()).startsWith("GET /changes?since=1&timeout=");
         Files.writeString(file, old);
-        frontEnd.hangup(); // and back again, as the other stories need the old one
+        frontEnd.requestReload(); // and back again, as the other stories need the old one
         while (changes.questions.poll(10, java.util.concurrent.TimeUnit.MILLISECONDS) == null) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.healthy()).isTrue();
         }
     }
@@ -227,13 +227,13 @@
     /** Bound early, it would be handed connections that wait until the warm-up is over, beside a process that could serve. */
     @Test
     void theClientsAddressIsBoundByTheStartAndNotBefore(@TempDir Path folder) throws Exception {
-        int other = Peers.freePort();
+        int other = ScriptedPeers.freePort();
         Path copy = Files.writeString(folder.resolve("config.json"), Files.readString(file).replace(
                 "127.0.0.1:" + port + "\"", "127.0.0.1:" + other + "\""));
         FrontEnd waiting = new FrontEnd(Map.of("GW_CONFIG", copy.toString()), Settings.defaults(),
                 Logs.start(Settings.defaults()));
-        assertThatThrownBy(() -> new Peers.Client(other)).isInstanceOf(java.net.ConnectException.class);
-        waiting.leave(); // it has taken nothing, so it ends at once
+        assertThatThrownBy(() -> new ScriptedPeers.Client(other)).isInstanceOf(java.net.ConnectException.class);
+        waiting.shutDown(); // it has taken nothing, so it ends at once
     }
 
     @Test
--- a/frontend/src/test/java/quincespar/program/LifecycleTest.java
+++ b/frontend/src/test/java/quincespar/program/LifecycleTest.java
@@ -14,9 +14,9 @@
     private static void happen(Lifecycle l, Happens what) {
         switch (what) {
             case SERVES -> l.enter(Phase.SERVING);
-            case LISTED -> l.listed(true);
-            case TERM_ALONE -> l.leave(false);
-            case TERM_BESIDE -> l.leave(true);
+            case LISTED -> l.setEngineAvailable(true);
+            case TERM_ALONE -> l.stop(false);
+            case TERM_BESIDE -> l.stop(true);
             case SETTLED -> l.enter(Phase.SETTLING);
             case ALL_ANSWERED -> l.enter(Phase.FINISHING);
             default -> l.enter(Phase.STOPPED);
@@ -63,13 +63,13 @@
     @Test
     void othersAreToldBeforeTheYesIsSaid() {
         Lifecycle l = new Lifecycle();
-        l.listed(true);
+        l.setEngineAvailable(true);
         List<String> order = new ArrayList<>();
         assertThat(l.serve(() -> order.add("told, ready " + l.ready()), () -> order.add("taken back"))).isTrue();
         assertThat(order).containsExactly("told, ready false");
         assertThat(l.ready()).isTrue();
         Lifecycle stopped = new Lifecycle();
-        assertThat(stopped.serve(() -> stopped.leave(false), () -> order.add("taken back"))).isFalse();
+        assertThat(stopped.serve(() -> stopped.stop(false), () -> order.add("taken back"))).isFalse();
         assertThat(order).containsExactly("told, ready false", "taken back");
         assertThat(stopped.ready()).isFalse();
     }
@@ -77,13 +77,13 @@
     @Test
     void aWordToStopBeforeItServesEndsItAtOnceAndOnlyTheFirstWordCounts() {
         Lifecycle l = new Lifecycle();
-        assertThat(l.leave(true)).isTrue();
+        assertThat(l.stop(true)).isTrue();
         assertThat(l.phase()).isEqualTo(Phase.STOPPED);
-        assertThat(l.leave(false)).isFalse();
+        assertThat(l.stop(false)).isFalse();
         Lifecycle serving = new Lifecycle();
         serving.enter(Phase.SERVING);
-        assertThat(serving.leave(true)).isTrue();
-        assertThat(serving.leave(false)).isFalse();
+        assertThat(serving.stop(true)).isTrue();
+        assertThat(serving.stop(false)).isFalse();
         assertThat(serving.phase()).isEqualTo(Phase.YIELDING);
     }
 }
--- a/frontend/src/test/java/quincespar/program/FiguresStoryTest.java
+++ b/frontend/src/test/java/quincespar/program/MetricsTest.java
@@ -17,18 +17,18 @@
 
 /** The figures against what scripted peers saw: once all is quiet they agree exactly. */
 @Timeout(60)
-class FiguresStoryTest {
+class MetricsTest {
     private final Map<String, Integer> seen = new HashMap<>();
-    private Peers.Engine engine;
+    private ScriptedPeers.Engine engine;
     private int admin;
     private int port;
     private int asked;
 
     private void start(Path folder) throws Exception {
-        engine = new Peers.Engine();
-        Peers.Changes changes = new Peers.Changes();
-        port = Peers.freePort();
-        admin = Peers.freePort();
+        engine = new ScriptedPeers.Engine();
+        ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
+        admin = ScriptedPeers.freePort();
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","admin_addr":"127.0.0.1:%d","seed":"1","limits":{"sockets":128},
              "changelog":"127.0.0.1:%d","known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,
@@ -50,7 +50,7 @@
         });
         running.setDaemon(true);
         running.start();
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
     }
 
     private Map<String, String> fields(String verb) {
@@ -59,15 +59,15 @@
     }
 
     /** Has one request sent, and takes it at the engine. */
-    private Peers.Engine.Command taken(Peers.Client c, String verb) throws Exception {
+    private ScriptedPeers.Engine.Command taken(ScriptedPeers.Client c, String verb) throws Exception {
         c.call(1, fields(verb));
-        Peers.Engine.Command serve = engine.next("serve");
+        ScriptedPeers.Engine.Command serve = engine.next("serve");
         seen.merge("sends", 1, Integer::sum);
         return serve;
     }
 
     /** What the client was told: a result, Busy, or Failed, by the number of the answer's field. */
-    private void told(Peers.Client c, String verb) throws IOException {
+    private void told(ScriptedPeers.Client c, String verb) throws IOException {
         byte[] frame = c.frame(); // strict binary: version and type, name, number, then the field's type and number
         int name = frame[7];
         int field = frame[8 + name + 4 + 2];
@@ -88,42 +88,42 @@
     void theFiguresAreWhatPeersSaw(@TempDir Path folder) throws Exception {
         start(folder);
         for (String verb : new String[] {"lookup", "load", "lookup"}) {
-            try (Peers.Client c = new Peers.Client(port)) { // served
-                Peers.Engine.Command serve = taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // served
+                ScriptedPeers.Engine.Command serve = taken(c, verb);
                 serve.answer(serve.id(), "DONE", "count=1", "row\ta\tb\n");
                 told(c, verb);
             }
-            try (Peers.Client c = new Peers.Client(port)) { // an error: it may have run, and one attempt is all
-                Peers.Engine.Command serve = taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // an error: it may have run, and one attempt is all
+                ScriptedPeers.Engine.Command serve = taken(c, verb);
                 serve.answer(serve.id(), "BROKE", "-", "");
                 told(c, verb);
             }
-            try (Peers.Client c = new Peers.Client(port)) { // turned away by the engine: it never ran
-                Peers.Engine.Command serve = taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // turned away by the engine: it never ran
+                ScriptedPeers.Engine.Command serve = taken(c, verb);
                 serve.answer(serve.id(), "WAIT", "-", "");
                 told(c, verb);
             }
-            try (Peers.Client c = new Peers.Client(port)) { // a spoilt answer
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a spoilt answer
                 taken(c, verb).raw("+nonsense\r\n");
                 told(c, verb);
             }
-            try (Peers.Client c = new Peers.Client(port)) { // a lost link
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a lost link
                 taken(c, verb).from().close();
                 told(c, verb);
             }
-            try (Peers.Client c = new Peers.Client(port)) { // one that goes away: in none of the states
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // one that goes away: in none of the states
                 taken(c, verb);
             }
             assertThat(engine.next("cancel")).isNotNull();
         }
-        try (Peers.Client c = new Peers.Client(port)) { // open: taken, and not ended
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // open: taken, and not ended
             taken(c, "load");
             while (!figures().get("gw_current").equals("1")) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
         }
         while (!figures().get("gw_current").equals("0")) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
         Map<String, String> told = figures();
         for (String verb : new String[] {"lookup", "load"}) {
--- a/frontend/src/test/java/quincespar/program/SiblingsTest.java
+++ b/frontend/src/test/java/quincespar/program/ProcessLocksTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What processes of one front end know of each other; that a killed one gives its locks back is the system's word. */
-class SiblingsTest {
+class ProcessLocksTest {
     @TempDir
     private Path folder;
 
-    private Siblings join() {
+    private ProcessLocks join() {
         return join(8080);
     }
 
-    private Siblings join(int port) {
-        return Siblings.join(Map.of("TMPDIR", folder.toString()), listen(port));
+    private ProcessLocks join(int port) {
+        return ProcessLocks.acquire(Map.of("TMPDIR", folder.toString()), listen(port));
     }
 
     private static InetSocketAddress listen(int port) {
@@ -30,28 +30,28 @@
     /** A front end at another address may use the same folder: taken for a new version it would have the clients moved to it. */
     @Test
     void oneAtAnotherAddressIsNoSibling() throws IOException {
-        try (Siblings one = join(8080); Siblings other = join(8081)) {
-            other.serves();
-            assertThat(one.beside()).isFalse();
-            assertThat(one.othersServe()).isFalse();
+        try (ProcessLocks one = join(8080); ProcessLocks other = join(8081)) {
+            other.markServing();
+            assertThat(one.othersAlive()).isFalse();
+            assertThat(one.othersServing()).isFalse();
         }
     }
 
     @Test
     void oneThatLivesIsSeenAndOneThatServesIsToldApart() throws IOException {
-        Siblings first = join();
-        assertThat(first.beside()).isFalse();
-        try (Siblings second = join()) {
-            assertThat(first.beside()).isTrue();
-            assertThat(second.beside()).isTrue();
-            assertThat(first.othersServe()).isFalse();
-            second.serves();
-            assertThat(first.othersServe()).isTrue();
-            assertThat(second.othersServe()).isFalse();
-            second.leaves();
-            assertThat(first.othersServe()).isFalse();
+        ProcessLocks first = join();
+        assertThat(first.othersAlive()).isFalse();
+        try (ProcessLocks second = join()) {
+            assertThat(first.othersAlive()).isTrue();
+            assertThat(second.othersAlive()).isTrue();
+            assertThat(first.othersServing()).isFalse();
+            second.markServing();
+            assertThat(first.othersServing()).isTrue();
+            assertThat(second.othersServing()).isFalse();
+            second.clearServing();
+            assertThat(first.othersServing()).isFalse();
         }
-        assertThat(first.beside()).isFalse();
+        assertThat(first.othersAlive()).isFalse();
     }
 
     @Test
@@ -59,11 +59,11 @@
         for (int i = 0; i < 8; i++) {
             Files.writeString(folder.resolve("quincespar-127.0.0.1_8080-" + i + ".lock"), "left over");
         }
-        try (Siblings alone = join()) {
-            assertThat(alone.beside()).isFalse();
-            assertThat(alone.othersServe()).isFalse();
-            try (Siblings second = join()) {
-                assertThat(second.beside()).isTrue();
+        try (ProcessLocks alone = join()) {
+            assertThat(alone.othersAlive()).isFalse();
+            assertThat(alone.othersServing()).isFalse();
+            try (ProcessLocks second = join()) {
+                assertThat(second.othersAlive()).isTrue();
             }
         }
     }
@@ -72,10 +72,10 @@
     void withoutAFolderThereIsNoWordOfOthers() throws IOException {
         for (Map<String, String> none : java.util.List.of(Map.<String, String>of(),
                 Map.of("TMPDIR", folder.resolve("none").toString()))) {
-            try (Siblings alone = Siblings.join(none, listen(8080))) {
-                alone.serves();
-                assertThat(alone.beside()).isFalse();
-                alone.leaves();
+            try (ProcessLocks alone = ProcessLocks.acquire(none, listen(8080))) {
+                alone.markServing();
+                assertThat(alone.othersAlive()).isFalse();
+                alone.clearServing();
             }
         }
     }
--- a/frontend/src/test/java/quincespar/program/RestartTest.java
+++ b/frontend/src/test/java/quincespar/program/RestartUnderIdleConnectionsTest.java
@@ -28,7 +28,7 @@
  * delay the end.
  */
 @Timeout(60)
-class RestartTest {
+class RestartUnderIdleConnectionsTest {
     private static final int CROWD = 300;
     private static final int CLIENTS = 20;
 
@@ -38,9 +38,9 @@
 
     @Test
     void noRequestIsLostInARestartAmidASilentCrowd(@TempDir Path folder) throws Exception {
-        Peers.Engine engine = new Peers.Engine();
-        Peers.Changes changes = new Peers.Changes();
-        int port = Peers.freePort();
+        ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
+        ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
+        int port = ScriptedPeers.freePort();
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":384,"memory_mb":144},
              "changelog":"127.0.0.1:%d","known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,
@@ -61,7 +61,7 @@
             return null;
         });
         pool.submit(() -> serveAll(engine));
-        Peers.untilHealthy(port);
+        ScriptedPeers.awaitHealthy(port);
         List<Socket> crowd = new ArrayList<>();
         Future<?> crowding = pool.submit(() -> crowd(port, crowd));
         List<Future<?>> clients = new ArrayList<>();
@@ -70,15 +70,15 @@
             clients.add(pool.submit(() -> client(port, number)));
         }
         while (answered.get() < 5 * CLIENTS) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
         Future<?> leaving = pool.submit(() -> {
-            frontEnd.leave();
+            frontEnd.shutDown();
             return null;
         });
         int before = answered.get();
         while (answered.get() < before + CLIENTS) { // requests keep coming for a while after the word to stop
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
         stopping.set(true);
         join(clients);
@@ -99,9 +99,9 @@
         }
     }
 
-    private Void serveAll(Peers.Engine engine) throws InterruptedException {
+    private Void serveAll(ScriptedPeers.Engine engine) throws InterruptedException {
         while (true) {
-            Peers.Engine.Command c = engine.commands.take();
+            ScriptedPeers.Engine.Command c = engine.commands.take();
             if (c.words().get(0).equals("serve")) {
                 c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
             }
@@ -125,7 +125,7 @@
     /** Asks on a connection of its own, again and again, a new connection every fifth time. */
     private Void client(int port, int number) throws IOException {
         for (int round = 0; !stopping.get(); round++) {
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 for (int i = 1; i <= 5 && !stopping.get(); i++) {
                     c.call(i, Map.of("verb", "lookup", "txn", String.format("%08x%08x", number, round * 8 + i),
                             "limit", "4000", "team", "acme", "cpu", "10.0", "heap_mb", "1"));
--- a/frontend/src/test/java/quincespar/program/ListedServers.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedChangeLog.java
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /** Servers that come and drain, and the change log that tells of them: each question is answered by what came after it. */
-final class ListedServers {
+final class ScriptedChangeLog {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Length: ";
-    final ServerSocket changeLog = Peers.listen(this::play);
+    final ServerSocket changeLog = ScriptedPeers.listen(this::play);
     /** The same change log at another address. */
-    final ServerSocket moved = Peers.listen(this::play);
+    final ServerSocket moved = ScriptedPeers.listen(this::play);
     private final List<String> events = new ArrayList<>();
     private final Map<String, Long> drainedAt = new ConcurrentHashMap<>();
 
-    ListedServers() throws IOException { }
+    ScriptedChangeLog() throws IOException { }
 
     static String member(String id, int port, String phase) {
         return "{\"id\":\"%s\",\"host_port\":\"127.0.0.1:%d\",\"phase\":\"%s\",\"size\":4}".formatted(id, port, phase);
--- a/frontend/src/test/java/quincespar/program/Peers.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedPeers.java
@@ -26,8 +26,8 @@
 import quincespar.protocol.thrift.FrontCodec;
 
 /** Scripted peers on loopback: an engine, a change log, a client. */
-final class Peers {
-    private Peers() { }
+final class ScriptedPeers {
+    private ScriptedPeers() { }
 
     /** A port that nothing listens at now. */
     static int freePort() throws IOException {
@@ -37,7 +37,7 @@
     }
 
     /** Waits until the front end there says that it can serve; it binds its address only then. */
-    static void untilHealthy(int port) {
+    static void awaitHealthy(int port) {
         while (true) {
             try (Client c = new Client(port)) {
                 if (c.healthy()) {
@@ -46,12 +46,12 @@
             } catch (IOException e) { // not yet bound
                 Thread.onSpinWait();
             }
-            goOnWaiting();
+            spin();
         }
     }
 
     /** Between two looks at a condition. Guards against a wait without end: a test's time-out interrupts it. */
-    static void goOnWaiting() {
+    static void spin() {
         if (Thread.currentThread().isInterrupted()) {
             throw new AssertionError("what is waited for did not come in time");
         }
@@ -71,9 +71,9 @@
     }
 
     /** Waits for a second address's yes. */
-    static void untilReady(int port) {
+    static void awaitReady(int port) {
         while (status(port) != 200) {
-            goOnWaiting();
+            spin();
         }
     }
 
@@ -82,7 +82,7 @@
     static final String LOAD = LOOKUP.replace("lookup", "load").replace("safe", "unsafe");
 
     /** A configuration with one engine and these classes. */
-    static String configuration(int port, Changes changes, Engine engine, String... classes) {
+    static String configuration(int port, ChangeLog changes, Engine engine, String... classes) {
         return """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":64},"changelog":"127.0.0.1:%d",
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,
@@ -103,7 +103,7 @@
     }
 
     /** Runs it on a thread of its own. */
-    static CompletableFuture<Void> beside(Part part) {
+    static CompletableFuture<Void> runAsync(Part part) {
         return CompletableFuture.runAsync(() -> {
             try {
                 part.run();
@@ -114,7 +114,7 @@
     }
 
     /** The deploy file's command line, from the root of the repository, with a second address of its own; {@code first} comes before it. */
-    static Process run(String first, Path configuration, int admin, Path tmp, Path log) throws IOException {
+    static Process startProcess(String first, Path configuration, int admin, Path tmp, Path log) throws IOException {
         Path root = Path.of("").toAbsolutePath().getParent();
         String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run = "))
                 .map(l -> l.substring(l.indexOf('"') + 1, l.lastIndexOf('"'))).findFirst().orElseThrow();
@@ -125,7 +125,7 @@
     }
 
     /** SIGTERM. */
-    static void term(Process p) {
+    static void terminate(Process p) {
         p.destroy();
     }
 
@@ -223,14 +223,14 @@
      * An engine whose connections do not come up: the system's queue in front of it is full, so that it takes no more.
      * Nothing else tells a connect that is under way from one that is refused.
      */
-    static final class HeldEngine implements AutoCloseable {
+    static final class UnconnectableEngine implements AutoCloseable {
         private static final int BACKLOG = 1;
         final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         private final List<Socket> fillers = new ArrayList<>();
         private final List<Socket> taken = new ArrayList<>();
         private final StringBuilder heard = new StringBuilder();
 
-        HeldEngine() throws IOException {
+        UnconnectableEngine() throws IOException {
             for (int i = 0; i <= BACKLOG; i++) { // the system takes one more than it is told
                 fillers.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
@@ -275,13 +275,13 @@
      * Answers each question with the next text that the test gives. Those of a start, which hardly wait, are answered with
      * nothing new where the test gives none, and are not among the questions then.
      */
-    static final class Changes {
+    static final class ChangeLog {
         private static final int LEAST_WAIT_MS = 200;
         final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         final BlockingQueue<String> questions = new LinkedBlockingQueue<>();
         final ServerSocket server = listen(this::play);
 
-        Changes() throws IOException { }
+        ChangeLog() throws IOException { }
 
         private void play(Socket s) throws IOException {
             DataInputStream in = new DataInputStream(new BufferedInputStream(s.getInputStream()));
@@ -390,7 +390,7 @@
         }
 
         /** Waits for the other side to end it; false where something else comes. */
-        boolean untilEnd() throws IOException {
+        boolean awaitEnd() throws IOException {
             return in.read() < 0;
         }
 
--- a/frontend/src/test/java/quincespar/program/StatusAddressTest.java
+++ b/frontend/src/test/java/quincespar/program/StatusServerTest.java
@@ -21,7 +21,7 @@
 
 /** The second address over loopback, with nothing behind it: what callers of every kind get. */
 @Timeout(60)
-class StatusAddressTest {
+class StatusServerTest {
     private final AtomicBoolean ready = new AtomicBoolean();
     private int port;
 
@@ -31,7 +31,7 @@
     }
 
     private void start(double longestMs) throws IOException {
-        port = Peers.freePort();
+        port = ScriptedPeers.freePort();
         new StatusAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Timers(i -> { }), longestMs,
                 ready::get, () -> "gw_current 3\n").start();
     }
--- a/frontend/src/test/java/quincespar/program/SystemCallFaults.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaults.java
@@ -83,9 +83,9 @@
         }
 
         /** Waits until it has failed so many calls. */
-        void untilStruck(long times) {
+        void awaitStruck(long times) {
             while (struck() < times) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
         }
 
--- a/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
@@ -35,9 +35,9 @@
 
     @TempDir
     private Path folder;
-    private Peers.Engine draining;
-    private Peers.Engine other;
-    private Peers.Changes changes;
+    private ScriptedPeers.Engine draining;
+    private ScriptedPeers.Engine other;
+    private ScriptedPeers.ChangeLog changes;
     private SystemCallFaults faults;
     private int port;
     private int admin;
@@ -46,12 +46,12 @@
 
     @BeforeEach
     void peers() throws IOException, InterruptedException {
-        draining = new Peers.Engine();
-        other = new Peers.Engine();
-        changes = new Peers.Changes();
+        draining = new ScriptedPeers.Engine();
+        other = new ScriptedPeers.Engine();
+        changes = new ScriptedPeers.ChangeLog();
         faults = SystemCallFaults.in(folder);
-        port = Peers.freePort();
-        admin = Peers.freePort();
+        port = ScriptedPeers.freePort();
+        admin = ScriptedPeers.freePort();
         serveAll("s-1", draining);
         serveAll("s-2", other);
     }
@@ -61,11 +61,11 @@
         process.destroyForcibly().waitFor();
     }
 
-    private void serveAll(String id, Peers.Engine engine) {
+    private void serveAll(String id, ScriptedPeers.Engine engine) {
         Thread t = new Thread(() -> {
             try {
                 while (true) {
-                    Peers.Engine.Command c = engine.commands.take();
+                    ScriptedPeers.Engine.Command c = engine.commands.take();
                     if (c.words().get(0).equals("serve")) {
                         reached.add(id);
                         c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
@@ -79,8 +79,8 @@
         t.start();
     }
 
-    private static String member(String id, Peers.Engine engine, String phase) {
-        return ListedServers.member(id, engine.server.getLocalPort(), phase);
+    private static String member(String id, ScriptedPeers.Engine engine, String phase) {
+        return ScriptedChangeLog.member(id, engine.server.getLocalPort(), phase);
     }
 
     private String drain() {
@@ -94,17 +94,17 @@
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,"members":[%s,%s]}}]},
              "settings":{"tick":5,"rules":{"drainGrace":1000},"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":500,"share":1}],"requestClasses":[%s,%s]}}
-            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), Peers.LOOKUP, Peers.LOAD));
+            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
     }
 
     private void launch() throws IOException {
-        process = Peers.run(faults.prefix(), configuration(changes.server.getLocalPort()), admin,
+        process = ScriptedPeers.startProcess(faults.prefix(), configuration(changes.server.getLocalPort()), admin,
                 Files.createDirectories(folder.resolve("tmp")), folder.resolve("log"));
     }
 
     private void start() throws IOException {
         launch();
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
     }
 
     private String nextQuestion() throws InterruptedException {
@@ -113,22 +113,22 @@
 
     /** Asks until both servers would have had their turn. */
     private void askAll(String verb, int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields(verb, String.format("%016x", from + i)));
-                assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+                c.call(i, ScriptedPeers.fields(verb, String.format("%016x", from + i)));
+                assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
             }
         }
     }
 
     /** Asks on one connection without waiting, so that both servers have work. */
     private void askAtOnce(int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields("lookup", String.format("%016x", from + i)));
+                c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", from + i)));
             }
             for (int i = 1; i <= 20; i++) {
-                assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+                assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
             }
         }
     }
@@ -141,7 +141,7 @@
         Fault connects = faults.fail(Call.CONNECT, Errno.EADDRNOTAVAIL, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
         changes.answers.add(drain());
-        connects.untilStruck(4);
+        connects.awaitStruck(4);
         reads.end();
         connects.end();
         long ended = System.nanoTime();
@@ -161,22 +161,22 @@
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
         changes.answers.add(drain());
-        reads.untilStruck(1);
+        reads.awaitStruck(1);
         reads.end();
         while (!Files.readString(folder.resolve("log")).contains("nothing new is sent")) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
         reached.clear();
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields("lookup", String.format("%016x", i)));
+                c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", i)));
             }
-            Peers.status(admin); // a round trip: the requests are in by now
+            ScriptedPeers.status(admin); // a round trip: the requests are in by now
             assertThat(reached).isEmpty();
             connects.end();
             changes.answers.add(drain());
             for (int i = 1; i <= 20; i++) {
-                assertThat(c.answer()).isIn(Peers.Kind.SERVED, Peers.Kind.REFUSED);
+                assertThat(c.answer()).isIn(ScriptedPeers.Kind.SERVED, ScriptedPeers.Kind.REFUSED);
             }
         }
         askAll("lookup", 100);
@@ -188,10 +188,10 @@
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changes.server.getLocalPort());
         changes.answers.add(drain());
         launch();
-        connects.untilStruck(3);
-        assertThat(Peers.status(admin)).isNotEqualTo(200);
+        connects.awaitStruck(3);
+        assertThat(ScriptedPeers.status(admin)).isNotEqualTo(200);
         connects.end();
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
         askAll("lookup", 0);
         assertThat(reached).containsOnly("s-2");
     }
@@ -201,11 +201,11 @@
         Fault opens = faults.failOpen(Errno.EIO, "config.json");
         Fault sockets = faults.fail(Call.SOCKET, Errno.ENFILE, 0);
         launch();
-        opens.untilStruck(2);
+        opens.awaitStruck(2);
         opens.end();
-        sockets.untilStruck(2);
+        sockets.awaitStruck(2);
         sockets.end();
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
         askAll("lookup", 0);
     }
 
@@ -215,9 +215,9 @@
         assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
         Fault reads = faults.failSome(Call.READ, Errno.EINTR, 0, 300, 7);
         askAll("load", 0);
-        reads.untilStruck(1);
+        reads.awaitStruck(1);
         reads.end();
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.counters()).containsEntry("links.closed", "0").containsEntry("changes.failed", "0");
         }
     }
@@ -227,9 +227,9 @@
         start();
         Fault polls = faults.failSome(Call.POLL, Errno.EINTR, 0, 700, 3);
         askAll("load", 0);
-        polls.untilStruck(1);
+        polls.awaitStruck(1);
         polls.end();
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.counters()).containsEntry("links.closed", "0").containsEntry("errors.uncaught", "0");
         }
     }
@@ -241,12 +241,12 @@
         askAll("lookup", 0); // connections to both are up
         reached.clear();
         Fault writes = faults.fail(Call.WRITE, Errno.EAGAIN, draining.server.getLocalPort());
-        CompletableFuture<Void> asking = Peers.beside(() -> {
+        CompletableFuture<Void> asking = ScriptedPeers.runAsync(() -> {
             for (int round = 1; writes.struck() == 0; round++) { // until one was meant for the server that drains
                 askAtOnce(100 * round);
             }
         });
-        writes.untilStruck(1);
+        writes.awaitStruck(1);
         changes.answers.add(drain());
         assertThat(nextQuestion()).startsWith("GET /changes?since=2&");
         writes.end();
@@ -259,30 +259,30 @@
     void whatWaitsToBeAcceptedAtTheStopIsTakenThoughAcceptFailsForAMoment(Errno error) throws Exception {
         start();
         Fault accepts = faults.fail(Call.ACCEPT, error, port);
-        try (Peers.Client c = new Peers.Client(port)) {
-            c.call(1, Peers.fields("lookup", "00000000000000aa"));
-            accepts.untilStruck(1);
-            Peers.term(process);
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
+            c.call(1, ScriptedPeers.fields("lookup", "00000000000000aa"));
+            accepts.awaitStruck(1);
+            ScriptedPeers.terminate(process);
             while (!Files.readString(folder.resolve("log")).contains("closing the listener")) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
             long before = accepts.struck();
             while (accepts.struck() < before + 1 && !c.ended()) { // it tries on, or has given the client up
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
             accepts.end();
-            assertThat(c.answer()).isIn(Peers.Kind.SERVED, Peers.Kind.REFUSED);
+            assertThat(c.answer()).isIn(ScriptedPeers.Kind.SERVED, ScriptedPeers.Kind.REFUSED);
         }
     }
 
     @Test
     void aConfigurationThatCanNotBeOpenedForAMomentIsReadAgain() throws Exception {
         start();
-        Peers.Changes moved = new Peers.Changes();
+        ScriptedPeers.ChangeLog moved = new ScriptedPeers.ChangeLog();
         configuration(moved.server.getLocalPort());
         Fault opens = faults.failOpen(Errno.ENFILE, "config.json");
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).inheritIO().start().waitFor();
-        opens.untilStruck(2);
+        opens.awaitStruck(2);
         opens.end();
         assertThat(moved.questions.poll(10, TimeUnit.SECONDS)).startsWith("GET /changes?since=1&");
     }
@@ -292,7 +292,7 @@
         start();
         Fault waits = faults.fail(Call.EPOLL_WAIT, Errno.EIO, 0);
         askUnheard();
-        waits.untilStruck(10);
+        waits.awaitStruck(10);
         waits.end();
         askAll("lookup", 0);
         assertThat(process.isAlive()).isTrue();
@@ -314,7 +314,7 @@
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int first = i * ROUNDS * 100;
-            clients.add(Peers.beside(() -> {
+            clients.add(ScriptedPeers.runAsync(() -> {
                 for (int round = 0; round < ROUNDS; round++) {
                     askForAnyAnswer(first + 100 * round);
                 }
@@ -327,9 +327,9 @@
 
     /** Each request has one answer of any kind, and none comes beside them. */
     private void askForAnyAnswer(int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields(i % 5 == 0 ? "load" : "lookup", String.format("%016x", from + i)));
+                c.call(i, ScriptedPeers.fields(i % 5 == 0 ? "load" : "lookup", String.format("%016x", from + i)));
             }
             Set<Integer> answered = new HashSet<>();
             for (int i = 1; i <= 20; i++) {
@@ -341,7 +341,7 @@
 
     /** Has the loops wake up; nothing may come back yet. */
     private void askUnheard() throws IOException {
-        Peers.Client c = new Peers.Client(port);
-        c.call(1, Peers.fields("lookup", "00000000000000bb"));
+        ScriptedPeers.Client c = new ScriptedPeers.Client(port);
+        c.call(1, ScriptedPeers.fields("lookup", "00000000000000bb"));
     }
 }
--- a/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
@@ -50,8 +50,8 @@
 
     @TempDir
     private Path folder;
-    private final ListedServers list = listed();
-    private final Deque<Peers.Engine> up = new ArrayDeque<>();
+    private final ScriptedChangeLog list = listed();
+    private final Deque<ScriptedPeers.Engine> up = new ArrayDeque<>();
     private final Deque<String> ids = new ArrayDeque<>();
     private final Queue<String> broken = new ConcurrentLinkedQueue<>();
     private final Set<String> loads = ConcurrentHashMap.newKeySet();
@@ -62,9 +62,9 @@
     private int port;
     private int servers;
 
-    private static ListedServers listed() {
+    private static ScriptedChangeLog listed() {
         try {
-            return new ListedServers();
+            return new ScriptedChangeLog();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -80,9 +80,9 @@
     }
 
     private void addServer() throws IOException {
-        Peers.Engine engine = new Peers.Engine();
+        ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
         String id = "s-" + ++servers;
-        Peers.beside(() -> serveAll(id, engine));
+        ScriptedPeers.runAsync(() -> serveAll(id, engine));
         list.tell(id, engine.server.getLocalPort(), "up");
         up.add(engine);
         ids.add(id);
@@ -92,9 +92,9 @@
         list.tell(ids.poll(), up.poll().server.getLocalPort(), "draining");
     }
 
-    private void serveAll(String id, Peers.Engine engine) throws InterruptedException {
+    private void serveAll(String id, ScriptedPeers.Engine engine) throws InterruptedException {
         while (!over) {
-            Peers.Engine.Command c = engine.commands.poll(100, TimeUnit.MILLISECONDS);
+            ScriptedPeers.Engine.Command c = engine.commands.poll(100, TimeUnit.MILLISECONDS);
             if (c == null || !c.words().get(0).equals("serve")) {
                 continue;
             }
@@ -117,12 +117,12 @@
         while (asking) {
             List<String> txns = new ArrayList<>();
             Set<Integer> open = new HashSet<>();
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 long from = System.nanoTime();
                 for (int i = 1; i <= BATCH; i++) {
                     int n = asked.incrementAndGet();
                     txns.add(String.format("%016x", n));
-                    c.call(i, Peers.fields(n % 5 == 0 ? "load" : "lookup", txns.get(i - 1)));
+                    c.call(i, ScriptedPeers.fields(n % 5 == 0 ? "load" : "lookup", txns.get(i - 1)));
                     open.add(i);
                 }
                 while (!open.isEmpty()) {
@@ -136,7 +136,7 @@
                     }
                 }
             } catch (ConnectException e) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             } catch (IOException e) {
                 broken.add("lost: " + open + " of " + txns + ": " + e.getMessage());
             }
@@ -148,7 +148,7 @@
             {"name":"n1","listen":"127.0.0.1:%d","seed":"%d","limits":{"sockets":256},"changelog":"127.0.0.1:%d","known":%s,
              "settings":{"tick":5,"rules":{"drainGrace":1000},"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":5000,"share":1}],"requestClasses":[%s,%s]}}
-            """.formatted(port, seed, changeLog, list.since(0), Peers.LOOKUP, Peers.LOAD));
+            """.formatted(port, seed, changeLog, list.since(0), ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
         return Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -179,26 +179,26 @@
     void noRuleIsBrokenWhileServersDrainAndCallsFail(int seed) throws Exception {
         Random chance = new Random(seed);
         SystemCallFaults faults = SystemCallFaults.in(folder);
-        port = Peers.freePort();
-        int admin = Peers.freePort();
+        port = ScriptedPeers.freePort();
+        int admin = ScriptedPeers.freePort();
         for (int i = 0; i < SERVERS; i++) {
             addServer();
         }
         Path file = configure(seed, list.changeLog.getLocalPort());
         Fault early = begin(faults, chance);
-        Process process = Peers.run(faults.prefix(), file, admin, Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
+        Process process = ScriptedPeers.startProcess(faults.prefix(), file, admin, Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
         try {
             TimeUnit.MILLISECONDS.sleep(EARLY_MS);
             early.end();
-            Peers.untilReady(admin);
+            ScriptedPeers.awaitReady(admin);
             List<CompletableFuture<Void>> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(Peers.beside(this::ask));
+                clients.add(ScriptedPeers.runAsync(this::ask));
             }
             play(faults, chance, seed, process.pid());
             assertThat(process.isAlive()).isTrue();
             begin(faults, chance);
-            Peers.term(process);
+            ScriptedPeers.terminate(process);
             TimeUnit.MILLISECONDS.sleep(ASKS_ON_MS);
             asking = false;
             clients.forEach(CompletableFuture::join);
--- a/frontend/src/test/java/quincespar/program/UpgradeIT.java
+++ b/frontend/src/test/java/quincespar/program/UpgradeIT.java
@@ -47,15 +47,15 @@
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
     @TempDir
     private Path folder;
-    private Peers.Engine engine;
+    private ScriptedPeers.Engine engine;
     private Path file;
     private int port;
 
     @BeforeEach
     void peers() throws Exception {
-        engine = new Peers.Engine();
-        Peers.Changes changes = new Peers.Changes();
-        port = Peers.freePort();
+        engine = new ScriptedPeers.Engine();
+        ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
         Files.createDirectory(folder.resolve("tmp"));
         file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":384,"memory_mb":144},
@@ -76,7 +76,7 @@
     }
 
     private Process start(int admin) throws IOException {
-        Process p = Peers.run("", file, admin, folder.resolve("tmp"), folder.resolve("log-" + started.size()));
+        Process p = ScriptedPeers.startProcess("", file, admin, folder.resolve("tmp"), folder.resolve("log-" + started.size()));
         started.add(p);
         return p;
     }
@@ -88,7 +88,7 @@
     /** Answers at once, loads after some milliseconds, so that some are always out. */
     private Void serveAll() throws InterruptedException {
         while (true) {
-            Peers.Engine.Command c = engine.commands.take();
+            ScriptedPeers.Engine.Command c = engine.commands.take();
             if (c.words().get(0).equals("serve")) {
                 pool.submit(() -> {
                     TimeUnit.MILLISECONDS.sleep(c.words().get(2).startsWith("queue=load") ? loadMs : lookupMs);
@@ -107,7 +107,7 @@
         Random chance = new Random(number);
         int asked = 0;
         while (!stopping.get()) {
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 for (int call = 1; !stopping.get(); call++) {
                     TimeUnit.MILLISECONDS.sleep(chance.nextInt(10));
                     if (c.ended()) {
@@ -118,7 +118,7 @@
                     if (!whole && call == 1) {
                         lost.add(txn + " met a new connection that ended");
                     } else if (!whole) {
-                        try (Peers.Client again = new Peers.Client(port)) {
+                        try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                             if (!ask(again, 1, txn)) {
                                 lost.add(txn + " met two connections that ended");
                             }
@@ -134,7 +134,7 @@
         }
     }
 
-    private boolean ask(Peers.Client c, int call, String txn) throws IOException {
+    private boolean ask(ScriptedPeers.Client c, int call, String txn) throws IOException {
         try {
             c.call(call, Map.of("verb", call % 4 == 0 ? "load" : "lookup", "txn", txn, "limit", "4000", "team", "acme",
                     "cpu", "10.0", "heap_mb", "1"));
@@ -152,16 +152,16 @@
     private void untilAnswered(int more) {
         int before = answered.get();
         while (answered.get() < before + more) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
     }
 
     @Test
     void noRequestIsLostWhenANewVersionTakesOverTwice() throws Exception {
         pool.submit(this::serveAll);
-        int admin = Peers.freePort();
+        int admin = ScriptedPeers.freePort();
         Process old = start(admin);
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 1; i <= CLIENTS; i++) {
             int number = i;
@@ -169,10 +169,10 @@
         }
         untilAnswered(20 * CLIENTS);
         for (int upgrade = 1; upgrade <= 2; upgrade++) {
-            admin = Peers.freePort();
+            admin = ScriptedPeers.freePort();
             Process next = start(admin);
-            Peers.untilReady(admin);
-            Peers.term(old);
+            ScriptedPeers.awaitReady(admin);
+            ScriptedPeers.terminate(old);
             assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue();
             assertThat(log(upgrade - 1)).contains("another process serves").contains("stopped");
             untilAnswered(20 * CLIENTS);
@@ -188,24 +188,24 @@
     /** Half a request that lay with the old process at the word to stop is no moment to end its connection. */
     @Test
     void aRequestInPiecesAndALoadThatIsOutAreFollowedToTheirAnswers() throws Exception {
-        int admin = Peers.freePort();
+        int admin = ScriptedPeers.freePort();
         Process old = start(admin);
-        Peers.untilReady(admin);
-        try (Peers.Client half = new Peers.Client(port); Peers.Client load = new Peers.Client(port);
-                Peers.Client idle = new Peers.Client(port)) {
+        ScriptedPeers.awaitReady(admin);
+        try (ScriptedPeers.Client half = new ScriptedPeers.Client(port); ScriptedPeers.Client load = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client idle = new ScriptedPeers.Client(port)) {
             load.call(1, fields("load", "00000000000000aa"));
-            Peers.Engine.Command out = engine.next("serve");
+            ScriptedPeers.Engine.Command out = engine.next("serve");
             assertThat(idle.healthy()).isTrue();
             byte[] request = FrontCodec.call(1, fields("lookup", "00000000000000bb"),
                     "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8));
             half.raw(java.util.Arrays.copyOf(request, 20));
-            int second = Peers.freePort();
+            int second = ScriptedPeers.freePort();
             start(second);
-            Peers.untilReady(second);
-            Peers.term(old);
-            assertThat(idle.untilEnd()).isTrue(); // nothing is open there: its client moves over
+            ScriptedPeers.awaitReady(second);
+            ScriptedPeers.terminate(old);
+            assertThat(idle.awaitEnd()).isTrue(); // nothing is open there: its client moves over
             half.raw(java.util.Arrays.copyOfRange(request, 20, request.length));
-            Peers.Engine.Command late = engine.next("serve");
+            ScriptedPeers.Engine.Command late = engine.next("serve");
             late.answer(late.id(), "DONE", "count=1", "late\ta\tb\n");
             assertThat(new String(half.frame(), StandardCharsets.ISO_8859_1)).contains("late\ta\tb\n");
             out.answer(out.id(), "DONE", "count=1", "row\ta\tb\n");
@@ -217,18 +217,18 @@
     @Test
     void aNewProcessThatEndsBeforeItsYesLeavesTheOldOneServing() throws Exception {
         pool.submit(this::serveAll);
-        int admin = Peers.freePort();
+        int admin = ScriptedPeers.freePort();
         start(admin);
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
         Process next = start(admin); // its second address is taken: it can't start
         assertThat(next.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(next.exitValue()).isEqualTo(1);
         assertThat(log(1).lines()).hasSize(1).first().asString().contains("admin_addr");
-        Process killed = start(Peers.freePort());
+        Process killed = start(ScriptedPeers.freePort());
         killed.destroyForcibly();
         killed.waitFor();
-        assertThat(Peers.status(admin)).isEqualTo(200);
-        try (Peers.Client c = new Peers.Client(port)) {
+        assertThat(ScriptedPeers.status(admin)).isEqualTo(200);
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(ask(c, 1, "00000000000000cc")).isTrue();
         }
         assertThat(lost).isEmpty();
@@ -249,7 +249,7 @@
         Files.writeString(file, Files.readString(file).replace("\"hardLimit\":4000", "\"hardLimit\":" + DEADLINE));
         lookupMs = 40;
         pool.submit(this::serveAll);
-        Process old = start(Peers.freePort());
+        Process old = start(ScriptedPeers.freePort());
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
             int number = i;
@@ -265,19 +265,19 @@
         int[] longs = {250, 400, 250, 250, 400, 400, 300, 20};
         untilAnswered(200);
         for (int i = 0; i < starts.length; i++) {
-            int admin = Peers.freePort();
+            int admin = ScriptedPeers.freePort();
             Process next = start(admin);
             if (starts[i].phase().equals("start")) {
                 stopped(next, starts[i].after(), starts[i].ms());
             }
-            Peers.untilReady(admin);
+            ScriptedPeers.awaitReady(admin);
             long yes = System.nanoTime();
             boolean before = words[i].phase().equals("before SIGTERM");
             if (before) {
                 signal(old, "STOP");
             }
             loadMs = 2 * KILL; // what is taken from here on is open until its time is over
-            Peers.term(old); // a stopped process hears of it when it goes on
+            ScriptedPeers.terminate(old); // a stopped process hears of it when it goes on
             long word = System.nanoTime();
             Future<?> other = starts[i].phase().equals("yes") ? inTurn(next, yes, starts[i]) : null;
             if (before) {
@@ -350,7 +350,7 @@
         while (!stopping.get()) {
             Set<Integer> open = ConcurrentHashMap.newKeySet();
             AtomicInteger last = new AtomicInteger();
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 Future<?> reader = pool.submit(() -> read(c, open, last));
                 for (int call = 1; !stopping.get() && !reader.isDone(); call++) {
                     while (open.size() >= 30 && !reader.isDone()) {
@@ -374,7 +374,7 @@
         return null;
     }
 
-    private Void read(Peers.Client c, Set<Integer> open, AtomicInteger last) {
+    private Void read(ScriptedPeers.Client c, Set<Integer> open, AtomicInteger last) {
         try {
             while (true) {
                 int call = ByteBuffer.wrap(c.frame()).getInt(12); // behind version, length and name
