--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -95,7 +95,7 @@
             } else if (effect instanceof Effect.Cancel e) {
                 inputs.add(new Input.CancelWritten(e.key()));
             } else if (effect instanceof Effect.StartTimer e
-                    && (e.key() instanceof TimerKey.Gateway
+                    && (e.key() instanceof TimerKey.Scheduler
                     || e.key() instanceof TimerKey.DecisionTick)) {
                 timers.add(new ScheduledInput(now + e.delayMs(), new Input.TimerFired(e.key())));
             }
