--- a/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
+++ b/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
@@ -16,8 +16,8 @@
 import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Plant;
 
-/** The command line. */
-@Command(name = "faultbench", description = "Starts several processes of the front end and puts faults between them.",
+/** Command line of the fault injection tool. */
+@Command(name = "faultbench", description = "Runs several processes of the front end, injects faults, and checks the recorded history.",
         mixinStandardHelpOptions = true, subcommands = Measure.class)
 public final class FaultBench implements Callable<Integer> {
     private static final int USAGE = 2;
@@ -26,37 +26,37 @@
     private CommandLine.Model.CommandSpec spec;
 
     @Option(names = "--root", paramLabel = "DIR", defaultValue = ".", scope = CommandLine.ScopeType.INHERIT,
-            description = "The root of the repository, built.")
+            description = "Root of the built repository.")
     private Path root;
 
     @Option(names = "--instances", paramLabel = "N", defaultValue = "5", scope = CommandLine.ScopeType.INHERIT,
-            description = "Processes of the program.")
+            description = "Number of processes of the program.")
     private int instances;
 
     @Option(names = "--voters", paramLabel = "N", defaultValue = "5", scope = CommandLine.ScopeType.INHERIT,
-            description = "How many of them vote.")
+            description = "Number of instances that vote.")
     private int voters;
 
     @Option(names = "--losses", scope = CommandLine.ScopeType.INHERIT,
-            description = "Losses of power: engines can be cold, and front ends look for their return.")
+            description = "Simulate power losses: engines can restart cold, and front ends recover.")
     private boolean losses;
 
     @Option(names = "--off", scope = CommandLine.ScopeType.INHERIT,
-            description = "Losses of power with front ends that do not look for their return, to compare with.")
+            description = "With power losses, disable the recovery of front ends, for comparison.")
     private boolean off;
 
     @Option(names = "--plant", paramLabel = "GUARD", scope = CommandLine.ScopeType.INHERIT,
-            description = "Take this guard out of the program.")
+            description = "Remove this guard from the program, or add this source change.")
     private String guard;
 
-    /** Runs one command: 0 all held, 1 something did not, 2 wrong arguments. */
+    /** Runs one command. Exit codes: 0 all checks held, 1 a check failed, 2 wrong arguments. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new FaultBench()).execute(args));
     }
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is required");
     }
 
     Path root() {
@@ -75,21 +75,21 @@
         return run;
     }
 
-    @Command(name = "list", description = "The fixed schedules, and the guards that can be taken out.")
+    @Command(name = "list", description = "List the fixed schedules and the guards that can be removed.")
     int list() {
         FixedSchedules.names().forEach(n -> System.out.println("# " + n + "\n" + Schedule.read(FixedSchedules.texts().get(n)).text()));
         System.out.println("guards: " + Plant.guards());
         return 0;
     }
 
-    @Command(name = "play", description = "Play one schedule: a fixed one's name, a file, or that of a seed.")
+    @Command(name = "play", description = "Play one schedule: a fixed schedule by name, a file, or one generated from a seed.")
     int play(@Parameters(paramLabel = "NAME|FILE", arity = "0..1") String what,
             @Option(names = "--seed", paramLabel = "N") Long seed,
-            @Option(names = "--report", paramLabel = "FILE", description = "Write the run as an HTML page.") Path report,
-            @Option(names = "--keep", paramLabel = "DIR", description = "Keep logs and folders there.") Path keep)
+            @Option(names = "--report", paramLabel = "FILE", description = "Write an HTML report of the run.") Path report,
+            @Option(names = "--keep", paramLabel = "DIR", description = "Keep logs and folders in this directory.") Path keep)
             throws IOException, InterruptedException {
         if ((what == null) == (seed == null)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "play takes a schedule or --seed");
+            throw new CommandLine.ParameterException(spec.commandLine(), "play needs either a schedule or --seed");
         }
         Schedule s = seed != null ? drawSchedule(seed) : Schedule.read(FixedSchedules.texts().containsKey(what)
                 ? FixedSchedules.texts().get(what) : Files.readString(Path.of(what)));
@@ -97,7 +97,7 @@
         System.out.print(s.text());
         List<String> problems = new java.util.ArrayList<>();
         if (keep != null) {
-            Cluster.deleteFolder(keep); // what an earlier run left would be the state that this one begins with
+            Cluster.deleteFolder(keep); // otherwise this run would start from the state of an earlier one
         }
         Path folder = keep == null ? Files.createTempDirectory("faultbench") : Files.createDirectories(keep);
         Run run = runSchedule(s, folder, losses || what != null && FixedSchedules.isPowerLoss(what), problems);
@@ -118,7 +118,7 @@
                 run.history().operations().size(), run.history().requests().size(), run.history().statusSamples().size());
     }
 
-    @Command(name = "hunt", description = "Play seeds one after the other; what breaks is kept as a file.")
+    @Command(name = "hunt", description = "Play seeds one after the other and save the schedules that fail.")
     int hunt(@Option(names = "--from", paramLabel = "N", defaultValue = "1") long from,
             @Option(names = "--count", paramLabel = "N", defaultValue = "10") int count,
             @Option(names = "--found", paramLabel = "DIR", defaultValue = "found") Path found)
@@ -145,9 +145,9 @@
         return broken == 0 ? 0 : 1;
     }
 
-    @Command(name = "shrink", description = "Leave out of a schedule what is not needed for it to break.")
+    @Command(name = "shrink", description = "Remove the steps of a schedule that are not needed for it to fail.")
     int shrink(@Parameters(paramLabel = "FILE") Path file, @Option(names = "--tries", paramLabel = "N", defaultValue = "2",
-            description = "A step counts as not needed if one of so many plays without it breaks.") int tries)
+            description = "A step is not needed if one of this number of plays without it fails.") int tries)
             throws IOException, InterruptedException {
         Schedule s = Schedule.read(Files.readString(file));
         for (int i = s.steps().size() - 1; i >= 0; i--) {
--- a/faultbench/src/main/java/quincespar/faultbench/Measure.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Measure.java
@@ -25,7 +25,7 @@
 import quincespar.faultbench.world.Node;
 import quincespar.faultbench.world.StandInEngine;
 
-/** Figures of a fleet, by hand: nothing here is held against a bound. */
+/** Measurements of a fleet, started manually. Prints figures and checks none against a limit. */
 @Command(name = "measure", description = "Measure a fleet of processes; prints figures.", mixinStandardHelpOptions = true)
 public final class Measure {
     private static final int WAIT_MS = 1000, LONGEST_S = 120;
@@ -40,23 +40,23 @@
 
     private static final int AFTER_S = 30;
 
-    @Command(name = "losses", description = "Loses the power of all front ends and engines, with and without looking for the return, in pairs:"
-            + " engines pushed over, the time to the first lookup served, and what was served.")
+    @Command(name = "losses", description = "Simulates a power loss of all front ends and engines, with and without recovery, in pairs: failed"
+            + " engines, the time to the first lookup served, and the requests served.")
     int losses(@Option(names = "--pairs", defaultValue = "3") int pairs, @Option(names = "--over", defaultValue = "3000",
-            description = "Engines have their power back over so many milliseconds.") int overMs, @Option(names = "--every", defaultValue = "6",
-            description = "Each client asks once in so many milliseconds.") int everyMs, @Option(names = "--plot", paramLabel = "FILE",
-            description = "Draw what was served a second, the median of the pairs, as SVG.") Path plot) throws IOException, InterruptedException {
+            description = "Power returns to the engines one by one over this time, in milliseconds.") int overMs, @Option(names = "--every", defaultValue = "6",
+            description = "Interval between the requests of each client, in milliseconds.") int everyMs, @Option(names = "--plot", paramLabel = "FILE",
+            description = "Draw the requests served per second, as the median of the pairs, as SVG.") Path plot) throws IOException, InterruptedException {
         Map<String, List<double[]>> all = new LinkedHashMap<>();
         for (int i = 0; i < pairs; i++) {
             for (boolean on : new boolean[] {true, false}) {
-                all.computeIfAbsent(on ? "looks for its return" : "does not", k -> new ArrayList<>()).add(measurePowerLoss(i + 1, on, overMs, everyMs));
+                all.computeIfAbsent(on ? "with recovery" : "without recovery", k -> new ArrayList<>()).add(measurePowerLoss(i + 1, on, overMs, everyMs));
             }
         }
         if (plot != null) {
             Map<String, double[]> medians = new LinkedHashMap<>();
             all.forEach((name, runs) -> medians.put(name, IntStream.range(0, AFTER_S).mapToDouble(s -> runs.stream().mapToDouble(r -> r[s])
                     .sorted().toArray()[runs.size() / 2]).toArray()));
-            Files.writeString(plot, LineChart.of("Served a second after the power is back", medians));
+            Files.writeString(plot, LineChart.of("Requests served per second after power returns", medians));
         }
         return 0;
     }
@@ -132,7 +132,7 @@
         }
         for (Node n : cluster.nodes().values()) {
             if (!until(() -> quorumReachable(n), 50)) {
-                throw new IOException(n.name() + " did not come into touch");
+                throw new IOException(n.name() + " did not reach a quorum");
             }
         }
     }
@@ -144,7 +144,7 @@
                 sorted.get(sorted.size() / 2), sorted.get(sorted.size() - 1));
     }
 
-    /** The leader as who leads itself says; null where none does. */
+    /** The instance that reports itself as the leader, or null. */
     private static Node leader(Cluster cluster) {
         return cluster.nodes().values().stream().filter(n -> {
             Map<String, String> v = readStatus(n);
@@ -152,8 +152,8 @@
         }).findFirst().orElse(null);
     }
 
-    @Command(name = "elections", description = "Kills the leader again and again: milliseconds until another leads, and until"
-            + " the next write is agreed.")
+    @Command(name = "elections", description = "Kills the leader repeatedly: milliseconds until another leads, and until the next"
+            + " write succeeds.")
     int elections(@Option(names = "--count", defaultValue = "50") int count) throws IOException, InterruptedException {
         List<Double> leads = new ArrayList<>();
         List<Double> writes = new ArrayList<>();
@@ -182,7 +182,7 @@
         return 0;
     }
 
-    @Command(name = "registers", description = "Writes and reads a second, one after the other and from many callers.")
+    @Command(name = "registers", description = "Register writes and reads per second, by one caller and by several.")
     int registers(@Option(names = "--seconds", defaultValue = "10") int seconds) throws IOException, InterruptedException {
         try (Cluster cluster = newCluster(5, 5, true, new History())) {
             startAll(cluster);
@@ -215,8 +215,8 @@
         return 0;
     }
 
-    @Command(name = "size", description = "Many instances, few voters: processor time at rest, and milliseconds until a join"
-            + " and an end are known to all.")
+    @Command(name = "size", description = "Many instances, few voters: processor time when idle, and milliseconds until a join"
+            + " and a shutdown are known to all.")
     int size(@Option(names = "--of", defaultValue = "60") int instances, @Option(names = "--seconds",
             defaultValue = "20") int seconds) throws IOException, InterruptedException {
         try (Cluster cluster = newCluster(instances, 5, true, new History())) {
@@ -224,7 +224,7 @@
             Node late = nodes.get(nodes.size() - 1);
             for (Node n : nodes.subList(0, nodes.size() - 1)) {
                 n.start();
-                TimeUnit.MILLISECONDS.sleep(300); // starts are not what is measured, and share the machine's cores
+                TimeUnit.MILLISECONDS.sleep(300); // not part of the measurement; simultaneous starts would compete for the cores
             }
             for (Node n : nodes.subList(0, nodes.size() - 1)) {
                 until(() -> quorumReachable(n), 100);
@@ -264,7 +264,7 @@
                     out.add((System.nanoTime() - from) / 1e6);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
-                } catch (IllegalStateException e) { // no answer: the next look finds it
+                } catch (IllegalStateException e) { // invalid response: this instance is not counted
                     Thread.onSpinWait();
                 }
             });
@@ -287,7 +287,7 @@
                 .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")) / 1024).findFirst().orElse(0);
     }
 
-    @Command(name = "cost", description = "Start and memory of an instance without a fleet, as a voter, and as a follower.")
+    @Command(name = "cost", description = "Start time and memory of an instance without a fleet, as a voter, and as a follower.")
     int cost(@Option(names = "--times", defaultValue = "5") int times) throws IOException, InterruptedException {
         for (int which = 0; which < 3; which++) {
             List<Double> ready = new ArrayList<>();
@@ -326,8 +326,8 @@
         return 0;
     }
 
-    @Command(name = "worth", description = "What clients get through the loss of the leader, against the same loss with the fleet"
-            + " off, in pairs: answers served of all, and the times of lookups.")
+    @Command(name = "worth", description = "Requests served and lookup times when the leader is killed, compared with the same kill"
+            + " without a fleet, in pairs.")
     int worth(@Option(names = "--pairs", defaultValue = "5") int pairs) throws IOException, InterruptedException {
         for (int i = 0; i < pairs; i++) {
             for (boolean fleet : new boolean[] {true, false}) {
--- a/faultbench/src/main/java/quincespar/faultbench/Run.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Run.java
@@ -30,10 +30,12 @@
 import quincespar.faultbench.world.Relay;
 import quincespar.faultbench.world.StandInEngine;
 
-/** One run: starts a world, plays a schedule under load, mends everything, and holds what was seen against the rules. */
+/** One test run: starts a cluster, plays a fault schedule under load, removes all faults, and checks the recorded history. */
 public final class Run {
-    private static final int SAMPLE_EVERY_MS = 100, STATUS_TIMEOUT_MS = 1000, REGISTER_TIMEOUT_MS = 2500, REGISTER_EVERY_MS = 40, REQUEST_EVERY_MS = 25, LOSS_REQUEST_EVERY_MS = 6;
-    private static final int MAX_APPLIED_LAG = 50, REGISTERS = 3, CONVERGE_TIMEOUT_S = 60, VOTE_TIMEOUT_S = 20, UPGRADE_TIMEOUT_MS = 20_000, FINAL_LOAD_MS = 500;
+    private static final int SAMPLE_EVERY_MS = 100, STATUS_TIMEOUT_MS = 1000, REGISTER_TIMEOUT_MS = 2500, REGISTER_EVERY_MS = 40;
+    private static final int REQUEST_EVERY_MS = 25, LOSS_REQUEST_EVERY_MS = 6;
+    private static final int MAX_APPLIED_LAG = 50, REGISTERS = 3, CONVERGE_TIMEOUT_S = 60, VOTE_TIMEOUT_S = 20;
+    private static final int UPGRADE_TIMEOUT_MS = 20_000, FINAL_LOAD_MS = 500;
 
     private final Cluster.Options options;
     private final Schedule schedule;
@@ -41,17 +43,18 @@
     private final List<String> problems = Collections.synchronizedList(new ArrayList<>());
     private final Map<String, StatusSample> lastSamples = Collections.synchronizedMap(new LinkedHashMap<>());
     private final Map<String, List<String>> folderIdentities = Collections.synchronizedMap(new LinkedHashMap<>());
-    /** From when on an instance runs on a folder that must not vote any more. */
+    /** Since when an instance has a folder with which it must not vote. */
     private final Map<String, Long> untrustedSince = Collections.synchronizedMap(new LinkedHashMap<>());
-    /** Which lives must not end. */
+    /** Incarnations that must not end during the run, by instance. */
     private final Map<String, Long> mustNotEnd = Collections.synchronizedMap(new LinkedHashMap<>());
-    /** Whose list of loads was spoilt: what stood behind the spot can't be in it. */
+    /** Instances whose load list was damaged: entries after the damage are lost. */
     private final Set<String> damagedLoadLists = Collections.synchronizedSet(new LinkedHashSet<>());
     private static final int LOAD_LIST_FILE = 3;
     private final Map<StandInEngine, Long> drainedAt = Collections.synchronizedMap(new LinkedHashMap<>());
-    /** The loads that each instance has ever listed as in doubt. */
+    /** All loads that each instance has listed as in doubt. */
     private final Map<String, Set<String>> doubtfulLoads = Collections.synchronizedMap(new LinkedHashMap<>());
-    private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN, Verb.FORGET, Verb.RETURNED);
+    private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN, Verb.FORGET,
+            Verb.RETURNED);
     private final Set<String> replacedFolders = Collections.synchronizedSet(new LinkedHashSet<>());
     private final Set<String> duplicates = Collections.synchronizedSet(new LinkedHashSet<>());
     private final List<Thread> lateThreads = Collections.synchronizedList(new ArrayList<>());
@@ -59,18 +62,18 @@
     private volatile boolean registerLoadRunning = true;
     private volatile boolean sampling = true;
 
-    /** A run of this schedule in this world. */
+    /** A run of a schedule on a new cluster. */
     public Run(Cluster.Options options, Schedule schedule) {
         this.options = options;
         this.schedule = schedule;
     }
 
-    /** What was seen. */
+    /** The recorded history. */
     public History history() {
         return history;
     }
 
-    /** Plays it; what is wrong, a line each, none where all held. */
+    /** Plays the schedule and returns one line for each violation; empty if all checks held. */
     public List<String> play() throws IOException, InterruptedException {
         try (Cluster cluster = new Cluster(options, history)) {
             List<Thread> threads = new ArrayList<>();
@@ -79,7 +82,7 @@
                 threads.add(thread("status-" + n.name(), () -> sampleStatus(n)));
             }
             if (!until(() -> converged(cluster))) {
-                problems.add("the instances did not come together at the start: " + lastSamples.values());
+                problems.add("the instances did not converge at the start: " + lastSamples.values());
                 return problems;
             }
             List<Client> clients = new ArrayList<>();
@@ -92,13 +95,13 @@
             List<Thread> asking = clients.stream().map(Client::start).toList();
             playSteps(cluster);
             removeAllFaults(cluster);
-            lastStepAt = System.nanoTime(); // what a process said before it was killed says nothing of the one that followed it
-            boolean back = until(() -> converged(cluster));
-            if (!back) {
-                problems.add("the instances did not come together again: " + lastSamples.values());
+            lastStepAt = System.nanoTime(); // samples of a killed process say nothing about its successor
+            boolean recovered = until(() -> converged(cluster));
+            if (!recovered) {
+                problems.add("the instances did not converge after the faults: " + lastSamples.values());
                 dumpThreads(cluster);
             }
-            if (back) {
+            if (recovered) {
                 checkVotersVote(cluster);
                 awaitRecovered(cluster);
             }
@@ -108,8 +111,8 @@
             for (Thread t : asking) {
                 t.join();
             }
-            for (int r = 0; r < REGISTERS && back; r++) {
-                back = finalRead(cluster, "r" + r);
+            for (int r = 0; r < REGISTERS && recovered; r++) {
+                recovered = finalRead(cluster, "r" + r);
             }
             sampling = false;
             threads.addAll(lateThreads);
@@ -121,7 +124,7 @@
         }
     }
 
-    /** Something hangs: what every process is at goes to its log. */
+    /** Writes a thread dump of every process to its log, to diagnose a hang. */
     private static void dumpThreads(Cluster cluster) throws IOException, InterruptedException {
         for (Node n : cluster.nodes().values()) {
             n.dumpThreads();
@@ -151,17 +154,17 @@
     }
 
     /**
-     * All are in touch and known to serve, and who votes has what was agreed (the library counts no vote of one with an empty log), by what
-     * their processes of now said in the last seconds.
+     * Whether all instances reach a quorum and are known as serving, and all voters have applied what was agreed, according to
+     * samples of their current processes from the last 2 s. The library counts no vote of a voter with an empty log.
      */
     private boolean converged(Cluster cluster) {
         long now = System.nanoTime();
         long maxApplied = lastSamples.values().stream().mapToLong(StatusSample::applied).max().orElse(0);
         for (Node n : cluster.nodes().values()) {
-            StatusSample g = lastSamples.get(n.name());
-            if (g == null || g.at() < lastStepAt || now - g.at() > TimeUnit.SECONDS.toNanos(2) || !g.quorumReachable()
-                    || g.voting() && g.applied() < Math.max(1, maxApplied - MAX_APPLIED_LAG) || g.standings().stream().noneMatch(
-                    s -> s.equals(n.name() + ":" + g.incarnation() + ":SERVING"))) {
+            StatusSample sample = lastSamples.get(n.name());
+            if (sample == null || sample.at() < lastStepAt || now - sample.at() > TimeUnit.SECONDS.toNanos(2) || !sample.quorumReachable()
+                    || sample.voting() && sample.applied() < Math.max(1, maxApplied - MAX_APPLIED_LAG) || sample.standings().stream().noneMatch(
+                    s -> s.equals(n.name() + ":" + sample.incarnation() + ":SERVING"))) {
                 return false;
             }
         }
@@ -170,7 +173,7 @@
 
     private void sampleStatus(Node n) {
         while (sampling) {
-            long at = System.nanoTime(); // an answer that lay ready when its process was killed is from before that
+            long at = System.nanoTime(); // before the call: a process may be killed after it has prepared its response
             Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS);
             if (a.status() == 200) {
                 Map<String, String> v = a.values();
@@ -186,11 +189,11 @@
                         }
                     }
                 }
-                StatusSample g = new StatusSample(at, n.name(), v.get("phase"), Long.parseLong(v.get("incarnation")),
+                StatusSample sample = new StatusSample(at, n.name(), v.get("phase"), Long.parseLong(v.get("incarnation")),
                         Boolean.parseBoolean(v.get("voting")), Boolean.parseBoolean(v.get("inTouch")), v.get("leader"),
                         Long.parseLong(v.get("term")), Long.parseLong(v.get("applied")), Long.parseLong(v.get("version")), standings);
-                history.add(g);
-                lastSamples.put(n.name(), g);
+                history.add(sample);
+                lastSamples.put(n.name(), sample);
             }
             pause(SAMPLE_EVERY_MS);
         }
@@ -204,7 +207,7 @@
         }
     }
 
-    /** One caller: reads and writes registers at one instance after the other, and notes what it was told. */
+    /** One caller: reads and writes registers at changing instances and records the operations. */
     private void useRegisters(Cluster cluster, int caller) {
         Random random = new Random(caller);
         List<Node> nodes = List.copyOf(cluster.nodes().values());
@@ -225,7 +228,7 @@
         long from = System.nanoTime();
         Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS);
         if (a.status() != 200 && a.status() != 404 || !a.body().startsWith("{")) {
-            return false; // a read that had no answer says nothing
+            return false; // a read without a response has no effect to record
         }
         Map<String, String> v = a.values();
         long version = Long.parseLong(v.get("version"));
@@ -245,12 +248,12 @@
                 : System.nanoTime(), true, expected, value, version, outcome));
     }
 
-    /** What was agreed can be read everywhere; false where it can't, and then no more is asked but what all others say. */
+    /** Reads a register at every instance; on the first failure reports what the others return, and returns false. */
     private boolean finalRead(Cluster cluster, String register) throws IOException, InterruptedException {
         for (Node n : cluster.nodes().values()) {
             if (!until(() -> read(n, register, "last", new long[REGISTERS]))) {
-                problems.add(n.name() + " reads " + register + " no more: " + cluster.nodes().values().stream().map(o -> o.name() + " says "
-                        + AdminClient.call(o.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS).summary() + " and sees "
+                problems.add(n.name() + " can no longer read " + register + ": " + cluster.nodes().values().stream().map(o -> o.name() + " says "
+                        + AdminClient.call(o.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS).summary() + " with status "
                         + lastSamples.get(o.name())).toList());
                 dumpThreads(cluster);
                 return false;
@@ -280,9 +283,9 @@
     }
 
     private void playStep(Cluster cluster, Step s) throws IOException, InterruptedException {
-        String on = s.target().replace("leader", leader());
-        if (on.contains(">")) {
-            String[] ends = on.split(">");
+        String target = s.target().replace("leader", leader());
+        if (target.contains(">")) {
+            String[] ends = target.split(">");
             for (Map.Entry<String, Relay> r : cluster.relays().entrySet()) {
                 String[] are = r.getKey().split(">");
                 if ((ends[0].equals("*") || ends[0].equals(are[0])) && (ends[1].equals("*") || ends[1].equals(are[1]))) {
@@ -305,7 +308,7 @@
             }
         } else {
             for (Node n : cluster.nodes().values()) {
-                if (on.equals("*") || on.equals(n.name())) {
+                if (target.equals("*") || target.equals(n.name())) {
                     playNodeStep(cluster, n, s);
                 }
             }
@@ -336,13 +339,13 @@
             try {
                 e.setPowered(true);
             } catch (IOException x) {
-                problems.add("the rig could not give an engine its power back: " + x);
+                problems.add("the fault bench could not restore power to an engine: " + x);
             }
             pause(overMs / cluster.engines().size());
         }
     }
 
-    /** All that run have come back from a loss: no phase lasts for good. What they say of loads in doubt is noted. */
+    /** Waits until all running instances have recovered from a power loss, and collects the loads that they list as in doubt. */
     private void awaitRecovered(Cluster cluster) throws InterruptedException {
         if (!cluster.options().recovery()) {
             return;
@@ -353,7 +356,7 @@
                 a[0] = AdminClient.call(n.adminAddress(), "GET", "/fleet/recovery", STATUS_TIMEOUT_MS);
                 return a[0].status() == 200 && a[0].values().get("phase").equals("FULL");
             })) {
-                problems.add(n.name() + " has not come back: " + a[0].body().lines().findFirst().orElse("no answer"));
+                problems.add(n.name() + " has not recovered: " + a[0].body().lines().findFirst().orElse("no response"));
             } else if (n.alive()) {
                 doubtfulLoads.computeIfAbsent(n.name(), k -> Collections.synchronizedSet(new LinkedHashSet<>())).addAll(a[0].rows().stream().map(r ->
                         r.get("txn")).toList());
@@ -397,7 +400,7 @@
             case SPOIL -> {
                 n.flipBit(s.amount());
                 if (s.amount() == LOAD_LIST_FILE) {
-                    damagedLoadLists.add(n.name()); // its votes are as they were
+                    damagedLoadLists.add(n.name()); // its consensus state is intact
                 } else {
                     replacedFolders.add(n.name());
                     untrustedSince.put(n.name(), System.nanoTime());
@@ -410,15 +413,15 @@
             case LIVES -> mustNotEnd.put(n.name(), lastSamples.get(n.name()).incarnation());
             case AWAIT -> {
                 if (!until(() -> {
-                    StatusSample g = lastSamples.get(n.name());
-                    return g != null && g.quorumReachable() && g.at() > lastStepAt;
+                    StatusSample sample = lastSamples.get(n.name());
+                    return sample != null && sample.quorumReachable() && sample.at() > lastStepAt;
                 })) {
-                    problems.add(n.name() + " did not come into touch");
+                    problems.add(n.name() + " did not reach a quorum");
                 }
             }
             case UPGRADE -> {
                 if (!n.upgrade(UPGRADE_TIMEOUT_MS)) {
-                    problems.add(n.name() + " was not followed by its new version");
+                    problems.add(n.name() + " was not replaced by its new version");
                 }
             }
             case SECOND -> {
@@ -429,7 +432,7 @@
             }
             case AHEAD -> n.shiftClock(true);
             case BEHIND -> n.shiftClock(false);
-            default -> throw new IllegalArgumentException("not for an instance: " + s);
+            default -> throw new IllegalArgumentException("verb does not apply to an instance: " + s);
         }
     }
 
@@ -444,7 +447,7 @@
             case THROTTLE -> r.setMode(true, Mode.THROTTLE, s.amount());
             case FLIP -> r.setMode(true, Mode.FLIP, 0);
             case MEND -> restoreLink(r);
-            default -> throw new IllegalArgumentException("not for a link: " + s);
+            default -> throw new IllegalArgumentException("verb does not apply to a link: " + s);
         }
     }
 
@@ -454,7 +457,7 @@
         r.setMode(false, Mode.PASS, 0);
     }
 
-    /** Everything is whole again, whatever the schedule has left. */
+    /** Removes all faults that the schedule has left and starts processes that are down. */
     private void removeAllFaults(Cluster cluster) throws IOException, InterruptedException {
         cluster.changeLog().setSilent(false);
         restorePower(cluster, 0);
@@ -467,12 +470,12 @@
         }
     }
 
-    /** Whoever has its folder as it left it votes again: what it was told to keep is there. */
+    /** Every voter whose folder is intact must vote again, which shows that its durable state was kept. */
     private void checkVotersVote(Cluster cluster) throws InterruptedException {
         for (Node n : cluster.nodes().values()) {
             boolean lost = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS).body().contains("its last vote was lost");
             if (!untrustedSince.containsKey(n.name()) && !lost && cluster.isVoter(n.name()) && !until(() -> lastSamples.get(n.name()).voting(), VOTE_TIMEOUT_S)) {
-                problems.add(n.name() + " votes no more though its folder is as it left it: what it was told to keep was lost");
+                problems.add(n.name() + " no longer votes although its folder was not changed: its durable state was lost");
             }
         }
     }
@@ -500,7 +503,7 @@
             drainedAt.forEach((e, at) -> problems.addAll(Invariants.noQueryAfterDrain(e.id(), at, e.lastQueryAt())));
         }
         mustNotEnd.forEach((n, life) -> problems.addAll(Invariants.incarnationNotEnded(samples, n, life)));
-        if (!cluster.options().cold()) { // where all start at once, nobody can tell an old folder in time: docs/design/fleet.md, "Not covered"
+        if (!cluster.options().cold()) { // an old folder goes undetected if all start at once: docs/design/fleet.md, "Not covered"
             untrustedSince.forEach((n, from) -> problems.addAll(Invariants.neverVotesSince(samples, n, from)));
         }
         duplicates.forEach(n -> problems.addAll(Invariants.duplicateNeverAdmitted(samples, n)));
@@ -509,11 +512,11 @@
         history.events().stream().filter(e -> e.kind().equals("unasked")).forEach(e -> problems.add(e.subject() + ": " + e.text()));
         if (history.operations().stream().noneMatch(o -> o.write() && o.outcome() == Outcome.DONE)
                 || history.requests().isEmpty()) {
-            problems.add("nothing was written or asked: a run that shows nothing");
+            problems.add("no write or no request was made, so the run proves nothing");
         }
     }
 
-    /** Where the program's jar is, from the root of the repository. */
+    /** Path of the program's jar, given the root of the repository. */
     public static Path jar(Path root) {
         return root.resolve("frontend/target/quincespar.jar");
     }
--- a/faultbench/src/main/java/quincespar/faultbench/check/Event.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Event.java
@@ -1,11 +1,11 @@
 package quincespar.faultbench.check;
 
 /**
- * Something that was seen.
+ * A timestamped entry of a run's event log.
  *
- * @param at nanoseconds of the machine's monotonic clock
- * @param lane whose it is: a process, a pair, a client
- * @param kind what happened
- * @param text the rest, in words
+ * @param at {@link System#nanoTime()} when it was recorded
+ * @param lane the process, engine or schedule that the event is about
+ * @param kind the kind of event
+ * @param text details, may be empty
  */
 public record Event(long at, String subject, String kind, String text) { }
--- a/faultbench/src/main/java/quincespar/faultbench/check/History.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/History.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Everything that was seen in a run; filled by many threads. */
+/** Thread-safe record of the events, register operations, status samples and requests of a run. */
 public final class History {
     private final long began = System.nanoTime();
     private final List<Event> events = new ArrayList<>();
@@ -13,96 +13,96 @@
     private final List<Request> requests = new ArrayList<>();
 
     /**
-     * An operation on a register by one caller.
+     * A register operation by one caller.
      *
-     * @param from when it was called
-     * @param to when its answer came; {@link Long#MAX_VALUE} where none did: it may have been done at any time since
-     * @param write whether it writes
-     * @param expected the version that a write asked for, negative for any
-     * @param value what was written, or read
-     * @param version the version that was written or read, or that a refused write met
-     * @param outcome what is known of it
+     * @param invokedAt when it was invoked
+     * @param respondedAt when the response arrived; {@link Long#MAX_VALUE} if none did, so that it may take effect at any later time
+     * @param write whether it is a write, otherwise a read
+     * @param expectedVersion the version that a conditional write requires; negative for an unconditional write
+     * @param value the value written or read
+     * @param version the version written or read, or the current version that made a write conflict
+     * @param outcome whether it took effect, as far as known
      */
     public record Operation(String register, String caller, long invokedAt, long respondedAt, boolean write, long expectedVersion, String value,
             long version, Outcome outcome) { }
 
-    /** What is known of an operation. */
+    /** Whether an operation took effect. */
     public enum Outcome {
-        /** It was done. */
+        /** The operation took effect. */
         DONE,
-        /** It was refused for the version that it met, and did nothing. */
+        /** A conditional write was rejected because of a version mismatch; it had no effect. */
         CONFLICT,
-        /** Nobody knows. */
+        /** No response: the operation may or may not have taken effect. */
         UNKNOWN
     }
 
     /**
-     * What one instance said of itself and its fleet at a moment.
+     * One instance's report on itself and its fleet ({@code GET /fleet}).
      *
-     * @param applied how much of the log of votes it has carried out, where it votes
-     * @param standings how each known instance stands, as {@code name:incarnation:STANDING}
+     * @param applied index of the last log entry that it has applied, if it is a voter
+     * @param standings the standing of each known instance, as {@code name:incarnation:STANDING}
      */
     public record StatusSample(long at, String node, String phase, long incarnation, boolean voting, boolean quorumReachable, String leader,
             long term, long applied, long version, List<String> standings) { }
 
-    /** One request of a client: {@code answer} is the kind of its final answer, empty where its connection ended without. */
+    /** A client's request; {@code answer} is the kind of its final answer, empty if the connection closed without one. */
     public record Request(String node, String txn, long sentAt, long endedAt, String answer, boolean load) { }
 
-    /** When the run began, in nanoseconds. */
+    /** Start of the run, as {@link System#nanoTime()}. */
     public long began() {
         return began;
     }
 
-    /** Notes what happened now. */
+    /** Records an event with the current time. */
     public void add(String lane, String kind, String text) {
         synchronized (events) {
             events.add(new Event(System.nanoTime(), lane, kind, text));
         }
     }
 
-    /** Notes an operation. */
+    /** Records a register operation. */
     public void add(Operation o) {
         synchronized (operations) {
             operations.add(o);
         }
     }
 
-    /** Notes a glance. */
+    /** Records a status sample. */
     public void add(StatusSample g) {
         synchronized (statusSamples) {
             statusSamples.add(g);
         }
     }
 
-    /** Notes a request. */
+    /** Records a client request. */
     public void add(Request r) {
         synchronized (requests) {
             requests.add(r);
         }
     }
 
-    /** All that was noted, by time. */
+    /** All events, ordered by time. */
     public List<Event> events() {
         synchronized (events) {
             return events.stream().sorted(Comparator.comparingLong(Event::at)).toList();
         }
     }
 
-    /** All operations, by when they were called. */
+    /** All register operations, ordered by invocation. */
     public List<Operation> operations() {
         synchronized (operations) {
             return operations.stream().sorted(Comparator.comparingLong(Operation::invokedAt)).toList();
         }
     }
 
-    /** All statusSamples, by time. */
+    /** All status samples, ordered by time. */
     public List<StatusSample> statusSamples() {
         synchronized (statusSamples) {
             return statusSamples.stream().sorted(Comparator.comparingLong(StatusSample::at)).toList();
         }
     }
 
-    /** All requests, by when they were sent. */
+    /** All requests, ordered by the time of sending. */
     public List<Request> requests() {
         synchronized (requests) {
             return requests.stream().sorted(Comparator.comparingLong(Request::sentAt)).toList();
--- a/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
@@ -9,11 +9,11 @@
 import quincespar.faultbench.check.History.Request;
 import quincespar.faultbench.check.History.StatusSample;
 
-/** What must hold of a run beside its registers. */
+/** Invariants that every run must satisfy besides linearizable registers. Each check returns one line for each violation. */
 public final class Invariants {
     private Invariants() { }
 
-    /** A term has one leader, whoever tells of it: only who leads itself is taken at its word. */
+    /** Each term has at most one leader. Only an instance that reports itself as the leader counts as evidence. */
     public static List<String> oneLeaderPerTerm(List<StatusSample> samples) {
         Map<Long, String> leaders = new HashMap<>();
         List<String> out = new ArrayList<>();
@@ -29,8 +29,8 @@
     }
 
     /**
-     * A life that is over stays over, and no number is given to two: seen from all instances' views together, ordered by the
-     * version of the state that they tell of.
+     * An ended incarnation never becomes active again, and no incarnation number belongs to two instances. The samples of all
+     * instances are combined, ordered by the version of the fleet state that they report.
      */
     public static List<String> incarnationsEndOnce(List<StatusSample> samples) {
         Map<String, Long> goneAt = new HashMap<>();
@@ -54,14 +54,14 @@
         return out.stream().distinct().toList();
     }
 
-    /** That life of an instance is over for nobody. */
+    /** No instance reports that this incarnation has ended. */
     public static List<String> incarnationNotEnded(List<StatusSample> samples, String node, long incarnation) {
         String over = node + ":" + incarnation + ":GONE";
-        return samples.stream().filter(g -> g.standings().contains(over)).map(g -> node + "'s life " + incarnation
+        return samples.stream().filter(g -> g.standings().contains(over)).map(g -> node + "'s incarnation " + incarnation
                 + " was ended by the fleet").distinct().toList();
     }
 
-    /** An instance's own numbers rise with each of its starts: what a folder promised is there after a kill. */
+    /** An instance's incarnation number never decreases: the number stored in its folder survives a kill. */
     public static List<String> incarnationsIncrease(List<StatusSample> samples) {
         Map<String, Long> highest = new HashMap<>();
         List<String> out = new ArrayList<>();
@@ -74,43 +74,46 @@
         return out;
     }
 
-    /** Whose folder is not what it has promised by does not vote from then on, however often it is started. */
+    /** An instance whose folder was replaced or rolled back never votes from then on, however often it is restarted. */
     public static List<String> neverVotesSince(List<StatusSample> samples, String node, long from) {
         return samples.stream().filter(g -> g.node().equals(node) && g.at() >= from && g.voting())
                 .map(g -> node + " votes on a folder that is older than the fleet, in term " + g.term()).distinct().toList();
     }
 
-    /** A second process of a name has no life while the first one has, and says why; that it was looked at is part of the rule. */
+    /** A second process of the same name gets no incarnation and does not vote. It must have been sampled at least once. */
     public static List<String> duplicateNeverAdmitted(List<StatusSample> samples, String second) {
         List<StatusSample> all = samples.stream().filter(g -> g.node().equals(second)).toList();
         if (all.isEmpty()) {
-            return List.of(second + " was never seen: a run that shows nothing");
+            return List.of(second + " was never sampled, so the run proves nothing");
         }
         return all.stream().filter(g -> g.incarnation() > 0 || g.voting()).map(g -> second + " has incarnation "
                 + g.incarnation() + (g.voting() ? " and votes" : "")).distinct().toList();
     }
 
-    /** A vote's folder keeps its last incarnation over a kill: who voted before and comes back keeps its identity. */
+    /** A voter keeps the identity of its state folder across kills. */
     public static List<String> folderIdentitiesStable(Map<String, List<String>> identities) {
         List<String> out = new ArrayList<>();
         identities.forEach((node, all) -> {
             if (new HashSet<>(all).size() > 1) {
-                out.add(node + "'s folder was " + String.join(", then ", all) + ": what it was said to keep was lost");
+                out.add(node + "'s folder was " + String.join(", then ", all) + ": its durable state was lost");
             }
         });
         return out;
     }
 
-    /** A signal is noted before it is sent, and takes so long at the most, in nanoseconds. */
+    /** Longest time between the record of a signal, which is made before sending it, and its effect, in nanoseconds. */
     private static final long SIGNAL_NANOS = 200_000_000L;
-    /** In a change of version a request may cross the end of its quiet connection, and is sent again; in nanoseconds. */
+    /**
+     * During an upgrade a request may cross the close of its idle connection, and the client retries it. Longest time from
+     * sending to that close, in nanoseconds.
+     */
     private static final long UPGRADE_CROSSING_NANOS = 50_000_000L;
-    /** So long after the word to stop clients may still ask on open connections, in nanoseconds. */
-    private static final long CLIENT_STOP_NANOS = 200_000_000L;
+    /** How long after SIGTERM requests on open connections are still answered, in nanoseconds. */
+    private static final long SHUTDOWN_ACCEPT_NANOS = 200_000_000L;
 
     /**
-     * Every request has one final answer, but those to a process that was killed or stood still while they were open, and
-     * those sent to one that had been told to stop.
+     * Every request gets a final answer, except those open while their process was killed or paused, and those sent to a
+     * process after SIGTERM.
      */
     public static List<String> everyRequestAnswered(List<Request> requests, List<Event> events) {
         List<String> out = new ArrayList<>();
@@ -121,9 +124,9 @@
             for (Event e : events.stream().filter(x -> x.subject().equals(r.node())).toList()) {
                 stoppedAt = e.kind().equals("stopped") ? e.at() : stoppedAt;
                 killedAt = e.kind().equals("killed") ? e.at() : killedAt;
-                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt() // on a busy machine it takes longer
+                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt() // on a busy machine a kill takes longer
                         || e.kind().equals("killed") && e.at() + SIGNAL_NANOS >= r.sentAt() && e.at() <= r.endedAt()
-                        || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + CLIENT_STOP_NANOS <= r.sentAt()
+                        || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + SHUTDOWN_ACCEPT_NANOS <= r.sentAt()
                         : e.at() <= r.endedAt() && r.endedAt() - r.sentAt() <= UPGRADE_CROSSING_NANOS)
                         || e.kind().equals("continued") && e.at() + SIGNAL_NANOS >= r.sentAt() && stoppedAt <= r.endedAt();
                 stoppedAt = e.kind().equals("continued") ? Long.MAX_VALUE : stoppedAt;
@@ -136,8 +139,8 @@
     }
 
     /**
-     * Each load that reached an engine, and whose client got no answer as its process was killed, is listed as in doubt by that instance;
-     * {@code tampered} are those whose folder was not left as it was.
+     * An instance lists each load as in doubt that reached an engine and got no answer because the instance was killed.
+     * Instances in {@code tampered}, whose folders were changed by the schedule, are exempt.
      */
     public static List<String> doubtfulLoadsListed(List<Request> requests, List<Event> events, Set<String> reached, Map<String, Set<String>> listed,
             Set<String> tampered) {
@@ -145,19 +148,19 @@
                 .filter(r -> events.stream().anyMatch(e -> e.subject().equals(r.node()) && e.kind().equals("killed") && e.at() >= r.sentAt()
                         && e.at() <= r.endedAt()))
                 .filter(r -> !listed.getOrDefault(r.node(), Set.of()).contains(r.txn()))
-                .map(r -> "load " + r.txn() + " of " + r.node() + " may have run and is not listed as in doubt").toList();
+                .map(r -> "load " + r.txn() + " of " + r.node() + " may have run but is not listed as in doubt").toList();
     }
 
-    /** Nothing new so long after the word that an engine drains, in nanoseconds; whoever was down hears it late. */
+    /** Time for the drain notice to reach all front ends, including any that were down, in nanoseconds. */
     private static final long DRAIN_NOTICE_NANOS = 2_000_000_000L;
 
-    /** An engine that drains takes nothing new, however often front ends are started and whatever list they are given. */
+    /** A draining engine gets no new queries, even if front ends restart or receive an outdated engine list. */
     public static List<String> noQueryAfterDrain(String engine, long drainedAt, long lastAt) {
         return lastAt <= drainedAt + DRAIN_NOTICE_NANOS ? List.of() : List.of(engine + " was sent a query " + (lastAt - drainedAt) / 1_000_000
-                + " ms after it had begun to drain");
+                + " ms after it began to drain");
     }
 
-    /** A load reaches an engine once: {@code sent} has a line for each time that one did. */
+    /** Each load reaches an engine at most once; {@code sent} has one entry for each arrival. */
     public static List<String> noDuplicateLoads(List<String> sent) {
         Set<String> seen = new HashSet<>();
         return sent.stream().filter(txn -> !seen.add(txn)).map(txn -> "load " + txn + " was sent twice").toList();
--- a/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
@@ -11,12 +11,12 @@
 import quincespar.faultbench.check.History.Outcome;
 
 /**
- * Whether each register's operations could have been done one after the other, each at a moment between its call and its
- * answer (Herlihy and Wing 1990), by the search of Wing and Gong 1993 with the memory of Lowe 2017. An operation whose
- * outcome is unknown may have been done at any time after its call, or never.
+ * Checks that each register's history is linearizable (Herlihy and Wing 1990): that every operation can be placed at one point
+ * between its invocation and its response. Uses the search of Wing and Gong (1993) with the memoization of Lowe (2017). An
+ * operation with an unknown outcome may take effect at any time after its invocation, or never.
  */
 public final class Linearizability {
-    /** Beyond this many looks the search is given up, and that is said: no verdict is not a good one. */
+    /** Limit of states explored per register. Exceeding it is reported as a problem, because the history was not verified. */
     private static final long MAX_STATES = 20_000_000;
 
     private record State(long version, String value) { }
@@ -28,9 +28,9 @@
     private long explored;
     private int furthestOperation = -1;
 
-    /** Versions that a write was told it made: no other can have made them. */
+    /** Versions confirmed to a write: no other write can have created them. */
     private final Set<Long> acknowledgedVersions = new HashSet<>();
-    /** What was read at a version: only a write of that can have made it. */
+    /** Values read by version: only a write of that value can have created the version. */
     private final Map<Long, String> valuesRead = new HashMap<>();
 
     private Linearizability(List<Operation> operations) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** What is wrong, a line for each register; none where operations is well. */
+    /** Returns one line for each register whose history is not linearizable or could not be decided. */
     public static List<String> problems(List<Operation> operations) {
         Map<String, List<Operation>> by = new HashMap<>();
         operations.forEach(o -> by.computeIfAbsent(o.register(), r -> new ArrayList<>()).add(o));
@@ -61,14 +61,14 @@
 
     private String check() {
         try {
-            return search(new BitSet(), new State(0, "")) ? null : "no order fits; the longest stops at " + (furthestOperation < 0
-                    ? "the first" : operations.get(furthestOperation));
+            return search(new BitSet(), new State(0, "")) ? null : "no valid order; the furthest search stopped at " + (furthestOperation < 0
+                    ? "the first operation" : operations.get(furthestOperation));
         } catch (IllegalStateException e) {
             return e.getMessage();
         }
     }
 
-    /** Depth first without recursion, as histories are long. */
+    /** Depth-first search with an explicit stack, because histories are too long for recursion. */
     private boolean search(BitSet start, State first) {
         List<BitSet> done = new ArrayList<>(List.of(start));
         List<State> states = new ArrayList<>(List.of(first));
@@ -79,7 +79,7 @@
                 continue;
             }
             if (++explored > MAX_STATES) {
-                throw new IllegalStateException("not decided after " + MAX_STATES + " looks");
+                throw new IllegalStateException("not decided after " + MAX_STATES + " states");
             }
             if (complete(d)) {
                 return true;
@@ -106,7 +106,10 @@
         return false;
     }
 
-    /** What fits and changes nothing may as well be done now; how much that was. */
+    /**
+     * Marks as done every pending operation that is possible now and leaves the state unchanged: applying it at once rules out
+     * no order. Returns how many were marked.
+     */
     private int applyReads(BitSet d, State s) {
         long bound = earliestResponse(d);
         int out = 0;
@@ -119,13 +122,16 @@
         return out;
     }
 
-    /** Each version is made by one write: one of unknown outcome can't have made another's, or what was read otherwise. */
+    /**
+     * Whether a write can have created this version. Each version has one writer, so a write of unknown outcome can have
+     * created neither a version confirmed to another write nor one that was read with another value.
+     */
     private boolean isPossible(Operation o, State next) {
-        return o.outcome() == Outcome.DONE || !acknowledgedVersions.contains(next.version()) && next.value().equals(valuesRead.getOrDefault(next.version(),
-                next.value()));
+        return o.outcome() == Outcome.DONE || !acknowledgedVersions.contains(next.version()) && next.value().equals(
+                valuesRead.getOrDefault(next.version(), next.value()));
     }
 
-    /** Operations with an unknown outcome need not have been done. */
+    /** Whether all operations are done, apart from those with an unknown outcome, which need not take effect. */
     private boolean complete(BitSet d) {
         for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
             if (operations.get(i).outcome() != Outcome.UNKNOWN) {
@@ -135,7 +141,7 @@
         return true;
     }
 
-    /** Whatever was called after the first answer among what is not done can't come next. */
+    /** Earliest response among the pending operations; an operation invoked later can't be the next one. */
     private long earliestResponse(BitSet d) {
         long least = Long.MAX_VALUE;
         for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
@@ -144,7 +150,7 @@
         return least;
     }
 
-    /** The state after an operation, null where it can't have been done in this one with its answer. */
+    /** The state after an operation, or null if its response is impossible in the given state. */
     private static State apply(State s, Operation o) {
         if (!o.write()) {
             return o.version() == s.version() && o.value().equals(s.value()) ? s : null;
@@ -153,7 +159,7 @@
         return switch (o.outcome()) {
             case DONE -> fits && o.version() == s.version() + 1 ? new State(s.version() + 1, o.value()) : null;
             case CONFLICT -> !fits && o.version() == s.version() ? s : null;
-            case UNKNOWN -> fits ? new State(s.version() + 1, o.value()) : null; // else it did nothing, as if never done
+            case UNKNOWN -> fits ? new State(s.version() + 1, o.value()) : null; // a conflicting write has no effect, as if never invoked
         };
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/check/package-info.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/package-info.java
@@ -1,2 +1,2 @@
-/** Histories of a run and what must hold of them; knows nothing of the program. */
+/** Histories of test runs and the checkers that judge them. Independent of the program under test. */
 package quincespar.faultbench.check;
--- a/faultbench/src/main/java/quincespar/faultbench/package-info.java
+++ b/faultbench/src/main/java/quincespar/faultbench/package-info.java
@@ -1,2 +1,2 @@
-/** The tool: its command line, and a run from its start to its verdict. */
+/** The fault injection tool: its command line, and a test run from start to verdict. */
 package quincespar.faultbench;
--- a/faultbench/src/main/java/quincespar/faultbench/report/LineChart.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/LineChart.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Figures over time as one SVG picture that needs nothing else. */
+/** Draws time series as a self-contained SVG line chart. */
 public final class LineChart {
     private static final int WIDTH = 900, HEIGHT = 300, LEFT = 60, BOTTOM = 40;
     private static final String[] COLOURS = {"#4e79a7", "#e15759", "#59a14f", "#b07aa1"};
@@ -11,9 +11,9 @@
     private LineChart() { }
 
     /**
-     * A picture.
+     * Returns the SVG document.
      *
-     * @param series by name, a figure for each second
+     * @param series one value per second, by name of the series
      */
     public static String of(String title, Map<String, double[]> series) {
         int seconds = series.values().stream().mapToInt(s -> s.length).max().orElse(1);
--- a/faultbench/src/main/java/quincespar/faultbench/report/ReportPage.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/ReportPage.java
@@ -11,7 +11,7 @@
 import quincespar.faultbench.check.History;
 import quincespar.faultbench.schedule.Schedule;
 
-/** A run as one HTML page that needs nothing else: processes as lanes, faults as spans, terms and served requests over time. */
+/** Renders a run as a self-contained HTML page: a lane for each process, faults as bars, terms and requests over time. */
 public final class ReportPage {
     private static final int WIDTH = 1200, LEFT = 60, LANE = 26, CHART = 80;
     private static final String[] TERMS = {"#4e79a7", "#f28e2b", "#59a14f", "#b07aa1", "#76b7b2", "#edc948"};
@@ -27,7 +27,7 @@
         this.to = Math.max(to, from + 1);
     }
 
-    /** The page. */
+    /** Returns the HTML of a run. */
     public static String of(History h, List<String> problems, Schedule s) {
         long last = h.statusSamples().stream().mapToLong(StatusSample::at).max().orElse(h.began());
         return new ReportPage(h.began(), last).draw(h, problems, s);
@@ -64,28 +64,28 @@
         links(h, s, lanes.size() * LANE + 4);
         served(h.requests(), (lanes.size() + 1) * LANE + 10);
         axis(height - 20);
-        out.append("</svg><p>A lane is a process: colour is the term as it knows it, full where it leads, pale where it follows,"
-                + " hatched grey where it hears no majority; black where it does not run, red where it stands still, brown where"
-                + " its disk is full. Below: links with faults, then answers a second (blue served, orange else).</p><pre>")
+        out.append("</svg><p>Each lane is a process. The colour shows its term, opaque while it leads and pale while it follows,"
+                + " grey while it reaches no quorum; black bars: down, red bars: paused, brown bars:"
+                + " disk full. Below: link faults, then answers over time (blue: served, orange: other).</p><pre>")
                 .append(escaped(s.text())).append("</pre>");
         return out.toString();
     }
 
     private void lane(History h, String node, double y) {
         text(4, y + LANE / 2.0 + 2, node);
-        StatusSample before = null;
-        for (StatusSample g : h.statusSamples()) {
-            if (!g.node().equals(node)) {
+        StatusSample previous = null;
+        for (StatusSample sample : h.statusSamples()) {
+            if (!sample.node().equals(node)) {
                 continue;
             }
-            if (before != null) {
-                boolean leads = before.voting() && before.leader().equals(node);
+            if (previous != null) {
+                boolean leads = previous.voting() && previous.leader().equals(node);
                 out.append("<g opacity='").append(leads ? 1 : 0.35).append("'>");
-                rect(before.at(), g.at(), y, LANE - 6.0, before.quorumReachable() ? TERMS[(int) (before.term() % TERMS.length)] : "#bbb",
-                        node + " term " + before.term() + " version " + before.version() + " " + before.phase());
+                rect(previous.at(), sample.at(), y, LANE - 6.0, previous.quorumReachable() ? TERMS[(int) (previous.term() % TERMS.length)] : "#bbb",
+                        node + " term " + previous.term() + " version " + previous.version() + " " + previous.phase());
                 out.append("</g>");
             }
-            before = g;
+            previous = sample;
         }
         Map<String, Long> open = new LinkedHashMap<>();
         for (Event e : h.events()) {
@@ -150,7 +150,7 @@
             double up = (double) CHART * good[i] / most;
             double rest = (double) CHART * bad[i] / most;
             rect(a, b, y + CHART - up, up, "#4e79a7", good[i] + " served");
-            rect(a, b, y + CHART - up - rest, rest, "#f28e2b", bad[i] + " refused, failed or without an answer");
+            rect(a, b, y + CHART - up - rest, rest, "#f28e2b", bad[i] + " refused, failed or unanswered");
         }
     }
 
--- a/faultbench/src/main/java/quincespar/faultbench/report/package-info.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/package-info.java
@@ -1,2 +1,2 @@
-/** A run as a page to look at. */
+/** Reports of runs as HTML pages and SVG charts. */
 package quincespar.faultbench.report;
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/FixedSchedules.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/FixedSchedules.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The schedules that are kept: each causes one failure of those that the fleet must live through. */
+/** Named schedules, each of which causes one kind of failure that the fleet must survive. */
 public final class FixedSchedules {
     private static final Map<String, String> TEXTS = new LinkedHashMap<>();
 
@@ -53,7 +53,7 @@
         TEXTS.put("clock-steps", "500 ahead leader\n1500 ahead n2\n2500 behind *\n3500 ahead n3");
     }
 
-    static { // losses of power, in a world of engines that can be cold
+    static { // power losses, played with engines that restart cold
         String powerOff = "1000 killall *\n1000 dark *\n";
         String powerOn = "1500 startall * 3\n1500 light * 0\n";
         TEXTS.put("loss-at-once", powerOff + powerOn);
@@ -75,33 +75,36 @@
                 + "\n5600 start n2");
     }
 
-    /** Whether a schedule is about losses of power, and needs a world of engines that can be cold. */
+    /** Whether a schedule simulates a power loss and therefore needs engines that can restart cold. */
     public static boolean isPowerLoss(String name) {
         return name.startsWith("loss-");
     }
 
     private FixedSchedules() { }
 
-    /** What must be planted for a schedule to do what it says, null where nothing. */
+    /** The source change ({@code --plant}) that a schedule needs for its faults to take effect, or null. */
     public static String requiredPlant(String name) {
         return name.contains("clock") ? "clock" : name.startsWith("disk") ? "disk" : null;
     }
 
-    /** All, by name. */
+    /** The text of each schedule, by name. */
     public static Map<String, String> texts() {
         return Map.copyOf(TEXTS);
     }
 
-    /** By hand are played: the turned bit on a link, as it is chance which byte it hits; and what others cover nearly as well. */
+    /**
+     * Not played at each build: the flipped bit on a link, because which byte it hits is random, and schedules whose failures
+     * others nearly cover.
+     */
     private static final java.util.Set<String> PLAYED_BY_HAND = java.util.Set.of("a-bit-turned", "disk-read-only", "loss-two-late", "loss-folder-of-another",
             "loss-thrice");
 
-    /** Those that do the same at each play, in order. */
+    /** Names of the deterministic schedules played at each build, in order. */
     public static java.util.List<String> playedAtEachBuild() {
         return TEXTS.keySet().stream().filter(n -> !PLAYED_BY_HAND.contains(n)).toList();
     }
 
-    /** Their names, in order. */
+    /** All names, in order. */
     public static java.util.List<String> names() {
         return java.util.List.copyOf(TEXTS.keySet());
     }
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/PowerLossSchedules.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/PowerLossSchedules.java
@@ -7,13 +7,16 @@
 import quincespar.faultbench.schedule.Schedule.Step;
 import quincespar.faultbench.schedule.Schedule.Verb;
 
-/** Schedules with a loss of power of the whole fleet in them, drawn from a seed. */
+/** Generates schedules with a power loss of the whole fleet from a seed. */
 public final class PowerLossSchedules {
     private static final int FIRST_LOSS_MS = 1500, LAST_START_MS = 9000, ENGINES = 8;
 
     private PowerLossSchedules() { }
 
-    /** Of a seed, for so many instances: what goes before, the loss, the order in which all return, and what else fails meanwhile. */
+    /**
+     * Generates the schedule of a seed for a number of instances: the preparation, the power loss, the order of restarts, and
+     * further faults meanwhile.
+     */
     public static Schedule draw(long seed, int instances) {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
         List<Step> out = new ArrayList<>();
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
@@ -7,18 +7,19 @@
 import java.util.stream.Collectors;
 
 /**
- * What happens in a run and when. Written as lines of {@code MS VERB ARGUMENTS}; a line that begins with # is a remark.
+ * A fault schedule, written as lines of {@code MS VERB TARGET AMOUNT}; a line that begins with # is a comment.
  *
- * @param steps by time
+ * @param steps ordered by time
  */
 public record Schedule(List<Step> steps) {
     /**
-     * One thing that happens.
+     * One action of the fault injector.
      *
-     * @param at milliseconds after all instances have come together
-     * @param verb what
-     * @param on an instance, {@code leader}, or a link as {@code n1>n2}; {@code n1>*} and {@code *>n1} are all of one side
-     * @param amount milliseconds, bytes, or 0
+     * @param atMillis milliseconds since all instances have converged
+     * @param verb the action
+     * @param target an instance, {@code leader}, {@code *} for all, or a directed link such as {@code n1>n2}, {@code n1>*} or
+     *     {@code *>n1}
+     * @param amount milliseconds, bytes, a seed or an index, as the verb requires; 0 if unused
      */
     public record Step(int atMillis, Verb verb, String target, int amount) {
         @Override
@@ -27,94 +28,94 @@
         }
     }
 
-    /** What can happen. */
+    /** The actions. */
     public enum Verb {
-        /** SIGKILL to a process. */
+        /** Kills a process (SIGKILL). */
         KILL,
-        /** All processes killed within some milliseconds. */
+        /** Kills all processes, one right after the other. */
         KILLALL,
-        /** A process is started. */
+        /** Starts a process. */
         START,
-        /** All that do not run are started, in the order of a seed, the amount. */
+        /** Starts all processes that are down, in a random order with the amount as its seed. */
         STARTALL,
-        /** SIGTERM. */
+        /** Requests an orderly shutdown (SIGTERM). */
         TERM,
-        /** SIGSTOP. */
+        /** Pauses a process (SIGSTOP). */
         STOP,
-        /** SIGCONT. */
+        /** Resumes a paused process (SIGCONT). */
         CONT,
-        /** A link's connections are reset, and new ones refused. */
+        /** Resets a link's connections and rejects new ones. */
         CUT,
-        /** What goes out on a link is held back without a word. */
+        /** Silently holds back data in the forward direction of a link. */
         HOLD,
-        /** What comes back on it is. */
+        /** Silently holds back data in the backward direction. */
         HOLDBACK,
-        /** What goes out stops in the middle of a chunk. */
+        /** Stops forward data in the middle of a chunk. */
         STALL,
-        /** What goes out is late by the amount. */
+        /** Delays forward data by the amount, in milliseconds. */
         SLOW,
-        /** What goes out is late by up to the amount. */
+        /** Delays forward data by varying times up to the amount, in milliseconds. */
         JITTER,
-        /** What goes out passes at so many bytes a second. */
+        /** Limits forward data to the amount, in bytes per second. */
         THROTTLE,
-        /** One bit of what goes out is turned. */
+        /** Flips one bit of forward data. */
         FLIP,
-        /** A link is whole again, both ways. */
+        /** Removes all faults of a link, in both directions. */
         MEND,
-        /** Files of a process can't grow any more. */
+        /** Simulates a full disk: files of a process can't grow. */
         FULL,
-        /** They can again. */
+        /** Ends {@link #FULL}. */
         ROOM,
-        /** An instance's folder is put aside. */
+        /** Saves a copy of an instance's state folder. */
         COPY,
-        /** It takes the folder that was put aside, while no process runs. */
+        /** Replaces the state folder by the saved copy; only while the process is down. */
         RESTORE,
-        /** It has no folder any more, while no process runs. */
+        /** Deletes the state folder; only while the process is down. */
         EMPTY,
-        /** It takes a copy of the folder of another, whose number is the amount, while no process runs. */
+        /** Replaces the state folder by a copy of that of the instance whose number is the amount; only while it is down. */
         ANOTHERS,
-        /** One bit of its facts (0), its mark (1), its log of votes (2) or its list of loads (3) is turned, while no process runs. */
+        /** Flips one bit of the facts (0), mark (1), consensus log (2) or load list (3) file; only while the process is down. */
         SPOIL,
-        /** Its own files take 5 s to be forced out; only with the plant for that. */
+        /** Makes writes of the state files take 5 s longer; needs {@code --plant disk}. */
         LATE,
-        /** Its own files can't be written; only with the plant for that. */
+        /** Makes writes of the state files fail; needs {@code --plant disk}. */
         READONLY,
-        /** Its disk is as it was. */
+        /** Ends {@link #LATE} and {@link #READONLY}. */
         SOUND,
-        /** So many bytes are cut off the end of its log, while no process runs. */
+        /** Cuts the amount of bytes off the end of the consensus log; only while the process is down. */
         TEAR,
-        /** From then on its life must not end, whatever comes. */
+        /** Requires that the current incarnation of the instance does not end during the run. */
         LIVES,
-        /** All engines lose their power, and what they do with it. */
+        /** All engines lose power and the queries that they run. */
         DARK,
-        /** They have it again, one after the other over so many milliseconds; they are cold. */
+        /** The engines get power again one after the other, spread over the amount in milliseconds, and start cold. */
         LIGHT,
-        /** The change log answers nothing. */
+        /** The change log stops answering. */
         SILENT,
-        /** It does again. */
+        /** The change log answers again. */
         HEARD,
-        /** An engine, by its number from 0, drains, as the change log tells. */
+        /** The change log reports that the engine with this index, from 0, is draining. */
         DRAIN,
-        /** The change log has started anew from an older list, in which no engine drains. */
+        /** The change log restarts from an older list, in which no engine drains. */
         FORGET,
-        /** What follows waits until all instances that run have come back from a loss of power. */
+        /** Delays the following steps until all running instances have recovered from a power loss. */
         RETURNED,
-        /** What follows waits until an instance is in touch with its fleet. */
+        /** Delays the following steps until the instance reaches a quorum. */
         AWAIT,
-        /** A new version beside the old one, under load. */
+        /** Upgrades an instance under load: starts a new process beside the old one and then stops the old one. */
         UPGRADE,
-        /** A second process of the same name is started, with a copy of the folder. */
+        /** Starts a second process of the same name with a copy of the state folder. */
         SECOND,
-        /** The clock of a process steps an hour ahead; only with the plant for that. */
+        /** Moves the clock of a process one hour ahead; needs {@code --plant clock}. */
         AHEAD,
-        /** It steps back again. */
+        /** Moves the clock back again. */
         BEHIND
     }
 
-    /** A drawn schedule is over by then, in milliseconds. */
+    /** Latest end of a fault in a generated schedule, in milliseconds. */
     private static final int MAX_DURATION_MS = 9000;
 
-    /** Reads lines; throws {@link IllegalArgumentException} with the line that is none. */
+    /** Parses schedule text; throws {@link IllegalArgumentException} with the first line that is not a step. */
     public static Schedule read(String text) {
         List<Step> out = new ArrayList<>();
         for (String line : text.lines().map(String::strip).filter(l -> !l.isEmpty() && !l.startsWith("#")).toList()) {
@@ -123,26 +124,26 @@
                 out.add(new Step(Integer.parseInt(w[0]), Verb.valueOf(w[1].toUpperCase(java.util.Locale.ROOT)),
                         w.length > 2 ? w[2] : "*", w.length > 3 ? Integer.parseInt(w[3]) : 0));
             } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-                throw new IllegalArgumentException("no step: '" + line + "'", e);
+                throw new IllegalArgumentException("not a schedule step: '" + line + "'", e);
             }
         }
         out.sort(Comparator.comparingInt(Step::atMillis));
         return new Schedule(List.copyOf(out));
     }
 
-    /** As lines. */
+    /** The schedule in its text format. */
     public String text() {
         return steps.stream().map(Step::toString).collect(Collectors.joining("\n", "", "\n"));
     }
 
-    /** Without one step and what belongs to it: a fault goes with its end. */
+    /** A copy without the step at an index. */
     public Schedule withoutStep(int index) {
         List<Step> out = new ArrayList<>(steps);
         out.remove(index);
         return new Schedule(List.copyOf(out));
     }
 
-    /** Of a seed, for so many instances: some faults, each undone after a while, several at a time. */
+    /** Generates the schedule of a seed for a number of instances: overlapping faults, most of which end after a while. */
     public static Schedule draw(long seed, int instances) {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         List<Step> out = new ArrayList<>();
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/package-info.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/package-info.java
@@ -1,2 +1,2 @@
-/** What happens in a run and when, as text and from a seed; starts nothing. */
+/** Fault schedules: their text format, the fixed ones, and generators driven by a seed. Executes nothing. */
 package quincespar.faultbench.schedule;
--- a/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
@@ -12,25 +12,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** Calls at an instance's second address. */
+/** HTTP client of an instance's admin interface. */
 public final class AdminClient {
     private static final int HEAD = 4;
 
-    /** An answer: its status, 0 where there was none, and its text. */
+    /** An HTTP response; status 0 means that none arrived. */
     public record Response(int status, String body) {
-        /** Single values, by name; those of the objects of a list are in {@link #rows}. */
+        /** The top-level JSON values by name; the objects of a list are in {@link #rows}. */
         public Map<String, String> values() {
             Map<String, String> out = new LinkedHashMap<>();
             read(out, new ArrayList<>());
             return out;
         }
 
-        /** Status and first line, as a report has it. */
+        /** Status and first line of the body, for reports. */
         public String summary() {
             return status + " " + body.lines().findFirst().orElse("");
         }
 
-        /** The objects of its one list. */
+        /** The objects of the list in the JSON body. */
         public List<Map<String, String>> rows() {
             List<Map<String, String>> out = new ArrayList<>();
             read(new LinkedHashMap<>(), out);
@@ -51,14 +51,14 @@
                     }
                 }
             } catch (IOException e) {
-                throw new IllegalStateException("no JSON: " + body, e);
+                throw new IllegalStateException("response is not valid JSON: " + body, e);
             }
         }
     }
 
     private AdminClient() { }
 
-    /** One call, which takes so long at the most. */
+    /** Sends one request; {@code waitMs} bounds connecting and each read. */
     public static Response call(InetSocketAddress at, String method, String path, int waitMs) {
         try (Socket s = new Socket()) {
             s.connect(at, waitMs);
@@ -69,7 +69,7 @@
             int head = text.indexOf("\r\n\r\n");
             return head < 0 || !text.startsWith("HTTP/1.1 ") ? new Response(0, "")
                     : new Response(Integer.parseInt(text.substring(9, 12)), text.substring(head + HEAD));
-        } catch (IOException e) { // not there, cut off or late: all the same to a caller
+        } catch (IOException e) { // refused, reset or timed out; callers make no difference
             return new Response(0, "");
         }
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Client.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Client.java
@@ -11,9 +11,9 @@
 import quincespar.faultbench.check.History;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** A client of one instance: asks at a steady pace on one connection, and on a new one where that ends. */
+/** A client of one instance: sends requests at a fixed rate on one connection, and reconnects when that closes. */
 public final class Client {
-    /** Where the number of a call stands in an answer, behind version, length and name. */
+    /** Offset of the call id in a reply frame, after version, length and name. */
     private static final int CALL_ID_OFFSET = 12, TYPE_OFFSET = 3, REPLY_TYPE = 2, REQUEST_LIMIT_MS = 3000;
     private static final byte[] STATEMENT = "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8);
 
@@ -27,7 +27,7 @@
     private volatile boolean stopping;
     private int asked;
 
-    /** Begins to ask when {@link #start}ed. */
+    /** A client that sends nothing until {@link #start}. */
     public Client(String node, InetSocketAddress at, int number, int everyMs, History history) {
         this.node = node;
         this.at = at;
@@ -36,13 +36,13 @@
         this.history = history;
     }
 
-    /** Starts; the thread ends once it was told to stop and all is answered. */
+    /** Starts sending; the thread ends after {@link #stop}, once all requests are answered. */
     public Thread start() {
         return Sockets.startDaemon("client-" + node, () -> {
             while (!stopping) {
                 try {
                     runConnection();
-                } catch (IOException e) { // nobody is there now
+                } catch (IOException e) { // the instance is not reachable
                     pause(everyMs);
                 } catch (InterruptedException e) {
                     return;
@@ -51,7 +51,7 @@
         });
     }
 
-    /** No new requests. */
+    /** Stops sending new requests. */
     public void stop() {
         stopping = true;
     }
@@ -101,10 +101,10 @@
                     history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_OFFSET] != REPLY_TYPE
                             ? "exception" : text.contains(o.txn() + "\ta\tb\n") ? "served" : "refused or failed", o.load()));
                 } else {
-                    history.add(node, "unasked", "an answer to no open request");
+                    history.add(node, "unasked", "a reply to no open request");
                 }
             }
-        } catch (IOException e) { // the end of this connection
+        } catch (IOException e) { // the connection was closed
             return;
         }
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Cluster.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Cluster.java
@@ -13,23 +13,32 @@
 import java.util.stream.Collectors;
 import quincespar.faultbench.check.History;
 
-/** All processes of a run, the relays between them, and the stand-ins round them. */
+/** All processes of a run, the relays between them, and their stand-in engines and change log. */
 public final class Cluster implements AutoCloseable {
     private static final int ENGINES = 3, COLD_ENGINES = 8, LOAD_MS = 300;
-    /** The rules of cold engines, and what they come to for queries of that work: N + 3 x root of N + 3, as on the platform. */
+    /**
+     * Limits of cold engines, as on the platform: where these amount to N queries of {@link #WORK_MS} within {@link #FALL_MS}, an
+     * engine fails beyond N + 3 * sqrt(N) + 3.
+     */
     private static final int COLD_MS = 6000, FALL_MS = 1000, CORES = 4;
     private static final double COLD_SHARE = 0.3, FALL_MULTIPLE = 1.5;
-    /** The work that clients name, in milliseconds of a core. */
+    /** Work that clients state for a query, in milliseconds of one core. */
     static final int WORK_MS = 30;
 
     /**
-     * How a world is made: instances, how many of them vote, whether there is a fleet at all, the program and what is planted.
+     * The configuration of a cluster.
      *
-     * @param cold whether engines can be cold, and fall
-     * @param recovery whether front ends look for a return from a loss of power
+     * @param voters how many of the instances vote
+     * @param fleet whether the instances form a fleet
+     * @param jar the program
+     * @param plant compiled mutation to put on the class path before the jar, or null
+     * @param folder working folder of the run
+     * @param cold whether engines can restart cold and fail
+     * @param recovery whether front ends detect and recover from a power loss
      */
-    public record Options(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder, boolean cold, boolean recovery) {
-        /** Without losses of power. */
+    public record Options(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder, boolean cold,
+            boolean recovery) {
+        /** Options without power losses. */
         public Options(int instances, int voters, boolean fleet, Path jar, Path plant, Path folder) {
             this(instances, voters, fleet, jar, plant, folder, false, false);
         }
@@ -45,12 +54,13 @@
     private final String addressPrefix;
     private final History history;
 
-    /** Makes all of it; nothing of the program runs yet. */
+    /** Creates stand-ins, folders and configurations; starts no process of the program. */
     public Cluster(Options options, History history) throws IOException {
         this.options = options;
         this.history = history;
         double sustainableQueries = FALL_MULTIPLE * COLD_SHARE * CORES * FALL_MS / WORK_MS;
-        StandInEngine.ColdLimits cold = new StandInEngine.ColdLimits(COLD_MS, FALL_MS, (int) (sustainableQueries + 3 * Math.sqrt(sustainableQueries) + 3));
+        StandInEngine.ColdLimits cold = new StandInEngine.ColdLimits(COLD_MS, FALL_MS,
+                (int) (sustainableQueries + 3 * Math.sqrt(sustainableQueries) + 3));
         for (int i = 0; i < (options.cold() ? COLD_ENGINES : ENGINES); i++) {
             engines.add(options.cold() ? new StandInEngine(5, LOAD_MS, cold, history) : new StandInEngine(5, 20, null, history));
         }
@@ -99,27 +109,27 @@
         return "{\"id\":\"" + e.id() + "\",\"host_port\":\"127.0.0.1:" + e.port() + "\",\"phase\":\"" + phase + "\",\"size\":1}";
     }
 
-    /** The engines, in order. */
+    /** The stand-in engines, by index. */
     public List<StandInEngine> engines() {
         return engines;
     }
 
-    /** The change log. */
+    /** The stand-in change log. */
     public StandInChangeLog changeLog() {
         return changeLog;
     }
 
-    /** An engine drains, as the change log tells it. */
+    /** Makes the change log report that an engine is draining. */
     public void drain(int engine) {
         changeLog.append(member(engines.get(engine), "draining"));
     }
 
-    /** What the world was made with. */
+    /** The configuration of this cluster. */
     public Options options() {
         return options;
     }
 
-    /** A second process under the name of an instance, with a copy of its folder and addresses of its own. */
+    /** Creates a second process under the name of an instance, with a copy of its folder and its own addresses. */
     public Node createDuplicate(String name) throws IOException {
         Node n = new Node(name + "-second", options.folder().resolve(name + "-second"), options.jar(), options.plant(),
                 addressPrefix + (options.instances() + 1 + duplicates.size()), history);
@@ -174,32 +184,32 @@
             %s""".formatted(voters, String.join(",", relayAddresses), n.stateFolder(), options.recovery() ? RECOVERY : "");
     }
 
-    /** Deletes a run's folder with all that is in it. */
+    /** Deletes a run's folder recursively. */
     public static void deleteFolder(Path folder) throws IOException {
         Node.deleteFolder(folder);
     }
 
-    /** All instances, by name. */
+    /** The instances by name. */
     public Map<String, Node> nodes() {
         return nodes;
     }
 
-    /** The link from one instance to a voter, null where there is none. */
+    /** The link from an instance to a voter, or null. */
     public Relay relay(String from, String to) {
         return relays.get(from + ">" + to);
     }
 
-    /** Whether it is one of those that vote. */
+    /** Whether an instance is a voter. */
     public boolean isVoter(String name) {
         return options.fleet() && voterAddresses.containsKey(name);
     }
 
-    /** All links. */
+    /** The links by {@code from>to}. */
     public Map<String, Relay> relays() {
         return relays;
     }
 
-    /** The ids of all loads that reached an engine, each as often as it did. */
+    /** Ids of all loads that reached an engine, with repetitions. */
     public List<String> receivedLoads() {
         return engines.stream().flatMap(e -> e.receivedLoads().stream()).toList();
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Node.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Node.java
@@ -12,15 +12,15 @@
 import java.util.stream.Stream;
 import quincespar.faultbench.check.History;
 
-/** One instance: its folder, its files, and the process that runs for it now, if any. */
+/** One instance: its state folder, configuration files, and current process, if any. */
 public final class Node {
     private static final List<String> JVM_OPTIONS = List.of("-Djava.net.preferIPv4Stack=true", "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xshare:auto", "-Xms48m", "-Xmx96m", "-Xss256k",
             "-XX:CICompilerCount=1");
 
-    /** While this file is there, the clock of a process with that plant runs an hour ahead. */
+    /** While this file exists, the clock of a process with the {@code clock} plant runs one hour ahead. */
     static final String CLOCK_AHEAD_FILE = "hour";
-    /** While one of these is there, the disk of a process with that plant is slow, or refuses. */
+    /** While one of these files exists, state file writes of a process with the {@code disk} plant are slow or fail. */
     static final String DISK_SLOW_FILE = "late", DISK_READ_ONLY_FILE = "readonly";
     private static final List<String> STATE_FILE_PREFIXES = List.of("facts", "mark", "log_inprogress", "kept");
 
@@ -47,32 +47,32 @@
         this.history = history;
     }
 
-    /** Its name. */
+    /** The instance name. */
     public String name() {
         return name;
     }
 
-    /** Its second address. */
+    /** The address of its admin interface. */
     public InetSocketAddress adminAddress() {
         return new InetSocketAddress(host, adminPort);
     }
 
-    /** Its clients' address. */
+    /** The address for clients. */
     public InetSocketAddress listenAddress() {
         return new InetSocketAddress(host, LISTEN_PORT);
     }
 
-    /** Where it votes. */
+    /** The address of its consensus protocol. */
     InetSocketAddress voteAddress() {
         return new InetSocketAddress(host, VOTE_PORT);
     }
 
-    /** Where it keeps what must last. */
+    /** The folder of its durable state. */
     public Path stateFolder() {
         return folder.resolve("state");
     }
 
-    /** The whole of what its processes have written to their log. */
+    /** The concatenated logs of all its processes. */
     public String log() throws IOException {
         StringBuilder out = new StringBuilder();
         for (int i = 1; i <= starts; i++) {
@@ -87,7 +87,7 @@
         Files.writeString(folder.resolve("quincespar.conf"), conf);
     }
 
-    /** Starts a process, where none runs. */
+    /** Starts a process if none runs. */
     public synchronized void start() throws IOException {
         if (process == null || !process.isAlive()) {
             process = launch();
@@ -95,8 +95,8 @@
     }
 
     /**
-     * A new version under load: a second process with the same files and another second address; at its yes the old one is
-     * told to stop, and its end is waited for. False where no process ran, or the new one did not say yes in time.
+     * Upgrades under load: starts a second process with the same files and another admin address, stops the old process once the
+     * new one answers {@code /status}, and waits for its exit. False if no process ran or a step timed out.
      */
     public boolean upgrade(long timeoutMs) throws IOException, InterruptedException {
         Process old;
@@ -142,31 +142,31 @@
         return b.redirectErrorStream(true).redirectOutput(folder.resolve("log-" + ++starts).toFile()).start();
     }
 
-    /** Begins its folder as a voter's, as operators do before a fleet's first start, by this program's command line. */
+    /** Initializes its folder as a voter's with the program's command line, as an operator does before the first start of a fleet. */
     void initFolder(ClassLoader program) throws IOException {
         int code;
         try {
             code = (int) program.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
                     (Object) new String[] {"fleet", "init", folder.resolve("quincespar.conf").toString(), "--name", name});
         } catch (ReflectiveOperationException e) {
-            throw new IOException("the program's command line can't be called: " + e, e);
+            throw new IOException("cannot call the program's command line: " + e, e);
         }
         if (code != 0) {
-            throw new IOException("the folder of " + name + " could not be begun");
+            throw new IOException("cannot initialize the folder of " + name + ": exit code " + code);
         }
     }
 
-    /** Whether its process lives. */
+    /** Whether its process is running. */
     public synchronized boolean alive() {
         return process != null && process.isAlive();
     }
 
-    /** The id of its process, 0 where none lives. */
+    /** The id of its process, 0 if none is running. */
     public synchronized long pid() {
         return alive() ? process.pid() : 0;
     }
 
-    /** SIGKILL, and its end. */
+    /** Sends SIGKILL and waits for the exit. */
     public synchronized void kill() throws InterruptedException {
         if (alive()) {
             history.add(name, "killed", "");
@@ -175,7 +175,7 @@
         }
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public synchronized void terminate() {
         if (alive()) {
             history.add(name, "told to stop", "");
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Waits for the end of its process; false where it goes on. */
+    /** Waits for the exit of its process; false on timeout. */
     public boolean awaitEnd(long ms) throws InterruptedException {
         Process p;
         synchronized (this) {
@@ -192,7 +192,7 @@
         return p == null || p.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
-    /** SIGSTOP or SIGCONT. */
+    /** Pauses (SIGSTOP) or resumes (SIGCONT) its process. */
     public synchronized void setPaused(boolean now) throws IOException, InterruptedException {
         if (alive() && now != paused) {
             paused = now;
@@ -201,14 +201,14 @@
         }
     }
 
-    /** Has its process write what its threads are at to its log. */
+    /** Makes its process write a thread dump to its log. */
     public synchronized void dumpThreads() throws IOException, InterruptedException {
         if (alive()) {
             run("kill", "-QUIT", Long.toString(process.pid()));
         }
     }
 
-    /** From now on files of its process can't grow beyond so many bytes, as on a full disk; negative for no limit. */
+    /** Limits the size of files that its process writes, as on a full disk; negative for no limit. */
     public synchronized void limitFileSize(long bytes) throws IOException, InterruptedException {
         if (alive()) {
             history.add(name, bytes < 0 ? "disk has room" : "disk full", "");
@@ -220,36 +220,36 @@
         new ProcessBuilder(command).redirectErrorStream(true).start().waitFor();
     }
 
-    /** Its clock steps an hour ahead, or back; only with the plant for that. */
+    /** Moves its clock one hour ahead, or back; needs the {@code clock} plant. */
     public void shiftClock(boolean ahead) throws IOException {
         setFlagFile(CLOCK_AHEAD_FILE, ahead);
         history.add(name, ahead ? "clock steps ahead" : "clock steps back", "");
     }
 
-    /** Its disk is slow or refuses from now on, or neither; only with the plant for that. */
+    /** Makes state file writes slow or fail, or neither; needs the {@code disk} plant. */
     public void setDiskFault(boolean late, boolean readOnly) throws IOException {
         setFlagFile(DISK_SLOW_FILE, late);
         setFlagFile(DISK_READ_ONLY_FILE, readOnly);
         history.add(name, late ? "disk slow" : readOnly ? "disk read-only" : "disk sound", "");
     }
 
-    private void setFlagFile(String file, boolean there) throws IOException {
+    private void setFlagFile(String file, boolean exists) throws IOException {
         Path at = folder.resolve("tmp").resolve(file);
-        if (there) {
+        if (exists) {
             Files.writeString(at, "");
         } else {
             Files.deleteIfExists(at);
         }
     }
 
-    /** One bit is turned in the middle of its facts (0), its mark (1), its log (2) or its list of loads (3); throws where there is no such file. */
+    /** Flips one bit in the middle of the facts (0), mark (1), consensus log (2) or load list (3) file; throws if it does not exist. */
     public void flipBit(int which) throws IOException {
         try (Stream<Path> all = Files.walk(stateFolder())) {
             Path p = all.filter(f -> f.getFileName().toString().startsWith(STATE_FILE_PREFIXES.get(which))).findFirst().orElseThrow(
                     () -> new IOException(name + " has no " + STATE_FILE_PREFIXES.get(which)));
             byte[] bytes = Files.readAllBytes(p);
             int end = bytes.length;
-            while (end > 0 && bytes[end - 1] == 0) { // room that was set aside
+            while (end > 0 && bytes[end - 1] == 0) { // preallocated space
                 end--;
             }
             bytes[end / 2] ^= 1;
@@ -258,18 +258,18 @@
         history.add(name, "a bit turned", STATE_FILE_PREFIXES.get(which));
     }
 
-    /** Has this folder beside what it is told by its files, as a copy of another's. */
+    /** Replaces its state folder by a copy of another instance's. */
     void takeCopyOf(Node other) throws IOException {
         copy(other.stateFolder(), stateFolder());
     }
 
-    /** Puts its folder aside, for {@link #replaceFolder}. */
+    /** Saves a copy of its state folder, for {@link #replaceFolder}. */
     public void copyFolder() throws IOException {
         copy(stateFolder(), folder.resolve("copy"));
         history.add(name, "folder copied", "");
     }
 
-    /** Takes the folder that was put aside, another's, or none; only while no process runs. */
+    /** Replaces its state folder by a copy of the given one, or deletes it if null; only while no process runs. */
     public void replaceFolder(Path from) throws IOException {
         deleteFolder(stateFolder());
         if (from != null && Files.exists(from)) {
@@ -278,12 +278,12 @@
         history.add(name, "folder replaced", from == null ? "by none" : "");
     }
 
-    /** Where {@link #copyFolder} put it. */
+    /** The copy made by {@link #copyFolder}. */
     public Path folderCopy() {
         return folder.resolve("copy");
     }
 
-    /** Cuts so many bytes off the end of the log that it votes by, as where the last of them never reached the disk. */
+    /** Cuts bytes off the end of the consensus log, as if the last writes had not reached the disk. */
     public void truncateLog(int bytes) throws IOException {
         if (!Files.exists(stateFolder())) {
             return;
@@ -292,7 +292,7 @@
             for (Path p : all.filter(f -> f.getFileName().toString().startsWith("log_inprogress")).toList()) {
                 byte[] whole = Files.readAllBytes(p);
                 int end = whole.length;
-                while (end > 0 && whole[end - 1] == 0) { // room that was set aside
+                while (end > 0 && whole[end - 1] == 0) { // preallocated space
                     end--;
                 }
                 Files.write(p, java.util.Arrays.copyOf(whole, Math.max(0, end - bytes)));
--- a/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
@@ -10,8 +10,8 @@
 import javax.tools.ToolProvider;
 
 /**
- * Guards of the program that can be taken out, to see that the checkers find what they guard against: the source with the
- * guard's text replaced, compiled anew. Throws where that text is not there, so that a plant can't come to plant nothing.
+ * Mutations of the program's sources. Removing a guard shows that the checkers find the failure that it prevents. Each mutation
+ * replaces pieces of source text and compiles the result; it fails if a piece is missing, so that it can't silently do nothing.
  */
 public final class Plant {
     private record Edit(String file, String original, String replacement) { }
@@ -26,19 +26,19 @@
                 + " && found.standing() != Standing.GONE ? found : null;", "return found;")));
         GUARDS.put("old-folder", List.of(new Edit(STATE, "if (!rejection.isEmpty()) {", "if (false) {"),
                 new Edit(PARTICIPATION, "if (!rejection.isEmpty() && (phase", "if (false && (phase")));
-        // what was never forced out of the system's memory is not there after a loss of power
+        // skips the write: data that was never synced to disk is lost with the power
         GUARDS.put("fsync", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "if (name != null) { return; } Path next = folder.resolve(name + NEXT);")));
     }
 
     private static final String CLOCK = "frontend/src/main/java/quincespar/program/runtime/Clock.java";
 
-    static { // no guard: the program's clock, which runs an hour ahead from when a file is there
+    static { // not a guard: moves the clock one hour ahead while a file exists
         GUARDS.put("clock", List.of(new Edit(CLOCK, "return offset + System.nanoTime() / 1e6;", "return offset + System.nanoTime()"
                 + " / 1e6 + (new java.io.File(System.getenv(\"TMPDIR\"), \"" + Node.CLOCK_AHEAD_FILE + "\").exists() ? 3_600_000 : 0);")));
     }
 
-    static { // no guard: a disk that is slow or refuses while a file is there
+    static { // not a guard: makes state file writes slow or fail while a file exists
         GUARDS.put("disk", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "java.io.File now = new java.io.File(System.getenv(\"TMPDIR\"));\n"
                 + "if (new java.io.File(now, \"" + Node.DISK_READ_ONLY_FILE + "\").exists()) { throw new IOException(\"Read-only file system\"); }\n"
@@ -49,23 +49,23 @@
 
     private Plant() { }
 
-    /** The guards that can be taken out. */
+    /** Names accepted by {@code --plant}. */
     public static List<String> guards() {
         return List.copyOf(GUARDS.keySet());
     }
 
-    /** Compiles the program without a guard into a folder, for the front of the class path of {@code jar}. */
+    /** Compiles the mutated sources into a folder to be put on the class path before {@code jar}. */
     public static Path compileWithout(String guard, Path root, Path jar, Path folder) throws IOException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null || !GUARDS.containsKey(guard)) {
-            throw new IOException(compiler == null ? "a JDK is needed to take a guard out" : "no guard '" + guard + "'; known are "
+            throw new IOException(compiler == null ? "a JDK is required to compile a mutation" : "unknown guard '" + guard + "'; known guards: "
                     + guards());
         }
         Path to = Files.createDirectories(folder.resolve("plant-" + guard));
         for (Edit e : GUARDS.get(guard)) {
             String text = Files.readString(root.resolve(e.file()));
             if (!text.contains(e.original())) {
-                throw new IOException("the guard '" + guard + "' is not where it was, in " + e.file());
+                throw new IOException("source text of guard '" + guard + "' not found in " + e.file());
             }
             Path source = to.resolve(Path.of(e.file()).getFileName());
             Files.writeString(source, text.replace(e.original(), e.replacement()));
--- a/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
@@ -9,25 +9,25 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The link from one instance to another: passes bytes on, or does to them what it is told. */
+/** TCP proxy for the link from one instance to another; forwards bytes and injects network faults. */
 public final class Relay implements AutoCloseable {
     private static final int BUFFER_BYTES = 8192;
 
-    /** What is done to the bytes of one direction. */
+    /** The fault of one direction. */
     public enum Mode {
-        /** Passed on. */
+        /** No fault. */
         PASS,
-        /** Held back without a word, until it passes again. */
+        /** Bytes are held back until the mode changes; connections stay open. */
         HOLD,
-        /** Held back from the middle of a chunk on: what has begun does not end. */
+        /** Bytes are held back from the middle of a chunk on, which leaves a frame incomplete. */
         STALL,
-        /** Passed on late by the amount, in milliseconds. */
+        /** Each chunk is delayed by the amount, in milliseconds. */
         SLOW,
-        /** Passed on late by up to the amount, by turns. */
+        /** Each chunk is delayed by a varying time up to the amount, in milliseconds. */
         JITTER,
-        /** At most the amount in bytes a second. */
+        /** Throughput is limited to the amount, in bytes per second. */
         THROTTLE,
-        /** One bit of the next chunk is turned, and then it passes. */
+        /** One bit of the next chunk is flipped; the mode then returns to {@link #PASS}. */
         FLIP
     }
 
@@ -41,18 +41,18 @@
     private DirectionFault forwardFault = new DirectionFault(Mode.PASS, 0);
     private DirectionFault backwardFault = new DirectionFault(Mode.PASS, 0);
 
-    /** From an address of its own to this one. */
+    /** A relay from a new loopback port to this address. */
     public Relay(InetSocketAddress to) throws IOException {
         this.to = to;
         Sockets.serve(server, "relay", this::serveConnection);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Sets what is done to bytes on their fault there ({@code forward}) or back, from now on. */
+    /** Sets the fault of the forward or backward direction. */
     public void setMode(boolean forward, Mode mode, int amount) {
         synchronized (changed) {
             if (forward) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Resets all connections, and refuses new ones for as long as it is cut. */
+    /** Resets all connections and rejects new ones while the link is cut. */
     public void setCut(boolean now) {
         cut = now;
         if (now) {
@@ -76,7 +76,7 @@
         try {
             s.setSoLinger(true, 0);
             s.close();
-        } catch (IOException e) { // closed already
+        } catch (IOException e) { // already closed
             return;
         }
     }
@@ -121,8 +121,9 @@
         }
     }
 
-    /** Does what is asked for, and returns how much of the chunk has gone out with that. */
-    private int applyFault(byte[] bytes, int n, OutputStream to, boolean forward, int chunkNumber) throws InterruptedException, IOException {
+    /** Applies the current fault to a chunk and returns how many of its bytes have been written already. */
+    private int applyFault(byte[] bytes, int n, OutputStream to, boolean forward, int chunkNumber)
+            throws InterruptedException, IOException {
         int sent = 0;
         while (true) {
             DirectionFault fault;
--- a/faultbench/src/main/java/quincespar/faultbench/world/Sockets.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Sockets.java
@@ -8,11 +8,11 @@
 import java.net.Socket;
 import java.util.Random;
 
-/** What all stand-ins need of sockets: loopback addresses and a thread for each connection. */
+/** Socket helpers of the stand-ins: loopback addresses, and a thread for each connection. */
 final class Sockets {
     private static final int BACKLOG = 128;
 
-    /** Plays one connection; its end is told by the exception. */
+    /** Serves one connection until it is closed, which may end in an {@link IOException}. */
     interface ConnectionHandler {
         void handle(Socket s) throws IOException;
     }
@@ -20,8 +20,8 @@
     private Sockets() { }
 
     /**
-     * A net of loopback addresses that nobody listens in, as {@code 127.A.B.}: ports of the one common address may be taken by
-     * any connection that goes out between the look and the use.
+     * Finds an unused prefix of loopback addresses, as {@code 127.A.B.}. Free ports of 127.0.0.1 are unsuitable: an outgoing
+     * connection may take a port between the check and its use.
      */
     static String freeAddressPrefix(int port) throws IOException {
         Random random = new Random();
@@ -30,7 +30,7 @@
             try (ServerSocket free = new ServerSocket()) {
                 free.bind(new InetSocketAddress(prefix + "1", port));
                 return prefix;
-            } catch (BindException e) { // another run's
+            } catch (BindException e) { // in use by another run
                 Thread.onSpinWait();
             }
         }
@@ -40,7 +40,7 @@
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     }
 
-    /** Accepts until the listener is closed, and plays each connection on a thread of its own. */
+    /** Accepts connections until the listener is closed, and handles each on its own thread. */
     static void serve(ServerSocket server, String name, ConnectionHandler handler) {
         startDaemon(name, () -> {
             while (!server.isClosed()) {
@@ -50,11 +50,11 @@
                     startDaemon(name + "-link", () -> {
                         try (s) {
                             handler.handle(s);
-                        } catch (IOException e) { // the end of this connection, whichever side ended it
+                        } catch (IOException e) { // closed by either side
                             return;
                         }
                     });
-                } catch (IOException e) { // closed, or a peer that went before it was taken
+                } catch (IOException e) { // listener closed, or the peer disconnected before the accept
                     Thread.onSpinWait();
                 }
             }
--- a/faultbench/src/main/java/quincespar/faultbench/world/StandInChangeLog.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInChangeLog.java
@@ -9,7 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A stand-in change log: answers each question with what came after it, or when its time is over; it can fall silent, and forget. */
+/**
+ * A stand-in for the change log service. Answers each long poll with the changes after its sequence number, or with none at its
+ * timeout. It can stop answering, and can restart from an older list.
+ */
 public final class StandInChangeLog implements AutoCloseable {
     private static final int POLL_MS = 20, FIRST_SEQUENCE = 1;
 
@@ -17,28 +20,28 @@
     private final List<String> events = new ArrayList<>();
     private volatile boolean silent;
 
-    /** Begins to answer. */
+    /** Starts to listen and answer. */
     public StandInChangeLog() throws IOException {
         Sockets.serve(server, "change-log", this::serveConnection);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** It answers nothing from now on, or does again. */
+    /** Stops answering, or resumes. */
     public void setSilent(boolean now) {
         silent = now;
     }
 
-    /** Members of the list have changed, as JSON objects. */
+    /** Appends a change of members, given as JSON objects. */
     public synchronized void append(String members) {
         int seq = FIRST_SEQUENCE + events.size() + 1;
         events.add("{\"seq\":" + seq + ",\"fleet\":{\"revision\":" + seq + ",\"complete\":false,\"members\":[" + members + "]}}");
     }
 
-    /** It has started anew from an older list: what it was told is not in it. */
+    /** Simulates a restart from an older list: drops all appended changes. */
     public synchronized void forgetChanges() {
         events.clear();
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
@@ -22,18 +22,18 @@
 import quincespar.protocol.resp.RespDecoder;
 
 /**
- * A stand-in engine: answers each query with one row after a while, and remembers the loads that reached it. One that has lost its power
- * returns cold, and falls over for good where it gets more than a cold one bears.
+ * A stand-in for an engine: answers each query with one row after a delay and records the loads that reach it. After a power
+ * loss it restarts cold, and fails permanently if it gets more queries than a cold engine sustains.
  */
 public final class StandInEngine implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 65_536;
 
     /**
-     * What a cold engine bears.
+     * The load that a cold engine sustains.
      *
-     * @param coldMs how long it is cold after its power is back
-     * @param windowMs within any span of that length, milliseconds
-     * @param most it bears so many queries
+     * @param coldMs how long it is cold after a restart, in milliseconds
+     * @param windowMs length of the sliding window, in milliseconds
+     * @param maxQueries queries that it sustains within a window
      */
     public record ColdLimits(int coldMs, int windowMs, int maxQueries) { }
 
@@ -56,7 +56,7 @@
     private final int lookupMs;
     private final int loadMs;
 
-    /** One that takes so long for a lookup and a load; {@code cold} is null where it never falls. */
+    /** An engine with these query durations; {@code cold} is null if it never fails. */
     public StandInEngine(int lookupMs, int loadMs, ColdLimits cold, History history) throws IOException {
         this.lookupMs = lookupMs;
         this.loadMs = loadMs;
@@ -66,22 +66,22 @@
         Sockets.serve(server, "engine", this::serveConnection);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return port;
     }
 
-    /** Its name in the list. */
+    /** Its id in the engine list. */
     public String id() {
         return "s-" + port;
     }
 
-    /** When a query last reached it, on the machine's monotonic clock. */
+    /** When a query last reached it, as {@link System#nanoTime()}. */
     public long lastQueryAt() {
         return lastAt.get();
     }
 
-    /** Its power is lost, with all that it does and knows, or is back: then it is cold. */
+    /** Cuts its power, which closes all connections, or restores it, after which it is cold. */
     public synchronized void setPowered(boolean on) throws IOException {
         if (on == powered || fallen) {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** A query has come; false where it was one too many. */
+    /** Counts a query; false if it exceeds what the cold engine sustains. */
     private synchronized boolean acceptsQuery() {
         long now = System.nanoTime();
         lastAt.set(now);
@@ -124,14 +124,14 @@
         return !fallen;
     }
 
-    /** The ids of all loads that came, each as often as it came. */
+    /** Ids of all loads received, with repetitions. */
     public List<String> receivedLoads() {
         return List.copyOf(loads);
     }
 
     private void serveConnection(Socket s) throws IOException {
         links.add(s);
-        if (!powered) { // it came between
+        if (!powered) { // connected during the power cut
             s.close();
         }
         RespDecoder decoder = new RespDecoder();
@@ -149,7 +149,7 @@
         if (word.equals("serve") && !acceptsQuery()) {
             try {
                 closeSockets();
-            } catch (IOException e) { // it is over either way
+            } catch (IOException e) { // the engine is down in any case
                 return;
             }
         } else if (word.equals("serve")) {
@@ -178,7 +178,7 @@
             synchronized (s) {
                 to.write(out.toString().getBytes(StandardCharsets.ISO_8859_1));
             }
-        } catch (IOException e) { // whoever asked has gone
+        } catch (IOException e) { // the requester has disconnected
             return;
         }
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/package-info.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/package-info.java
@@ -1,2 +1,2 @@
-/** Processes of the program, the links between them and the stand-ins round them; judges nothing. */
+/** The test environment: processes of the program, relays between them, and stand-ins for engines, change log and clients. */
 package quincespar.faultbench.world;
--- a/faultbench/src/test/java/quincespar/faultbench/FixedSchedulesIT.java
+++ b/faultbench/src/test/java/quincespar/faultbench/FixedSchedulesIT.java
@@ -15,7 +15,7 @@
 import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Plant;
 
-/** Five processes of the program under each fixed schedule; and that the checkers find what a guard guards against. */
+/** Plays each fixed schedule with five processes, and checks that the checkers find a failure once its guard is removed. */
 @Timeout(150)
 class FixedSchedulesIT {
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
@@ -28,24 +28,25 @@
         return FixedSchedules.playedAtEachBuild();
     }
 
-    private List<String> played(String name, Path plant) throws IOException, InterruptedException {
+    private List<String> play(String name, Path plant) throws IOException, InterruptedException {
         boolean loss = FixedSchedules.isPowerLoss(name);
-        return new Run(new Cluster.Options(5, 5, true, JAR, plant, folder, loss, loss), Schedule.read(FixedSchedules.texts().get(name))).play();
+        return new Run(new Cluster.Options(5, 5, true, JAR, plant, folder, loss, loss),
+                Schedule.read(FixedSchedules.texts().get(name))).play();
     }
 
     @ParameterizedTest
     @MethodSource("names")
-    void everythingHolds(String name) throws IOException, InterruptedException {
+    void allChecksHold(String name) throws IOException, InterruptedException {
         String planted = FixedSchedules.requiredPlant(name);
         Path plant = planted == null ? null : Plant.compileWithout(planted, ROOT, JAR, folder);
-        assertThat(played(name, plant)).isEmpty();
+        assertThat(play(name, plant)).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"incarnation, gone-and-back, was over", "old-folder, folder-of-before, votes on a folder that is older",
-        "fsync, restart, what it was told to keep was lost"})
-    void withoutItsGuardAScheduleBreaks(String guard, String name, String found) throws IOException, InterruptedException {
+        "fsync, restart, its durable state was lost"})
+    void checkersFindTheFailureOfARemovedGuard(String guard, String name, String found) throws IOException, InterruptedException {
         Path plant = Plant.compileWithout(guard, ROOT, JAR, folder);
-        assertThat(played(name, plant)).anySatisfy(line -> assertThat(line).contains(found));
+        assertThat(play(name, plant)).anySatisfy(line -> assertThat(line).contains(found));
     }
 }
--- a/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
@@ -15,12 +15,12 @@
     }
 
     @Test
-    void eachRuleFindsWhatBreaksItAndNothingElse() {
+    void eachInvariantReportsExactlyItsViolations() {
         StatusSample a = sample(1, "a", 1, true, "a", 7, 3, "a:1:SERVING", "b:2:GONE");
         assertThat(Invariants.oneLeaderPerTerm(List.of(a, sample(2, "b", 2, true, "a", 7, 3), sample(3, "b", 2, true, "b", 8, 3))))
                 .isEmpty();
         assertThat(Invariants.oneLeaderPerTerm(List.of(a, sample(2, "b", 2, true, "b", 7, 3)))).hasSize(1);
-        assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(9, "b", 2, true, "a", 7, 2, "b:2:SERVING")))).isEmpty(); // seen late
+        assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(9, "b", 2, true, "a", 7, 2, "b:2:SERVING")))).isEmpty(); // an older version, sampled late
         assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(2, "b", 2, true, "a", 7, 4, "b:2:SERVING")))).hasSize(1);
         assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(2, "b", 2, true, "a", 7, 4, "c:1:SERVING")))).hasSize(1);
         assertThat(Invariants.incarnationsIncrease(List.of(a, sample(2, "a", 4, true, "a", 7, 3)))).isEmpty();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aRequestWithoutAnAnswerIsExcusedByWhatHappenedToItsProcessOnly() {
+    void missingAnswerIsExcusedOnlyByFaultsOfItsOwnProcess() {
         Request none = new Request("a", "t", 1_000_000_000, 2_000_000_000, "", false);
         assertThat(Invariants.everyRequestAnswered(List.of(none), List.of())).hasSize(1);
         assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(1_500_000_000, "b", "killed", "")))).hasSize(1);
--- a/faultbench/src/test/java/quincespar/faultbench/check/LinearizabilityTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/check/LinearizabilityTest.java
@@ -20,52 +20,52 @@
         return new Operation("r", "c", from, to, false, -1, value, version, Outcome.DONE);
     }
 
-    private static boolean fine(Operation... some) {
+    private static boolean isLinearizable(Operation... some) {
         return Linearizability.problems(List.of(some)).isEmpty();
     }
 
     @Test
-    void whatOneOrderExplainsIsFine() {
-        assertThat(fine(write(0, 9, -1, "a", 1, Outcome.DONE), read(1, 2, "", 0), read(3, 8, "a", 1))).isTrue();
-        assertThat(fine(write(0, 1, -1, "a", 1, Outcome.DONE), write(0, 9, 0, "b", 1, Outcome.CONFLICT))).isTrue();
-        assertThat(fine(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0), read(7, 8, "a", 1)))
-                .isTrue(); // done late
-        assertThat(fine(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0))).isTrue(); // or never
+    void linearizableHistoriesPass() {
+        assertThat(isLinearizable(write(0, 9, -1, "a", 1, Outcome.DONE), read(1, 2, "", 0), read(3, 8, "a", 1))).isTrue();
+        assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), write(0, 9, 0, "b", 1, Outcome.CONFLICT))).isTrue();
+        assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0), read(7, 8, "a", 1)))
+                .isTrue(); // takes effect late
+        assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0))).isTrue(); // never takes effect
     }
 
     @Test
-    void whatNoOrderExplainsIsFound() {
-        assertThat(fine(write(0, 1, -1, "a", 1, Outcome.DONE), read(2, 3, "", 0))).isFalse(); // stale
-        assertThat(fine(write(0, 1, -1, "a", 1, Outcome.DONE), write(2, 3, -1, "b", 1, Outcome.DONE))).isFalse(); // lost
-        assertThat(fine(read(0, 1, "a", 1), write(2, 3, -1, "a", 1, Outcome.DONE))).isFalse(); // of the future
-        assertThat(fine(write(0, 1, 0, "a", 1, Outcome.DONE), write(0, 1, 0, "b", 1, Outcome.DONE))).isFalse(); // both first
-        assertThat(fine(write(0, 5, -1, "a", 1, Outcome.DONE), read(1, 2, "a", 1), read(3, 4, "", 0))).isFalse(); // back
-        assertThat(fine(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(1, 2, "a", 1), read(3, 4, "", 0)))
+    void nonLinearizableHistoriesAreFound() {
+        assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), read(2, 3, "", 0))).isFalse(); // stale read
+        assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), write(2, 3, -1, "b", 1, Outcome.DONE))).isFalse(); // lost update
+        assertThat(isLinearizable(read(0, 1, "a", 1), write(2, 3, -1, "a", 1, Outcome.DONE))).isFalse(); // read from the future
+        assertThat(isLinearizable(write(0, 1, 0, "a", 1, Outcome.DONE), write(0, 1, 0, "b", 1, Outcome.DONE))).isFalse(); // two first writers
+        assertThat(isLinearizable(write(0, 5, -1, "a", 1, Outcome.DONE), read(1, 2, "a", 1), read(3, 4, "", 0))).isFalse(); // read goes back in time
+        assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(1, 2, "a", 1), read(3, 4, "", 0)))
                 .isFalse();
     }
 
-    /** A register that really is one, under any overlap and with lost answers; then one answer of it is changed. */
+    /** Simulates a correct register with overlapping operations and lost responses, then adds one wrong read. */
     @Property(tries = 200)
-    void aTrueRegisterPassesAndAChangedAnswerDoesNot(@ForAll long seed) {
-        Random chance = new Random(seed);
+    void correctRegisterPassesAndWrongReadIsFound(@ForAll long seed) {
+        Random random = new Random(seed);
         List<Operation> all = new ArrayList<>();
         long version = 0;
         String value = "";
         for (int i = 0; i < 60; i++) {
             long at = 100L * i + 50;
-            long from = at - chance.nextInt(400);
-            long to = at + chance.nextInt(400);
-            if (chance.nextBoolean()) {
+            long from = at - random.nextInt(400);
+            long to = at + random.nextInt(400);
+            if (random.nextBoolean()) {
                 all.add(read(from, to, value, version));
                 continue;
             }
-            long expected = chance.nextInt(3) == 0 ? version + 1 + chance.nextInt(2) : chance.nextBoolean() ? -1 : version;
+            long expected = random.nextInt(3) == 0 ? version + 1 + random.nextInt(2) : random.nextBoolean() ? -1 : version;
             boolean fits = expected < 0 || expected == version;
             if (fits) {
                 version++;
                 value = "v" + i;
             }
-            all.add(chance.nextInt(6) == 0 ? write(from, Long.MAX_VALUE, expected, "v" + i, 0, Outcome.UNKNOWN)
+            all.add(random.nextInt(6) == 0 ? write(from, Long.MAX_VALUE, expected, "v" + i, 0, Outcome.UNKNOWN)
                     : write(from, to, expected, "v" + i, version, fits ? Outcome.DONE : Outcome.CONFLICT));
         }
         all.add(read(100_000, 100_001, value, version));
--- a/faultbench/src/test/java/quincespar/faultbench/schedule/ScheduleTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/schedule/ScheduleTest.java
@@ -7,7 +7,7 @@
 
 class ScheduleTest {
     @Test
-    void aSeedIsAScheduleAndAFileIsTheSameSchedule() {
+    void schedulesAreDeterministicBySeedAndRoundTripThroughText() {
         for (long seed = 1; seed <= 200; seed++) {
             Schedule s = Schedule.draw(seed, 5);
             assertThat(Schedule.draw(seed, 5)).isEqualTo(s);
@@ -16,6 +16,6 @@
         }
         assertThat(Schedule.draw(1, 5)).isNotEqualTo(Schedule.draw(2, 5));
         FixedSchedules.names().forEach(n -> assertThat(Schedule.read(FixedSchedules.texts().get(n)).steps()).isNotEmpty());
-        assertThatThrownBy(() -> Schedule.read("5 explode n1")).hasMessage("no step: '5 explode n1'");
+        assertThatThrownBy(() -> Schedule.read("5 explode n1")).hasMessage("not a schedule step: '5 explode n1'");
     }
 }
