--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -68,9 +68,9 @@
         String admin = environment.getOrDefault("GW_ADMIN_ADDR",
                 all.get("admin_addr") == null ? "" : Json.text(all.get("admin_addr"), "admin_addr"));
         String changeLog = Json.text(all.get("changelog"), "changelog");
-        Addresses.of(changeLog); // complains where it is none
+        Addresses.parse(changeLog); // complains where it is none
         return new Configuration(environment.getOrDefault("GW_NAME", String.valueOf(all.get("name"))),
-                Addresses.of(listen), admin.isEmpty() ? null : Addresses.of(admin), changeLog,
+                Addresses.parse(listen), admin.isEmpty() ? null : Addresses.parse(admin), changeLog,
                 Long.parseUnsignedLong(Json.text(all.get("seed"), "seed"), 16),
                 limit(limits, "sockets", SOCKETS), limit(limits, "memory_mb", MEMORY_MB), site, known);
     }
--- a/frontend/src/main/java/quincespar/program/ConfigurationReader.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationReader.java
@@ -44,7 +44,7 @@
             } catch (UnreadableException e) {
                 if (clock.now() < end) {
                     log.warn("configuration: tried again in {} ms: {}", RETRY_MS, e.getMessage());
-                    timers.after(RETRY_MS, () -> tryUntil(end, serial, inForce));
+                    timers.schedule(RETRY_MS, () -> tryUntil(end, serial, inForce));
                 } else {
                     post.accept(new Input.ConfigurationRejected(serial, e.getMessage()));
                 }
--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -14,22 +14,22 @@
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.metrics.PrometheusText;
 import quincespar.program.Lifecycle.Phase;
-import quincespar.program.captures.Capturing;
-import quincespar.program.clients.ThriftFront;
-import quincespar.program.engines.ChangeLog;
+import quincespar.program.captures.CaptureSession;
+import quincespar.program.clients.ThriftServer;
+import quincespar.program.engines.ChangeLogClient;
 import quincespar.program.engines.EngineLinks;
-import quincespar.program.fleet.FleetLink;
+import quincespar.program.fleet.FleetService;
 import quincespar.program.fleet.FleetPages;
 import quincespar.program.fleet.FleetSettings;
-import quincespar.program.recovery.KeptFolder;
+import quincespar.program.recovery.RecoveryJournal;
 import quincespar.program.recovery.RecoveryPages;
 import quincespar.program.recovery.RecoverySettings;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Counters;
-import quincespar.program.runtime.Intake;
+import quincespar.program.runtime.InputQueue;
 import quincespar.program.runtime.Timers;
 import quincespar.program.runtime.Version;
-import quincespar.program.status.StatusAddress;
+import quincespar.program.status.StatusServer;
 import quincespar.recovery.Recovery;
 import quincespar.routing.Bounds;
 import quincespar.routing.Effect;
@@ -81,7 +81,7 @@
     private final Counters counters = new Counters();
     private final Clock clock = new Clock();
     private final Standstill standstill = new Standstill();
-    private final Intake inputs = new Intake();
+    private final InputQueue inputs = new InputQueue();
     private final Timers timers = new Timers(inputs::add);
     private final ConfigurationReader configurations;
     private final Logs logs;
@@ -91,22 +91,22 @@
     private final Bounds bounds;
     private final Reducer reducer;
     /** Null where nothing is captured. */
-    private final Capturing capturing;
+    private final CaptureSession capturing;
     private final EventLoop clientLoop = new EventLoop("clients");
     private final EventLoop engineLoop = new EventLoop("engines");
     private final Siblings siblings;
     private final Listener listener;
-    private final StatusAddress status;
+    private final StatusServer status;
     /** Null where there is no fleet. */
-    private final FleetLink fellows;
+    private final FleetService fellows;
     /** Null where no return from a loss of power is looked for. */
-    private final KeptFolder kept;
+    private final RecoveryJournal kept;
     private volatile RecoveryReport returned;
     /** The last that the reducer's thread has published, for whoever reads it. */
     private volatile MetricsSnapshot figures = MetricsSnapshot.NONE;
-    private final ThriftFront front;
+    private final ThriftServer front;
     private final EngineLinks engines;
-    private final ChangeLog changes;
+    private final ChangeLogClient changes;
 
     /** One that shares nothing with others. */
     FrontEnd(Map<String, String> environment, Settings settings, Logs logs) throws IOException {
@@ -128,36 +128,36 @@
         siblings = Siblings.join(environment, c.listen());
         bounds = c.bounds(settings);
         String folder = settings.text(Keyword.CAPTURE_FOLDER);
-        capturing = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
+        capturing = folder.isEmpty() ? null : CaptureSession.open(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
         reducer = new Reducer(c.site(), bounds, capturing == null ? new GcMuScheduler(c.site().decision(), c.seed())
-                : capturing.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
-                Reducer.classTraits(c.site())), recovery != null && recovery.notesLoads());
-        kept = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
+                : capturing.module(), recovery == null ? null : new Recovery(recovery.timeouts(), c.name(), fleet != null,
+                Reducer.classTraits(c.site())), recovery != null && recovery.persistLoads());
+        kept = recovery == null ? null : new RecoveryJournal(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that its "not ready" is heard while the rest starts
-            status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
+            status = new StatusServer(c.admin(), timers, StatusServer.CALL_TIMEOUT_MS, lifecycle::ready,
                     () -> PrometheusText.text(figures) + fleetFigures() + recoveryFigures());
             status.start();
         } else {
             status = null;
         }
         listener = new Listener(clientLoop, c.listen(), true);
-        front = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
+        front = new ThriftServer(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
                 clock, counters, inputs::addFromPeer, this::report);
-        fellows = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
+        fellows = fleet == null ? null : new FleetService(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
-                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().shareGrowthDelayMs())));
+                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.config().shareGrowthDelayMs())));
         if (status != null && (fellows != null || kept != null)) {
             FleetPages pages = fellows == null ? null : new FleetPages(fellows);
             RecoveryPages more = kept == null ? null : recoveryPages();
-            status.also((method, path) -> {
+            status.addPages((method, path) -> {
                 FleetPages.Page page = more == null ? null : more.page(method, path);
                 return page != null ? CompletableFuture.completedFuture(page) : pages == null ? null : pages.page(method, path);
             });
         }
         engines = new EngineLinks(engineLoop, c.site(), inputs::addFromPeer);
-        changes = new ChangeLog(engineLoop, inputs::addFromPeer);
+        changes = new ChangeLogClient(engineLoop, inputs::addFromPeer);
     }
 
     private static ConfigurationCheck.Good readAtStart(Map<String, String> environment) throws IOException {
@@ -216,7 +216,7 @@
     private void start() throws IOException, InterruptedException {
         if (siblings.beside()) {
             inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * BESIDE_REVIEW))));
-            front.places((int) (configuration.sockets() * BESIDE_SHARE));
+            front.setConnectionLimit((int) (configuration.sockets() * BESIDE_SHARE));
             untilAlone();
         }
         new Warmup(configuration, bounds, front).run();
@@ -251,7 +251,7 @@
 
     private void stands(Standing s) {
         if (fellows != null) {
-            fellows.stands(s);
+            fellows.setStanding(s);
         }
     }
 
@@ -260,20 +260,20 @@
     }
 
     private String recoveryFigures() {
-        return kept == null ? "" : recoveryPages().figures();
+        return kept == null ? "" : recoveryPages().metrics();
     }
 
     private String fleetFigures() {
-        return fellows == null ? "" : FleetPages.figures(fellows);
+        return fellows == null ? "" : FleetPages.metrics(fellows);
     }
 
     private void untilAlone() {
-        timers.after(BESIDE_LOOK_MS, () -> {
+        timers.schedule(BESIDE_LOOK_MS, () -> {
             if (siblings.beside()) {
                 untilAlone();
             } else if (lifecycle.phase().compareTo(Phase.SERVING) <= 0) {
                 inputs.add(new Input.CallerLimitChanged(bounds.maxCallers()));
-                front.places((int) (configuration.sockets() * CLIENT_SHARE));
+                front.setConnectionLimit((int) (configuration.sockets() * CLIENT_SHARE));
             }
         });
     }
@@ -303,11 +303,11 @@
             listener.close(() -> moveSome(endsAt + LAST_LOOKS_MS));
         } else if (lifecycle.phase() == Phase.LEAVING) {
             double until = killedAt(LONGEST_LEAVE_MS);
-            front.leave();
-            timers.after(LEAVING_MS, () -> {
+            front.raiseConnectionLimitForShutdown();
+            timers.schedule(LEAVING_MS, () -> {
                 listener.close(() -> {
                     lifecycle.enter(Phase.SETTLING);
-                    timers.after(SETTLE_MS, () -> {
+                    timers.schedule(SETTLE_MS, () -> {
                         inputs.add(new Input.RefuseNewRequests());
                         clientLoop.executeAfterReads(() -> moveSome(until));
                     });
@@ -330,13 +330,13 @@
      * has had no such moment by the end is left to {@link #stop}.
      */
     private void moveSome(double until) {
-        front.move();
-        if (front.connections() == 0) {
+        front.closeIdleConnections();
+        if (front.connectionCount() == 0) {
             finishing();
         } else if (clock.now() >= until) {
             clientLoop.executeAfterReads(this::finishing); // after a stop of the process requests may lie unread
         } else {
-            timers.after(MOVE_LOOK_MS, () -> moveSome(until));
+            timers.schedule(MOVE_LOOK_MS, () -> moveSome(until));
         }
     }
 
@@ -347,7 +347,7 @@
 
     /** Writes the counters to the log every so often, from now on. */
     void reportEvery(long everyMs) {
-        timers.after(everyMs, () -> {
+        timers.schedule(everyMs, () -> {
             log.info("{}: counters: {}", configuration.name(), report());
             log.info("{}: engines: {}", configuration.name(), reducer.engineCounters());
             reportEvery(everyMs);
@@ -360,9 +360,9 @@
     }
 
     private void stop() throws InterruptedException {
-        front.finish();
+        front.finishConnections();
         double until = clock.now() + FLUSH_MS;
-        while (front.connections() > 0 && clock.now() < until) {
+        while (front.connectionCount() > 0 && clock.now() < until) {
             inputs.take(10);
         }
         lifecycle.enter(Phase.STOPPED);
@@ -370,7 +370,7 @@
 
     private void step(List<Input> batch) {
         try {
-            batch.forEach(counters::taken);
+            batch.forEach(counters::countInput);
             double from = clock.now();
             standstill.ran(from);
             perform(reducer.step(from, batch));
@@ -385,7 +385,7 @@
 
     private void perform(List<Effect> effects) {
         for (Effect e : effects) {
-            counters.done(e);
+            counters.countEffect(e);
             try {
                 perform(e);
             } catch (RuntimeException | OutOfMemoryError x) { // one that fails must not keep back the others
@@ -425,7 +425,7 @@
         } else if (effect instanceof Effect.PollChangeLog e) {
             changes.poll(e);
         } else if (effect instanceof Effect.CloseCaller e) {
-            front.close(e);
+            front.closeCaller(e);
         } else if (effect instanceof Effect.UnexpectedError e) {
             uncaught(e.activity(), e.error());
         } else if (effect instanceof Effect.ReloadConfiguration e) {
@@ -433,14 +433,14 @@
         } else if (effect instanceof Effect.ConfigurationAccepted e) {
             inForce = e.document();
         } else if (effect instanceof Effect.ApplySettings e) {
-            front.adopt(e.settings());
-            engines.adopt(e.settings());
+            front.applySettings(e.settings());
+            engines.applySettings(e.settings());
         } else if (effect instanceof Effect.PersistEntry e) {
             kept.add(e.entry(), e.request());
         } else if (effect instanceof Effect.ReadFleetState) {
             askFleet();
         } else if (effect instanceof Effect.CancelPoll) {
-            changes.drop();
+            changes.disconnect();
         } else if (effect instanceof Effect.Log e) {
             log.info("{}: {}", configuration.name(), e.line());
         } else if (effect instanceof Effect.Trace e && log.isDebugEnabled()) {
@@ -450,11 +450,11 @@
 
     /** What is agreed now, or nothing where nobody says so; not at once, as the next question may follow on the answer. */
     private void askFleet() {
-        timers.after(ASK_FLEET_MS, () -> fellows.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
+        timers.schedule(ASK_FLEET_MS, () -> fellows.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
     }
 
     private Map<String, String> report() {
-        Map<String, String> all = new LinkedHashMap<>(counters.all());
+        Map<String, String> all = new LinkedHashMap<>(counters.snapshot());
         all.put("phase", lifecycle.phase().name().toLowerCase(java.util.Locale.ROOT));
         reducer.retainedCounts().forEach((name, n) -> all.put(name, n.toString()));
         all.put("changes.age_ms", Long.toString(Math.round(reducer.listAgeMs(clock.now()))));
@@ -469,7 +469,7 @@
         all.put("held.timers", Integer.toString(timers.size()));
         all.put("held.inputs", Integer.toString(inputs.size()));
         all.put("requests.open", Integer.toString(reducer.openRequests()));
-        all.put("clients.connected", Integer.toString(front.connections()));
+        all.put("clients.connected", Integer.toString(front.connectionCount()));
         all.put("engines.connected", Integer.toString(engines.size()));
         return all;
     }
--- a/frontend/src/main/java/quincespar/program/Main.java
+++ b/frontend/src/main/java/quincespar/program/Main.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine;
 import quincespar.program.captures.CaptureCommands;
-import quincespar.program.captures.CapturedInstances;
-import quincespar.program.clients.HealthQuestion;
+import quincespar.program.captures.CapturingSimulatorHost;
+import quincespar.program.clients.HealthClient;
 import quincespar.program.fleet.FleetCommands;
 import quincespar.program.fleet.FleetSettings;
 import quincespar.program.recovery.RecoverySettings;
@@ -74,7 +74,7 @@
             if (folder == null) {
                 new SimulatorHost().serve(System.in, System.out);
             } else {
-                CapturedInstances.serve(folder, System.in, System.out);
+                CapturingSimulatorHost.serve(folder, System.in, System.out);
             }
             return 0;
         } catch (SimulatorProtocolException e) {
@@ -92,8 +92,8 @@
         // left alone, it would end the program; where the parent had it ignored, the JVM leaves it so
         boolean ignored = Signal.handle(new Signal("HUP"), s -> hangups.heard()) == SignalHandler.SIG_IGN;
         Settings settings = conf == null ? Settings.defaults() : read(conf);
-        FleetSettings fleet = FleetSettings.on(settings) ? FleetSettings.of(settings, conf.toString()) : null;
-        RecoverySettings recovery = RecoverySettings.on(settings) ? RecoverySettings.of(settings, conf.toString()) : null;
+        FleetSettings fleet = FleetSettings.isEnabled(settings) ? FleetSettings.read(settings, conf.toString()) : null;
+        RecoverySettings recovery = RecoverySettings.isEnabled(settings) ? RecoverySettings.read(settings, conf.toString()) : null;
         Logs logs = Logs.start(settings);
         FrontEnd frontEnd = new FrontEnd(System.getenv(), settings, fleet, recovery, logs);
         long every = reportMs > 0 ? reportMs : (long) settings.number(Keyword.REPORT_INTERVAL);
@@ -141,11 +141,11 @@
             + " line for each thing that is wrong.")
     int checkConf(@CommandLine.Parameters(paramLabel = "FILE") Path conf) throws IOException, ConfException {
         Settings settings = read(conf);
-        if (FleetSettings.on(settings)) {
-            FleetSettings.of(settings, conf.toString());
+        if (FleetSettings.isEnabled(settings)) {
+            FleetSettings.read(settings, conf.toString());
         }
-        if (RecoverySettings.on(settings)) {
-            RecoverySettings.of(settings, conf.toString());
+        if (RecoverySettings.isEnabled(settings)) {
+            RecoverySettings.read(settings, conf.toString());
         }
         System.out.println(conf + ": good");
         return 0;
@@ -168,7 +168,7 @@
             @CommandLine.Option(names = "--against", paramLabel = "JAR",
             description = "Play them on the module of that build instead.") Path against) throws IOException {
         return against == null ? CaptureCommands.replay(folder, from, decisions)
-                : CaptureCommands.against(against, folder, from, decisions);
+                : CaptureCommands.replayWithJar(against, folder, from, decisions);
     }
 
     @Command(name = "explain", description = "Tell from captures what became of a request and why, or what was known of an"
@@ -208,7 +208,7 @@
     @Command(name = "health", description = "Ask a running front end whether it can serve, and print its counters;"
             + " exit code 1 where it can't.")
     int health(@CommandLine.Parameters(paramLabel = "HOST:PORT") String address) throws IOException {
-        FrontCodec.Answer answer = HealthQuestion.ask(Addresses.of(address));
+        FrontCodec.Answer answer = HealthClient.query(Addresses.parse(address));
         answer.fields().forEach((name, value) -> System.out.println(name + " " + value));
         System.out.println(answer.good() ? "good" : "not good");
         return answer.good() ? 0 : 1;
--- a/frontend/src/main/java/quincespar/program/Rehearsal.java
+++ b/frontend/src/main/java/quincespar/program/Rehearsal.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
-import quincespar.program.clients.HealthQuestion;
+import quincespar.program.clients.HealthClient;
 import quincespar.settings.Settings;
 
 /**
@@ -50,7 +50,7 @@
             running.start();
             frontEnd.awaitServing();
             if (failed.get() == null) {
-                HealthQuestion.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), frontEnd.port()));
+                HealthClient.query(new InetSocketAddress(InetAddress.getLoopbackAddress(), frontEnd.port()));
                 ask(admin);
                 frontEnd.hangup();
                 frontEnd.leave();
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import quincespar.decision.GcMuScheduler;
 import quincespar.decision.Gateway.ClassSpec;
-import quincespar.program.clients.ThriftFront;
+import quincespar.program.clients.ThriftServer;
 import quincespar.protocol.resp.EngineCodec;
 import quincespar.protocol.resp.RespDecoder;
 import quincespar.protocol.thrift.FrontCodec;
@@ -39,13 +39,13 @@
 
     private final Configuration configuration;
     private final Bounds bounds;
-    private final ThriftFront front;
+    private final ThriftServer front;
     private final Deque<Due> answers = new ArrayDeque<>();
     private final List<Due> timers = new ArrayList<>();
     private final List<Input> inputs = new ArrayList<>();
     private double now;
 
-    Warmup(Configuration configuration, Bounds bounds, ThriftFront front) {
+    Warmup(Configuration configuration, Bounds bounds, ThriftServer front) {
         this.configuration = configuration;
         this.bounds = bounds;
         this.front = front;
@@ -77,7 +77,7 @@
         byte[] frame = FrontCodec.call(i, Map.of("verb", spec.name(), "txn", String.format("%016x", i), "limit",
                 Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.aim() / 4),
                 "heap_mb", "64"), STATEMENT);
-        return front.query(Arrays.copyOfRange(frame, 4, frame.length));
+        return front.parseQuery(Arrays.copyOfRange(frame, 4, frame.length));
     }
 
     private void follow(List<Effect> effects) {
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -189,7 +189,7 @@
      * As {@link #replay}, by another build: with its own reader and module, apart from this one's classes. Answers its
      * exit code; throws where it is no build that can.
      */
-    public static int against(Path jar, Path folder, int from, Path decisions) throws IOException {
+    public static int replayWithJar(Path jar, Path folder, int from, Path decisions) throws IOException {
         List<String> words = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
         if (decisions != null) {
             words.addAll(List.of("--decisions", decisions.toString()));
--- a/frontend/src/main/java/quincespar/program/captures/Capturing.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureSession.java
@@ -24,7 +24,7 @@
 import quincespar.transport.Threads;
 
 /** The capture of one module into a folder, as the operators' file says. */
-public final class Capturing {
+public final class CaptureSession {
     private static final double FIRST_PAUSE_MS = 500, LONGEST_PAUSE_MS = 30_000;
     /** At the end, what is queued has so long to be written. */
     private static final long LAST_MS = 2000;
@@ -33,7 +33,7 @@
     private final Thread writer;
     private final Gateway module;
 
-    private Capturing(Recorder recorder, Gateway module) {
+    private CaptureSession(Recorder recorder, Gateway module) {
         this.recorder = recorder;
         this.module = module;
         writer = Threads.daemon("capture", recorder);
@@ -43,7 +43,7 @@
      * Captures a module that is made here, from {@code now} on its clock; {@code tell} hears of failures and their end.
      * Throws {@link IOException} where the folder can't be read.
      */
-    public static Capturing into(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
+    public static CaptureSession open(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
             Clock clock, Consumer<String> tell) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
         SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
@@ -58,7 +58,7 @@
                 ModuleDigest.of(GcMuScheduler.class), settings);
         Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
                 s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
-        return new Capturing(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
+        return new CaptureSession(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
                 new StateCodec(GcMuScheduler.class)::write));
     }
 
--- a/frontend/src/main/java/quincespar/program/captures/CapturedInstances.java
+++ b/frontend/src/main/java/quincespar/program/captures/CapturingSimulatorHost.java
@@ -14,23 +14,23 @@
 import quincespar.simulator.SimulatorHost;
 
 /** The adapter with each instance captured, into one folder. Nothing waits for the folder, also not in the simulator. */
-public final class CapturedInstances {
+public final class CapturingSimulatorHost {
     private final Path folder;
     private final Clock clock = new Clock();
-    private final List<Capturing> all = new ArrayList<>();
+    private final List<CaptureSession> all = new ArrayList<>();
 
-    private CapturedInstances(Path folder) {
+    private CapturingSimulatorHost(Path folder) {
         this.folder = folder;
     }
 
     /** Answers batches until the input ends; throws where the folder can't be used. */
     public static void serve(Path folder, InputStream in, OutputStream out) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        CapturedInstances made = new CapturedInstances(folder);
+        CapturingSimulatorHost made = new CapturingSimulatorHost(folder);
         try {
             new SimulatorHost(made::make).serve(in, out);
         } finally {
-            for (Capturing c : made.all) {
+            for (CaptureSession c : made.all) {
                 c.stop();
             }
         }
@@ -38,7 +38,7 @@
 
     private Gateway make(Gateway.Settings settings, long seed) {
         try {
-            Capturing c = Capturing.into(folder, Settings.defaults(), "i" + all.size(), 0, seed, settings, clock,
+            CaptureSession c = CaptureSession.open(folder, Settings.defaults(), "i" + all.size(), 0, seed, settings, clock,
                     System.err::println);
             all.add(c);
             c.start();
--- a/frontend/src/main/java/quincespar/program/clients/HealthQuestion.java
+++ b/frontend/src/main/java/quincespar/program/clients/HealthClient.java
@@ -8,13 +8,13 @@
 import quincespar.protocol.thrift.FrontCodec;
 
 /** Asks a running front end for its health, as the front layer does. */
-public final class HealthQuestion {
+public final class HealthClient {
     private static final int WAIT_MS = 3000;
     private static final int LONGEST = 1 << 16;
 
-    private HealthQuestion() { }
+    private HealthClient() { }
 
-    public static FrontCodec.Answer ask(InetSocketAddress address) throws IOException {
+    public static FrontCodec.Answer query(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(address, WAIT_MS);
             socket.setSoTimeout(WAIT_MS);
--- a/frontend/src/main/java/quincespar/program/clients/ThriftFront.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -34,8 +34,8 @@
 import quincespar.transport.OutboxLimit;
 
 /** The clients' protocol: Thrift in frames. One session for each connection reads it and words the replies. */
-public final class ThriftFront implements ClientProtocol, Listener.Acceptor {
-    private final Logger log = LoggerFactory.getLogger(ThriftFront.class);
+public final class ThriftServer implements ClientProtocol, Listener.Acceptor {
+    private final Logger log = LoggerFactory.getLogger(ThriftServer.class);
     private static final Pattern TXN = Pattern.compile("[0-9a-f]{16}");
     /** Up to ten million: more milliseconds or megabytes no request has. */
     private static final Pattern FIGURE = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,9})?");
@@ -67,7 +67,7 @@
     private volatile int places;
     private volatile boolean yielding;
 
-    public ThriftFront(EventLoop loop, Listener listener, RoutingSettings site, int mostConnections, double wholeMs, Clock clock,
+    public ThriftServer(EventLoop loop, Listener listener, RoutingSettings site, int mostConnections, double wholeMs, Clock clock,
             Counters counters, Consumer<List<Input>> post, Supplier<Map<String, String>> report) {
         this.wholeMs = wholeMs;
         this.loop = loop;
@@ -81,7 +81,7 @@
     }
 
     /** Requests that come whole from now on are read by these settings. */
-    public void adopt(RoutingSettings next) {
+    public void applySettings(RoutingSettings next) {
         site = next;
     }
 
@@ -108,25 +108,25 @@
     }
 
     /** So many connections may be held from now on. */
-    public void places(int most) {
+    public void setConnectionLimit(int most) {
         places = most;
         listener.resume();
     }
 
     /** At the end there is room for those in the system's queue too: what was sent on them would be lost. */
-    public void leave() {
+    public void raiseConnectionLimitForShutdown() {
         places += places / 5;
         listener.resume();
     }
 
-    public void close(Effect.CloseCaller e) {
+    public void closeCaller(Effect.CloseCaller e) {
         Session s = sessions.get(e.connection());
         if (s != null) {
             s.connection.closeIfIdle(e.cause());
         }
     }
 
-    public int connections() {
+    public int connectionCount() {
         return sessions.size();
     }
 
@@ -134,13 +134,13 @@
      * Another process takes the clients: each connection ends at a moment when nothing is open on it, so that its client
      * moves over with its next request. To be called again until none is left, as some have no such moment for a while.
      */
-    public void move() {
+    public void closeIdleConnections() {
         yielding = true;
         sessions.values().forEach(Session::move);
     }
 
     /** Closes all connections, each once what is queued on it has been written. */
-    public void finish() {
+    public void finishConnections() {
         sessions.values().forEach(s -> s.connection.finish());
     }
 
@@ -257,8 +257,8 @@
 
         @Override
         public void closed(String cause) {
-            counters.closed(cause);
-            counters.failed("clients", cause);
+            counters.countClose(cause);
+            counters.countSystemCallFailure("clients", cause);
             if (!open.isEmpty() && !ending && !connection.closedByPeer()) { // each is a request lost
                 log.atWarn().addKeyValue("connection", number).addKeyValue("open", open.size())
                         .log("a client's connection was closed with requests open: {}", cause);
@@ -306,7 +306,7 @@
             }
             Query query;
             try {
-                query = query(c);
+                query = parseQuery(c);
             } catch (MalformedException e) {
                 end(c.seqid(), FrontCodec.INTERNAL_ERROR, e.getMessage());
                 return;
@@ -322,12 +322,12 @@
     }
 
     /** A call's fields as a query, as a session makes it. */
-    public Query query(byte[] frame) {
-        return query((Message.Call) FrontCodec.read(frame));
+    public Query parseQuery(byte[] frame) {
+        return parseQuery((Message.Call) FrontCodec.read(frame));
     }
 
     /** A call's fields as a query; throws {@link MalformedException} by the name of a field that can't be used. */
-    private Query query(Message.Call c) {
+    private Query parseQuery(Message.Call c) {
         RoutingSettings by = site; // one and the same to the end of this request
         Map<String, String> f = c.fields();
         String txn = f.getOrDefault("txn", "");
--- a/frontend/src/main/java/quincespar/program/engines/ChangeLog.java
+++ b/frontend/src/main/java/quincespar/program/engines/ChangeLogClient.java
@@ -17,7 +17,7 @@
 import quincespar.transport.OutboxLimit;
 
 /** Asks the change log over HTTP/1.1, on one connection for as long as that lasts. Used by one thread. */
-public final class ChangeLog {
+public final class ChangeLogClient {
     private static final int OUTBOX = 64 * 1024;
     private static final int OK = 200;
 
@@ -26,19 +26,19 @@
     private final Consumer<Input> post;
     private Exchange current;
 
-    public ChangeLog(EventLoop loop, Consumer<Input> post) {
+    public ChangeLogClient(EventLoop loop, Consumer<Input> post) {
         this.loop = loop;
         this.post = post;
     }
 
     public void poll(Effect.PollChangeLog e) {
         if (current == null || !current.ask(e)) {
-            current = new Exchange(Addresses.of(e.address()), e.pollId(), e.connectTimeoutMs());
+            current = new Exchange(Addresses.parse(e.address()), e.pollId(), e.connectTimeoutMs());
             current.ask(e);
         }
     }
 
-    public void drop() {
+    public void disconnect() {
         if (current != null) {
             current.connection.close("given up");
             current = null;
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -42,16 +42,16 @@
     public EngineLinks(EventLoop loop, RoutingSettings site, Consumer<Input> post) {
         this.loop = loop;
         this.post = post;
-        adopt(site);
+        applySettings(site);
     }
 
-    public void adopt(RoutingSettings site) {
+    public void applySettings(RoutingSettings site) {
         reportFields = site.decision().fleet().reportFields();
     }
 
     public void open(Effect.OpenLink e) {
         try {
-            InetSocketAddress address = Addresses.of(e.address());
+            InetSocketAddress address = Addresses.parse(e.address());
             Connection c = Connection.outbound(loop, "engine-" + e.link(), bound);
             connections.put(e.link(), c); // before its end can be told, or it would be kept for good
             c.connect(address, new Receiver(e.link()));
--- a/frontend/src/main/java/quincespar/program/fleet/LibraryJar.java
+++ b/frontend/src/main/java/quincespar/program/fleet/AgreementLibrary.java
@@ -14,10 +14,10 @@
  * The jar with the agreement's library, opened only where there is a fleet: a front end without one has none of its classes
  * on its path, and is as small and as quick to start as before there was such a jar.
  */
-final class LibraryJar {
+final class AgreementLibrary {
     private static final String NAME = "quincespar-agreement.jar";
 
-    private LibraryJar() { }
+    private AgreementLibrary() { }
 
     /** Opens it; throws {@link IOException} in one plain line where it can't be had. */
     static Agreement.Provider open(Path given) throws IOException {
@@ -27,7 +27,7 @@
         }
         try {
             URLClassLoader loader = new URLClassLoader("agreement", new URL[] {jar.toUri().toURL()},
-                    LibraryJar.class.getClassLoader()); // open for as long as the process lives
+                    AgreementLibrary.class.getClassLoader()); // open for as long as the process lives
             return ServiceLoader.load(Agreement.Provider.class, loader).findFirst().orElseThrow(
                     () -> new IOException(jar + " holds no agreement library"));
         } catch (MalformedURLException e) {
@@ -37,7 +37,7 @@
 
     private static Path beside() throws IOException {
         try {
-            return Path.of(LibraryJar.class.getProtectionDomain().getCodeSource().getLocation().toURI())
+            return Path.of(AgreementLibrary.class.getProtectionDomain().getCodeSource().getLocation().toURI())
                     .resolveSibling(NAME);
         } catch (URISyntaxException e) {
             throw new IOException("the program's own place is not known: " + e.getMessage(), e);
--- a/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
@@ -105,8 +105,8 @@
     int init(@Parameters(paramLabel = "FILE", description = "The operators' file.") Path conf,
             @Option(names = "--name", paramLabel = "NAME", required = true, description = "The instance.") String name)
             throws IOException, ConfException {
-        FleetSettings f = FleetSettings.of(ConfReader.read(conf.toString(), Files.readString(conf)), conf.toString());
-        if (f.folder() == null || !f.plan().isVoter(name)) {
+        FleetSettings f = FleetSettings.read(ConfReader.read(conf.toString(), Files.readString(conf)), conf.toString());
+        if (f.folder() == null || !f.config().isVoter(name)) {
             throw new IOException(f.folder() == null ? "'state folder' names none" : name + " is not one of 'fleet voters'");
         }
         try (FolderDisk disk = new FolderDisk(f.folder())) {
@@ -116,7 +116,7 @@
             if (disk.usedBytes() > 0) {
                 throw new IOException(f.folder() + " is not empty: it was begun before");
             }
-            StateFolder.open(disk, name, FleetLink.identity(), true);
+            StateFolder.open(disk, name, FleetService.identity(), true);
         }
         System.out.println(f.folder() + ": begun for " + name);
         return 0;
--- a/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetPages.java
@@ -29,10 +29,10 @@
     private static final String JSON = "application/json", TEXT = "text/plain; charset=utf-8", REGISTERS = "/fleet/registers/";
     private static final int OK = 200, NOT_FOUND = 404, CONFLICT = 409, UNAVAILABLE = 503, NOT_ALLOWED = 405, BAD = 400;
 
-    private final FleetLink link;
+    private final FleetService link;
 
     /** Pages of this link. */
-    public FleetPages(FleetLink link) {
+    public FleetPages(FleetService link) {
         this.link = link;
     }
 
@@ -50,7 +50,7 @@
                     .map(FleetPages::register).orElse(new Page(NOT_FOUND, JSON, "{\"version\":0}\n")));
         }
         if (method.equals("PUT") && words.size() == 3 && words.get(1).matches("any|[0-9]{1,18}")) {
-            if (!link.settings().writes()) {
+            if (!link.settings().registerWritesAllowed()) {
                 return CompletableFuture.completedFuture(new Page(NOT_ALLOWED, TEXT, "'fleet writes' is off\n"));
             }
             return link.write(words.get(0), words.get(1).equals("any") ? -1 : Long.parseLong(words.get(1)), words.get(2))
@@ -99,10 +99,10 @@
     private String view() {
         FleetView v = link.view();
         Agreement.Status s = link.status();
-        FleetLink.Counts c = link.counts();
+        FleetService.Counts c = link.counts();
         double age = link.age();
         return json(to -> {
-            to.writeStringField("group", link.settings().plan().group());
+            to.writeStringField("group", link.settings().config().group());
             to.writeStringField("phase", v.phase().name());
             to.writeStringField("line", v.statusLine());
             to.writeNumberField("incarnation", v.incarnation());
@@ -134,10 +134,10 @@
     }
 
     /** Figures in the text format that Prometheus reads. */
-    public static String figures(FleetLink link) {
+    public static String metrics(FleetService link) {
         FleetView v = link.view();
         Agreement.Status s = link.status();
-        FleetLink.Counts c = link.counts();
+        FleetService.Counts c = link.counts();
         StringBuilder out = new StringBuilder();
         out.append("# HELP gw_fleet_members Instances known to the fleet, by how they stand.\n# TYPE gw_fleet_members gauge\n");
         out.append(Arrays.stream(Standing.values()).map(x -> "gw_fleet_members{standing=\"" + x.name().toLowerCase(
--- a/frontend/src/main/java/quincespar/program/fleet/FleetLink.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetService.java
@@ -33,7 +33,7 @@
 import quincespar.transport.Threads;
 
 /** This instance's part in its fleet: one thread that feeds {@link Participation} and carries out what it wants. */
-public final class FleetLink {
+public final class FleetService {
     private static final String VOTES = "votes";
     private static final double WRITE_AGAIN_MS = 100, SIZE_MS = 10_000;
     private static final int IDENTITY = 8;
@@ -50,7 +50,7 @@
     private final Consumer<String> say;
     private final Consumer<FleetView> publish;
     private final Participation participation;
-    private final Writes writes;
+    private final RegisterWriteQueue writes;
     private final Agreement agreement;
     private final AtomicLong failures = new AtomicLong(), lost = new AtomicLong(), leaders = new AtomicLong();
     private final CountDownLatch left = new CountDownLatch(1);
@@ -74,16 +74,16 @@
      * @param say takes a line for operators
      * @param publish takes each new view, on this link's thread
      */
-    public FleetLink(FleetSettings settings, String name, String address, String build, DoubleSupplier clock,
+    public FleetService(FleetSettings settings, String name, String address, String build, DoubleSupplier clock,
             Consumer<String> say, Consumer<FleetView> publish) throws IOException {
         this.settings = settings;
         this.name = name;
         this.clock = clock;
         this.say = say;
         this.publish = publish;
-        participation = new Participation(settings.plan(), name, address, build, new SecureRandom().nextLong() | 1);
-        writes = new Writes(name);
-        agreement = LibraryJar.open(settings.library()).open(settings.plan(), name,
+        participation = new Participation(settings.config(), name, address, build, new SecureRandom().nextLong() | 1);
+        writes = new RegisterWriteQueue(name);
+        agreement = AgreementLibrary.open(settings.library()).open(settings.config(), name,
                 s -> run(() -> perform(participation.stateReceived(now(), s))));
         thread.setRemoveOnCancelPolicy(true);
     }
@@ -131,7 +131,7 @@
     }
 
     /** This instance stands so from now on. */
-    public void stands(Standing s) {
+    public void setStanding(Standing s) {
         run(() -> perform(participation.setStanding(now(), s)));
         if (s == Standing.LEAVING) {
             agreement.transferLeadership();
@@ -228,7 +228,7 @@
     }
 
     private void writeNext() {
-        writes.life(participation.incarnation());
+        writes.setIncarnation(participation.incarnation());
         Command.Write w = writing ? null : writes.next();
         if (w == null) {
             return;
@@ -241,7 +241,7 @@
                 lost.incrementAndGet();
                 after(WRITE_AGAIN_MS, this::writeNext);
             } else {
-                writes.done(w, r);
+                writes.complete(w, r);
                 writeNext();
             }
         }));
@@ -398,7 +398,7 @@
     }
 
     private void askOthers(Action.QueryVoters what) {
-        List<String> others = settings.plan().voters().keySet().stream().filter(v -> !v.equals(name)).toList();
+        List<String> others = settings.config().voters().keySet().stream().filter(v -> !v.equals(name)).toList();
         int[] open = {others.size()};
         String[] against = {""};
         boolean[] answered = {false};
@@ -463,7 +463,7 @@
             sizedAt = now();
             on(files, this::size);
         }
-        after(settings.plan().renewIntervalMs(), this::look);
+        after(settings.config().renewIntervalMs(), this::look);
     }
 
     /** Over its bound the log of votes is cut to what was agreed last, and that is told once. */
@@ -473,7 +473,7 @@
         }
         try {
             bytes = disk.usedBytes();
-            boolean over = bytes > settings.total();
+            boolean over = bytes > settings.sizeLimitBytes();
             if (over && !overTotal) {
                 say.accept("fleet: its folder holds " + bytes + " bytes, over 'state total'; the log of votes is cut");
             }
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -12,19 +12,19 @@
  * What the operators' file says of the fleet.
  *
  * @param folder where this instance keeps its facts; null where it keeps none
- * @param total bytes that the folder should hold at the most
+ * @param sizeLimitBytes bytes that the folder should hold at the most
  * @param library the jar that holds the agreement; null for the one beside the program's own
- * @param writes whether registers may be written through the second address
+ * @param registerWritesAllowed whether registers may be written through the second address
  */
-public record FleetSettings(FleetConfig plan, Path folder, long total, Path library, boolean writes) {
+public record FleetSettings(FleetConfig config, Path folder, long sizeLimitBytes, Path library, boolean registerWritesAllowed) {
 
     /** Whether the file has a fleet. */
-    public static boolean on(Settings s) {
+    public static boolean isEnabled(Settings s) {
         return !s.text(Keyword.FLEET_VOTERS).isBlank();
     }
 
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
-    public static FleetSettings of(Settings s, String file) throws ConfException {
+    public static FleetSettings read(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
         FleetConfig plan = new FleetConfig(s.text(Keyword.FLEET_GROUP),
                 FleetConfig.parseAddresses(s.text(Keyword.FLEET_VOTERS), "fleet voters", problems),
--- a/frontend/src/main/java/quincespar/program/fleet/Writes.java
+++ b/frontend/src/main/java/quincespar/program/fleet/RegisterWriteQueue.java
@@ -11,7 +11,7 @@
  * Writes to registers, one at a time: a write whose answer was lost is sent again under its number until its outcome is
  * known, so that it is done once. Pure but for the stages that it ends; used by one thread.
  */
-final class Writes {
+final class RegisterWriteQueue {
     /** More wait for nothing and are turned away. */
     private static final int MOST = 256;
 
@@ -24,12 +24,12 @@
     /** Whether the first in the queue has ever been handed out: then its outcome may be anything. */
     private boolean sent;
 
-    Writes(String name) {
+    RegisterWriteQueue(String name) {
         this.name = name;
     }
 
     /** A new life: its writes are numbered from 1, and what was sent in the one before has an unknown outcome. */
-    void life(long number) {
+    void setIncarnation(long number) {
         if (number != incarnation) {
             if (sent) {
                 waiting.poll().result().completeExceptionally(new IllegalStateException("this life of the instance is over"));
@@ -62,7 +62,7 @@
     }
 
     /** The outcome of what was handed out last. */
-    void done(Command.Write of, Result r) {
+    void complete(Command.Write of, Result r) {
         if (!sent || of.incarnation() != incarnation || of.sequence() != serial) {
             return;
         }
--- a/frontend/src/main/java/quincespar/program/recovery/KeptFolder.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
@@ -22,7 +22,7 @@
  * The file of what must be known after a loss of power, and the one thread that waits for its disk. What has come while one group was forced
  * out goes out together as the next (group commit), so that loads wait for one force, not for one each.
  */
-public final class KeptFolder {
+public final class RecoveryJournal {
     private static final String FILE = "kept";
     /** So many entries more than it must hold, and the file is written anew. */
     private static final int REWRITE_AFTER = 4096;
@@ -68,7 +68,7 @@
      * @param to takes what was read, and what has been noted
      * @param say takes a line for operators
      */
-    public KeptFolder(Path folder, String owner, Consumer<Input> to, Consumer<String> say) {
+    public RecoveryJournal(Path folder, String owner, Consumer<Input> to, Consumer<String> say) {
         this.folder = folder;
         this.owner = owner;
         this.to = to;
--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
@@ -26,11 +26,11 @@
     private static final int OK = 200, NOT_FOUND = 404;
 
     private final Supplier<RecoveryReport> stands;
-    private final Supplier<KeptFolder.Counts> counts;
+    private final Supplier<RecoveryJournal.Counts> counts;
     private final Consumer<Input> to;
 
     /** Pages of what was published last. */
-    public RecoveryPages(Supplier<RecoveryReport> stands, Supplier<KeptFolder.Counts> counts, Consumer<Input> to) {
+    public RecoveryPages(Supplier<RecoveryReport> stands, Supplier<RecoveryJournal.Counts> counts, Consumer<Input> to) {
         this.stands = stands;
         this.counts = counts;
         this.to = to;
@@ -91,12 +91,12 @@
     }
 
     /** Figures in the text format that Prometheus reads. */
-    public String figures() {
+    public String metrics() {
         RecoveryReport r = stands.get();
         if (r == null) {
             return "";
         }
-        KeptFolder.Counts c = counts.get();
+        RecoveryJournal.Counts c = counts.get();
         StringBuilder out = new StringBuilder("# HELP gw_recovery_phase Where a return from a loss of power stands.\n# TYPE gw_recovery_phase"
                 + " gauge\n");
         for (Recovery.Phase p : Recovery.Phase.values()) {
--- a/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
@@ -12,18 +12,18 @@
  * What the operators' file says of the return from a loss of power.
  *
  * @param folder where what must be known after it is kept
- * @param notesLoads whether a load goes out only once it is on disk that it may run
+ * @param persistLoads whether a load goes out only once it is on disk that it may run
  */
-public record RecoverySettings(RecoveryTimeouts pace, Path folder, boolean notesLoads) {
+public record RecoverySettings(RecoveryTimeouts timeouts, Path folder, boolean persistLoads) {
     private static final String SUBFOLDER = "recovery";
 
     /** Whether the file asks for it. */
-    public static boolean on(Settings s) {
+    public static boolean isEnabled(Settings s) {
         return s.text(Keyword.RECOVERY_ENABLED).equals("on");
     }
 
     /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
-    public static RecoverySettings of(Settings s, String file) throws ConfException {
+    public static RecoverySettings read(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
         String folder = s.text(Keyword.STATE_FOLDER);
         if (folder.isBlank()) {
--- a/frontend/src/main/java/quincespar/program/runtime/Addresses.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Addresses.java
@@ -7,7 +7,7 @@
     private Addresses() { }
 
     /** An address with numbers only, as names are not looked up; throws {@link IllegalArgumentException} in one line. */
-    public static InetSocketAddress of(String hostPort) {
+    public static InetSocketAddress parse(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         try {
             return new InetSocketAddress(hostPort.substring(0, Math.max(0, colon)),
--- a/frontend/src/main/java/quincespar/program/runtime/Counters.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Counters.java
@@ -37,7 +37,7 @@
     }
 
     /** Counts the end of a client's connection under its cause, up to a colon and without numbers. */
-    public void closed(String cause) {
+    public void countClose(String cause) {
         String name = cause.split(":")[0].replaceAll("[0-9]+", "").strip().replaceAll(" +", "_").toLowerCase(Locale.ROOT);
         countBounded(closes, "closed.", name);
     }
@@ -49,7 +49,7 @@
     }
 
     /** Counts a system call that failed, as {@code failures.side.call.error}; {@code cause} is 'call: error'. */
-    public void failed(String side, String cause) {
+    public void countSystemCallFailure(String side, String cause) {
         int colon = cause.indexOf(": ");
         if (colon > 0 && CALLS.contains(cause.substring(0, colon))) {
             String error = cause.substring(colon + 2).split("[:(]")[0].strip().replaceAll("[^A-Za-z]+", "_").toLowerCase(Locale.ROOT);
@@ -57,7 +57,7 @@
         }
     }
 
-    public void taken(Input i) {
+    public void countInput(Input i) {
         if (i instanceof Input.RequestReceived) {
             count(Count.REQUESTS_TAKEN);
         } else if (i instanceof Input.CallerConnected) {
@@ -68,14 +68,14 @@
             count(said(s.message()));
         } else if (i instanceof Input.LinkDown d) {
             count(Count.LINKS_CLOSED);
-            failed("servers", d.cause());
+            countSystemCallFailure("servers", d.cause());
         } else if (i instanceof Input.LinkUp) {
             count(Count.LINKS_OPENED);
         } else if (i instanceof Input.ChangesReceived c) {
             count(c.events().isEmpty() ? Count.CHANGES_QUIET : Count.CHANGES_NEWS);
         } else if (i instanceof Input.PollFailed f) {
             count(Count.CHANGES_FAILED);
-            failed("changelog", f.cause());
+            countSystemCallFailure("changelog", f.cause());
         } else if (i instanceof Input.ConfigurationLoaded) {
             count(Count.CONFIGURATIONS_TAKEN);
         } else if (i instanceof Input.ConfigurationRejected) {
@@ -93,7 +93,7 @@
                 : news instanceof EngineMessage.Expired ? Count.ENGINES_PAST : Count.PROBES_ANSWERED;
     }
 
-    public void done(Effect e) {
+    public void countEffect(Effect e) {
         if (e instanceof Effect.Send) {
             count(Count.ATTEMPTS_SENT);
         } else if (e instanceof Effect.Cancel) {
@@ -110,7 +110,7 @@
         }
     }
 
-    public Map<String, String> all() {
+    public Map<String, String> snapshot() {
         Map<String, String> out = new TreeMap<>();
         for (Count c : Count.values()) {
             out.put(c.name().toLowerCase(Locale.ROOT).replace('_', '.'), Long.toString(counts.get(c.ordinal())));
--- a/frontend/src/main/java/quincespar/program/runtime/Intake.java
+++ b/frontend/src/main/java/quincespar/program/runtime/InputQueue.java
@@ -13,7 +13,7 @@
  * reducer takes, whose inputs would fill the heap. Their readers wait, and so do they. Timers and the program's own
  * words are few and never wait, nor does the taking thread itself.
  */
-public final class Intake {
+public final class InputQueue {
     private static final int MOST_FROM_PEERS = 2048;
     private static final int BATCH = 256;
 
--- a/frontend/src/main/java/quincespar/program/runtime/Timers.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Timers.java
@@ -47,7 +47,7 @@
     }
 
     /** Runs a step of the program's own after a delay; it may be cancelled until then. */
-    public Future<?> after(double delayMs, Runnable step) {
+    public Future<?> schedule(double delayMs, Runnable step) {
         return executor.schedule(step, (long) delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/frontend/src/main/java/quincespar/program/status/StatusAddress.java
+++ b/frontend/src/main/java/quincespar/program/status/StatusServer.java
@@ -27,7 +27,7 @@
  * second however busy those are. Callers that finish no call, or do not read, hold up nobody: each has a
  * while, and the one that has waited longest makes room.
  */
-public final class StatusAddress implements Listener.Acceptor {
+public final class StatusServer implements Listener.Acceptor {
     /** A page that may take its time; a stage that ends with an exception is answered as not to be had. */
     public interface Pages {
         /** Null where there is no such page. */
@@ -37,7 +37,7 @@
     /** Callers at a time; so many descriptors at the most. */
     private static final int MOST = 24;
     /** How long a call may take, from the connect to its last byte, in milliseconds. */
-    public static final double LONGEST_MS = 5000;
+    public static final double CALL_TIMEOUT_MS = 5000;
     private static final int OUTBOX = 256 * 1024;
 
     private final Set<Call> calls = new LinkedHashSet<>(); // the longest there first
@@ -51,7 +51,7 @@
     private volatile Pages pages = (method, path) -> null;
 
     /** Binds the address; throws {@link IOException} where it can't be. */
-    public StatusAddress(InetSocketAddress address, Timers timers, double longestMs, BooleanSupplier ready,
+    public StatusServer(InetSocketAddress address, Timers timers, double longestMs, BooleanSupplier ready,
             Supplier<String> metrics) throws IOException {
         this.timers = timers;
         this.longestMs = longestMs;
@@ -68,7 +68,7 @@
     }
 
     /** Serves these pages too, from now on. */
-    public void also(Pages more) {
+    public void addPages(Pages more) {
         pages = more;
     }
 
@@ -140,7 +140,7 @@
 
         Call(Connection connection) {
             this.connection = connection;
-            end = timers.after(longestMs, () -> connection.close("no call in time"));
+            end = timers.schedule(longestMs, () -> connection.close("no call in time"));
         }
 
         @Override
@@ -160,10 +160,10 @@
             answered = true;
             CompletionStage<FleetPages.Page> page = pages.page(r.method(), r.path());
             if (page == null) {
-                end(StatusAddress.this.answer(r));
+                end(StatusServer.this.answer(r));
             } else {
-                page.whenComplete((p, e) -> end(e == null ? StatusAddress.answer(p.status(), p.type(), p.body(), false)
-                        : StatusAddress.answer(503, "text/plain; charset=utf-8", "the fleet gave no answer: " + e + "\n", false)));
+                page.whenComplete((p, e) -> end(e == null ? StatusServer.answer(p.status(), p.type(), p.body(), false)
+                        : StatusServer.answer(503, "text/plain; charset=utf-8", "the fleet gave no answer: " + e + "\n", false)));
             }
         }
 
--- a/frontend/src/test/java/quincespar/program/StatusAddressTest.java
+++ b/frontend/src/test/java/quincespar/program/StatusAddressTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quincespar.program.runtime.Timers;
-import quincespar.program.status.StatusAddress;
+import quincespar.program.status.StatusServer;
 
 /** The second address over loopback, with nothing behind it: what callers of every kind get. */
 @Timeout(60)
@@ -32,7 +32,7 @@
 
     private void start(double longestMs) throws IOException {
         port = Peers.freePort();
-        new StatusAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Timers(i -> { }), longestMs,
+        new StatusServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Timers(i -> { }), longestMs,
                 ready::get, () -> "gw_current 3\n").start();
     }
 
@@ -125,7 +125,7 @@
     @Test
     void anAddressThatCannotBeBoundIsToldInOneLine() throws IOException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            assertThatThrownBy(() -> new StatusAddress(new InetSocketAddress("127.0.0.1",
+            assertThatThrownBy(() -> new StatusServer(new InetSocketAddress("127.0.0.1",
                     taken.getLocalPort()), new Timers(i -> { }), 50, ready::get, () -> "")).isInstanceOf(IOException.class)
                     .hasMessageContaining("admin_addr 127.0.0.1:").message().hasLineCount(1);
         }
--- a/frontend/src/test/java/quincespar/program/clients/ThriftFrontTest.java
+++ b/frontend/src/test/java/quincespar/program/clients/ThriftServerTest.java
@@ -26,7 +26,7 @@
 
 /** What one look at a client's connection finds is posted together: the loop is started when all of it lies there. */
 @Timeout(30)
-class ThriftFrontTest {
+class ThriftServerTest {
     private final BlockingQueue<List<Input>> posted = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private Listener listener;
@@ -38,7 +38,7 @@
         listener.bind();
         RoutingSettings site = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.name", "lookup",
                 "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
-        new ThriftFront(loop, listener, site, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
+        new ThriftServer(loop, listener, site, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
     }
 
     @AfterEach
--- a/frontend/src/test/java/quincespar/program/recovery/KeptFolderTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/RecoveryJournalTest.java
@@ -17,7 +17,7 @@
 import quincespar.routing.Input;
 
 @Timeout(30)
-class KeptFolderTest {
+class RecoveryJournalTest {
     private final LinkedBlockingQueue<Input> heard = new LinkedBlockingQueue<>();
     private final List<String> said = new ArrayList<>();
     @TempDir
@@ -27,8 +27,8 @@
         return new JournalEntry.LoadStarted(txn, "load", "acme", "d", 1, 2000, 5);
     }
 
-    private KeptFolder open(String owner) {
-        KeptFolder k = new KeptFolder(folder, owner, heard::add, said::add);
+    private RecoveryJournal open(String owner) {
+        RecoveryJournal k = new RecoveryJournal(folder, owner, heard::add, said::add);
         k.start();
         return k;
     }
@@ -43,12 +43,12 @@
 
     @Test
     void whatWasNotedIsThereAtTheNextStartAndASecondProcessWaits() throws InterruptedException {
-        KeptFolder one = open("a");
+        RecoveryJournal one = open("a");
         assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.LOST);
         one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 7);
         assertThat(next()).isEqualTo(new Input.PersistFinished(7, true));
-        KeptFolder two = open("a");
+        RecoveryJournal two = open("a");
         one.add(load("y"), 8);
         assertThat(next()).isEqualTo(new Input.PersistFinished(8, true)); // the second reads nothing meanwhile
         one.close(20_000);
@@ -59,13 +59,13 @@
 
     @Test
     void anothersFolderIsReadByNobodyAndNotWritten() throws InterruptedException, IOException {
-        KeptFolder one = open("a");
+        RecoveryJournal one = open("a");
         read();
         one.add(new JournalEntry.ProcessStarted("a", 1), 7);
         next();
         one.close(20_000);
         byte[] before = Files.readAllBytes(folder.resolve("kept"));
-        KeptFolder two = open("b");
+        RecoveryJournal two = open("b");
         assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.ANOTHERS);
         two.add(load("z"), 9);
         assertThat(next()).isEqualTo(new Input.PersistFinished(9, false));
@@ -75,7 +75,7 @@
 
     @Test
     void aSpoiltFileGivesWhatStandsBeforeAndIsSetAside() throws InterruptedException, IOException {
-        KeptFolder one = open("a");
+        RecoveryJournal one = open("a");
         read();
         one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 1);
@@ -86,7 +86,7 @@
         byte[] bad = Files.readAllBytes(folder.resolve("kept"));
         bad[bad.length / 2] ^= 1;
         Files.write(folder.resolve("kept"), bad);
-        KeptFolder two = open("a");
+        RecoveryJournal two = open("a");
         Input.RecoveryJournalRead r = read();
         assertThat(r.condition()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
         assertThat(r.entries()).startsWith(new JournalEntry.ProcessStarted("a", 1)).hasSizeLessThan(3);
@@ -94,14 +94,14 @@
         assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         two.close(20_000);
         assertThat(Files.readAllBytes(folder.resolve("kept-spoilt"))).isEqualTo(bad);
-        KeptFolder three = open("a"); // written anew, it is whole
+        RecoveryJournal three = open("a"); // written anew, it is whole
         assertThat(read().condition()).isEqualTo(DurableFact.FolderCondition.WHOLE);
         three.close(20_000);
     }
 
     @Test
     void aFileThatCanNotBeReadForAMomentIsNotTakenForLost() throws InterruptedException, IOException {
-        KeptFolder one = open("a");
+        RecoveryJournal one = open("a");
         read();
         one.add(new JournalEntry.ProcessStarted("a", 1), 0);
         one.add(load("x"), 1);
@@ -109,7 +109,7 @@
         one.close(20_000);
         Files.move(folder.resolve("kept"), folder.resolve("whole"));
         Files.createDirectory(folder.resolve("kept")); // a folder can't be read as a file
-        KeptFolder two = open("a");
+        RecoveryJournal two = open("a");
         two.add(load("y"), 2);
         assertThat(next()).isEqualTo(new Input.PersistFinished(2, false));
         Files.delete(folder.resolve("kept"));
@@ -127,7 +127,7 @@
         Files.writeString(folder.resolve("kept.next"), "");
         Files.delete(folder.resolve("kept.next"));
         Files.createDirectory(folder.resolve("kept.next")); // nothing can be written under that name
-        KeptFolder one = open("a");
+        RecoveryJournal one = open("a");
         read();
         one.add(load("x"), 1);
         assertThat(next()).isEqualTo(new Input.PersistFinished(1, false));
