--- a/frontend/src/main/java/quincespar/program/Configuration.java
+++ b/frontend/src/main/java/quincespar/program/Configuration.java
@@ -74,9 +74,9 @@
         String admin = environment.getOrDefault("GW_ADMIN_ADDR",
                 all.get("admin_addr") == null ? "" : Json.text(all.get("admin_addr"), "admin_addr"));
         String changeLog = Json.text(all.get("changelog"), "changelog");
-        Addresses.of(changeLog); // throws if it is not an address
+        Addresses.parse(changeLog); // throws if it is not an address
         return new Configuration(environment.getOrDefault("GW_NAME", String.valueOf(all.get("name"))),
-                Addresses.of(listen), admin.isEmpty() ? null : Addresses.of(admin), changeLog,
+                Addresses.parse(listen), admin.isEmpty() ? null : Addresses.parse(admin), changeLog,
                 Long.parseUnsignedLong(Json.text(all.get("seed"), "seed"), 16),
                 limit(limits, "sockets", DEFAULT_SOCKETS), limit(limits, "memory_mb", DEFAULT_MEMORY_MB), site, known);
     }
--- a/frontend/src/main/java/quincespar/program/ConfigurationReloader.java
+++ b/frontend/src/main/java/quincespar/program/ConfigurationReloader.java
@@ -44,7 +44,7 @@
             } catch (ConfigurationIOException e) {
                 if (clock.now() < deadline) {
                     log.warn("configuration could not be read, retrying in {} ms: {}", RETRY_DELAY_MS, e.getMessage());
-                    timers.after(RETRY_DELAY_MS, () -> tryUntil(deadline, reloadId, current));
+                    timers.schedule(RETRY_DELAY_MS, () -> tryUntil(deadline, reloadId, current));
                 } else {
                     post.accept(new Input.ConfigurationRejected(reloadId, e.getMessage()));
                 }
