--- a/decision/src/main/java/quincespar/decision/DecisionExplainer.java
+++ b/decision/src/main/java/quincespar/decision/DecisionExplainer.java
@@ -98,7 +98,7 @@
         events.forEach(scheduler::handle);
         if (scheduler.now >= scheduler.nextSupervisionAt) {
             scheduler.supervise();
-            scheduler.expireHeldQueries();
+            scheduler.expireQueuedQueries();
         }
         scheduler.updateClassAggregates();
     }
--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -102,10 +102,10 @@
     private static final double PEER_ATTEMPT_STALE_MULTIPLE = 3;
     /** Time within which an engine's report fades, in ms: short queries have finished by then. */
     private static final double REPORT_FADE_MS = 2000;
-    /** Looks at held queries within the shortest latency target. */
-    private static final int LOOKS_PER_TARGET = 40;
-    /** Base intervals between looks while no query is held: running queries need fewer looks. */
-    private static final int RUNNING_LOOK_INTERVALS = 5;
+    /** Checks of queued queries within the shortest latency target. */
+    private static final int CHECKS_PER_TARGET = 40;
+    /** Base intervals between checks while no query is queued: running queries need fewer checks. */
+    private static final int RUNNING_CHECK_INTERVALS = 5;
     /** Base intervals by which a timer must be late to count as a stall of this router. */
     static final int STALL_INTERVALS = 3;
     /** Share of its target within which a query counts as in time whatever its estimate says. */
@@ -192,7 +192,7 @@
     /** Share of engines that are neither cold nor ejected. */
     double warmEngineShare;
     double startedAt = -1;
-    /** Least time between two looks at what is held or running, in ms. */
+    /** Least time between two checks of queued and running queries, in ms. */
     double baseInterval;
     double highestGammaMu;
     double longestLoadTime;
@@ -242,7 +242,7 @@
         }
         nodes.values().forEach(node -> node.ensureClassStats(statsCount));
         quotas = QuotaBucket.forTenants(quotas, settings.tenants());
-        baseInterval = Math.max(settings.tick(), shortestTarget / LOOKS_PER_TARGET);
+        baseInterval = Math.max(settings.tick(), shortestTarget / CHECKS_PER_TARGET);
     }
 
     @Override
@@ -262,12 +262,12 @@
         if (now >= nextSupervisionAt) {
             nextSupervisionAt = now + supervisionInterval();
             supervise();
-            expireHeldQueries();
+            expireQueuedQueries();
         }
         dispatch();
-        boolean queriesHeld = Arrays.stream(queues).anyMatch(queue -> !queue.queries.isEmpty());
-        double delay = queriesHeld || !allLimitsShared ? supervisionInterval()
-                : RUNNING_LOOK_INTERVALS * baseInterval;
+        boolean queriesQueued = Arrays.stream(queues).anyMatch(queue -> !queue.queries.isEmpty());
+        double delay = queriesQueued || !allLimitsShared ? supervisionInterval()
+                : RUNNING_CHECK_INTERVALS * baseInterval;
         if ((openRequests > 0 || settings.discoveryOnRequest() && !watching)
                 && (timerDueAt < now + 0.01 || now + delay < timerDueAt)) {
             timerDueAt = now + delay;
@@ -282,7 +282,7 @@
                 .filter(node -> node.isEjected() && node.engine.state() == EngineState.READY).count();
     }
 
-    /** Time between looks at held queries: among many routers each holds few, and the looks cost the most. */
+    /** Time between checks of queued queries: among many routers each has few, and the checks cost the most. */
     private double supervisionInterval() {
         return allLimitsShared ? 2 * baseInterval : baseInterval;
     }
@@ -1027,7 +1027,7 @@
         node.ejectedAt = now;
     }
 
-    /** Looks at running attempts: ejects silent engines and cancels stragglers. */
+    /** Checks running attempts: ejects silent engines and cancels stragglers. */
     void supervise() {
         if (now >= nextPeerExpiryAt) {
             nextPeerExpiryAt = now + PEER_EXPIRY_INTERVAL_MS;
@@ -1318,10 +1318,10 @@
     // ---- final answers -----------------------------------------------------------------------------------
 
     /**
-     * Gives up held queries that can earn nothing any more, and moves those that became late to the late
+     * Gives up queued queries that can earn nothing any more, and moves those that became late to the late
      * queue.
      */
-    void expireHeldQueries() {
+    void expireQueuedQueries() {
         keyQueues.values().removeIf(keyQueue -> keyQueue.waiting.isEmpty() && now >= keyQueue.blockedUntil);
         for (QueryQueue queue : queues) {
             for (Query query : new ArrayList<>(queue.queries)) {
--- a/decision/src/main/java/quincespar/decision/Scheduler.java
+++ b/decision/src/main/java/quincespar/decision/Scheduler.java
@@ -204,9 +204,10 @@
     /**
      * An attempt has ended.
      *
-     * @param requestOver whether its request is over too @param reportedWork NaN if not told @param
-     * reportedMemory NaN if not told @param engineReport the engine's report, in the order of {@link
-     * EngineTraits#reportFields}; may be empty
+     * @param requestOver whether its request is over too
+     * @param reportedWork NaN if not told
+     * @param reportedMemory NaN if not told
+     * @param engineReport values of {@link EngineTraits#reportFields}; empty without a report
      */
     record AttemptEnded(long id, int attempt, long engine, Outcome outcome, double latency,
             boolean requestOver, double reportedWork, double reportedMemory, List<Double> engineReport)
--- a/decision/src/main/java/quincespar/decision/SchedulerState.java
+++ b/decision/src/main/java/quincespar/decision/SchedulerState.java
@@ -211,7 +211,7 @@
 
     }
 
-    /** The held queries of one class and band that have the same prospect, oldest first. */
+    /** The queued queries of one class and band that have the same prospect, oldest first. */
     static final class QueryQueue {
         /** Prospect of a query that can still be in time and is within its tenant's share. */
         static final int IN_TIME = 0;
--- a/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
+++ b/frontend/src/main/java/quincespar/simulator/SimulatorHost.java
@@ -57,7 +57,7 @@
     private final Map<Integer, List<Scheduler.Engine>> engineLists = new TreeMap<>();
     private Map<Integer, List<Scheduler.Event>> pendingEvents = new LinkedHashMap<>();
 
-    /** Creates a host of instances of {@link Brain}. */
+    /** Creates a host of instances of {@link GcMuScheduler}. */
     public SimulatorHost() {
         this(GcMuScheduler::new);
     }
