--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -282,7 +282,7 @@
                 .filter(node -> node.isEjected() && node.engine.state() == EngineState.READY).count();
     }
 
-    /** Time between checks of queued queries: among many routers each has few, and the checks cost the most. */
+    /** Time between checks of queued queries: among many routers each has few, and checks cost the most. */
     private double supervisionInterval() {
         return allLimitsShared ? 2 * baseInterval : baseInterval;
     }
--- a/decision/src/main/java/quincespar/decision/SettingsParser.java
+++ b/decision/src/main/java/quincespar/decision/SettingsParser.java
@@ -106,7 +106,8 @@
         };
         return new Scheduler.ClassSpec(pairs.getOrDefault(prefix + "name", "class-" + i),
                 required(prefix + "slo"), number(prefix + "aimStretch", 0), required(prefix + "hardLimit"),
-                number(prefix + "points", 1), number(prefix + "lateWorth", 0), idempotency, scope, number(prefix + "repeatWindow", 0),
+                number(prefix + "points", 1), number(prefix + "lateWorth", 0), idempotency, scope,
+                number(prefix + "repeatWindow", 0),
                 flag(prefix + "keepOrder", false), flag(prefix + "streaming", false),
                 (int) Math.max(1, elementOr(numbers("extra.classThreads"), i, 1.0)),
                 "true".equals(elementOr(names("extra.writesTables"), i, "false")),
@@ -135,7 +136,8 @@
         }
         Scheduler.Limits limits = new Scheduler.Limits(flag("limits.cancelling", false),
                 flag("limits.probes", false), flag("limits.mayTell", false),
-                flag("limits.secondCopies", false), flag("limits.retryAfter", false), (int) number("limits.maxAttempts", 1),
+                flag("limits.secondCopies", false), flag("limits.retryAfter", false),
+                (int) number("limits.maxAttempts", 1),
                 number("limits.maxRetryAfter", 0), (int) number("limits.openCap", 20000),
                 number("limits.connectTimeout", 250));
         boolean hasRetryBudget = pairs.containsKey("rules.budgetFree")
@@ -156,7 +158,8 @@
         Scheduler.EngineTraits engineTraits = new Scheduler.EngineTraits(numbers("extra.sizeCores"),
                 numbers("extra.memoryByKindMb"), number("extra.largestShare", 1),
                 flag("extra.takesGrants", false), flag("extra.lanesCount", false), shortage,
-                number("extra.notePeriod", 0), flag("extra.tellsCost", false), reports ? names("reporting.fields") : List.of());
+                number("extra.notePeriod", 0), flag("extra.tellsCost", false),
+                reports ? names("reporting.fields") : List.of());
         return new Scheduler.Settings((int) number("balancers", 1), (int) number("me", 0),
                 (int) number("myZone", 0), classes, tenants(), number("overShareWorth", 1),
                 "on_request".equals(pairs.get("discovery")), flag("clients.marksRetry", false),
