--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -14,22 +14,22 @@
 import quincespar.metrics.MetricsSnapshot;
 import quincespar.metrics.PrometheusText;
 import quincespar.program.Lifecycle.Phase;
-import quincespar.program.captures.Capturing;
-import quincespar.program.clients.ThriftFront;
-import quincespar.program.engines.ChangeLog;
+import quincespar.program.captures.CaptureSession;
+import quincespar.program.clients.ThriftServer;
+import quincespar.program.engines.ChangeLogClient;
 import quincespar.program.engines.EngineLinks;
-import quincespar.program.fleet.FleetLink;
+import quincespar.program.fleet.FleetService;
 import quincespar.program.fleet.FleetPages;
 import quincespar.program.fleet.FleetSettings;
-import quincespar.program.recovery.KeptFolder;
+import quincespar.program.recovery.RecoveryJournal;
 import quincespar.program.recovery.RecoveryPages;
 import quincespar.program.recovery.RecoverySettings;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Counters;
-import quincespar.program.runtime.Intake;
+import quincespar.program.runtime.InputQueue;
 import quincespar.program.runtime.Timers;
 import quincespar.program.runtime.Version;
-import quincespar.program.status.StatusAddress;
+import quincespar.program.status.StatusServer;
 import quincespar.recovery.Recovery;
 import quincespar.routing.Bounds;
 import quincespar.routing.Effect;
@@ -85,7 +85,7 @@
     private final Counters counters = new Counters();
     private final Clock clock = new Clock();
     private final PauseDetector pauseDetector = new PauseDetector();
-    private final Intake inputs = new Intake();
+    private final InputQueue inputs = new InputQueue();
     private final Timers timers = new Timers(inputs::add);
     private final ConfigurationReloader configurationReloader;
     private final Logs logs;
@@ -95,22 +95,22 @@
     private final Bounds bounds;
     private final Reducer reducer;
     /** Null without a capture. */
-    private final Capturing capture;
+    private final CaptureSession capture;
     private final EventLoop clientLoop = new EventLoop("clients");
     private final EventLoop engineLoop = new EventLoop("engines");
     private final ProcessLocks processLocks;
     private final Listener listener;
-    private final StatusAddress status;
+    private final StatusServer status;
     /** Null without a fleet. */
-    private final FleetLink fleetService;
+    private final FleetService fleetService;
     /** Null without recovery from a power loss. */
-    private final KeptFolder recoveryJournal;
+    private final RecoveryJournal recoveryJournal;
     private volatile RecoveryReport recoveryReport;
     /** Published by the reducer's thread. */
     private volatile MetricsSnapshot metrics = MetricsSnapshot.NONE;
-    private final ThriftFront thriftServer;
+    private final ThriftServer thriftServer;
     private final EngineLinks engines;
-    private final ChangeLog changeLogClient;
+    private final ChangeLogClient changeLogClient;
 
     /** Creates a front end without a fleet and without recovery. */
     FrontEnd(Map<String, String> environment, Settings settings, Logs logs) throws IOException {
@@ -132,36 +132,36 @@
         processLocks = ProcessLocks.acquire(environment, c.listen());
         bounds = c.bounds(settings);
         String folder = settings.text(Keyword.CAPTURE_FOLDER);
-        capture = folder.isEmpty() ? null : Capturing.into(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
+        capture = folder.isEmpty() ? null : CaptureSession.open(Path.of(folder), settings, c.name(), clock.now(), c.seed(),
                 c.site().decision(), clock, line -> log.info("{}: {}", c.name(), line));
         reducer = new Reducer(c.site(), bounds, capture == null ? new GcMuScheduler(c.site().decision(), c.seed())
-                : capture.module(), recovery == null ? null : new Recovery(recovery.pace(), c.name(), fleet != null,
-                Reducer.classTraits(c.site())), recovery != null && recovery.notesLoads());
-        recoveryJournal = recovery == null ? null : new KeptFolder(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
+                : capture.module(), recovery == null ? null : new Recovery(recovery.timeouts(), c.name(), fleet != null,
+                Reducer.classTraits(c.site())), recovery != null && recovery.persistLoads());
+        recoveryJournal = recovery == null ? null : new RecoveryJournal(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that it answers "not ready" while the rest starts
-            status = new StatusAddress(c.admin(), timers, StatusAddress.LONGEST_MS, lifecycle::ready,
+            status = new StatusServer(c.admin(), timers, StatusServer.CALL_TIMEOUT_MS, lifecycle::ready,
                     () -> PrometheusText.text(metrics) + fleetMetrics() + recoveryMetrics());
             status.start();
         } else {
             status = null;
         }
         listener = new Listener(clientLoop, c.listen(), true);
-        thriftServer = new ThriftFront(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
+        thriftServer = new ThriftServer(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
                 clock, counters, inputs::addFromPeer, this::allCounters);
-        fleetService = fleet == null ? null : new FleetLink(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
+        fleetService = fleet == null ? null : new FleetService(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
-                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.plan().shareGrowthDelayMs())));
+                view -> inputs.add(new Input.FleetChanged(view, c.name(), fleet.config().shareGrowthDelayMs())));
         if (status != null && (fleetService != null || recoveryJournal != null)) {
             FleetPages pages = fleetService == null ? null : new FleetPages(fleetService);
             RecoveryPages more = recoveryJournal == null ? null : recoveryPages();
-            status.also((method, path) -> {
+            status.addPages((method, path) -> {
                 FleetPages.Page page = more == null ? null : more.page(method, path);
                 return page != null ? CompletableFuture.completedFuture(page) : pages == null ? null : pages.page(method, path);
             });
         }
         engines = new EngineLinks(engineLoop, c.site(), inputs::addFromPeer);
-        changeLogClient = new ChangeLog(engineLoop, inputs::addFromPeer);
+        changeLogClient = new ChangeLogClient(engineLoop, inputs::addFromPeer);
     }
 
     private static ConfigurationCheck.Valid readAtStart(Map<String, String> environment) throws IOException {
@@ -220,7 +220,7 @@
     private void start() throws IOException, InterruptedException {
         if (processLocks.othersAlive()) {
             inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * UPGRADE_CALLER_SHARE))));
-            thriftServer.places((int) (configuration.sockets() * UPGRADE_CLIENT_SHARE));
+            thriftServer.setConnectionLimit((int) (configuration.sockets() * UPGRADE_CLIENT_SHARE));
             raiseLimitsOnceAlone();
         }
         new Warmup(configuration, bounds, thriftServer).run();
@@ -255,7 +255,7 @@
 
     private void setStanding(Standing standing) {
         if (fleetService != null) {
-            fleetService.stands(standing);
+            fleetService.setStanding(standing);
         }
     }
 
@@ -264,21 +264,21 @@
     }
 
     private String recoveryMetrics() {
-        return recoveryJournal == null ? "" : recoveryPages().figures();
+        return recoveryJournal == null ? "" : recoveryPages().metrics();
     }
 
     private String fleetMetrics() {
-        return fleetService == null ? "" : FleetPages.figures(fleetService);
+        return fleetService == null ? "" : FleetPages.metrics(fleetService);
     }
 
     /** Sets the full limits once the older process has ended. */
     private void raiseLimitsOnceAlone() {
-        timers.after(OTHERS_CHECK_INTERVAL_MS, () -> {
+        timers.schedule(OTHERS_CHECK_INTERVAL_MS, () -> {
             if (processLocks.othersAlive()) {
                 raiseLimitsOnceAlone();
             } else if (lifecycle.phase().compareTo(Phase.SERVING) <= 0) {
                 inputs.add(new Input.CallerLimitChanged(bounds.maxCallers()));
-                thriftServer.places((int) (configuration.sockets() * CLIENT_SHARE));
+                thriftServer.setConnectionLimit((int) (configuration.sockets() * CLIENT_SHARE));
             }
         });
     }
@@ -309,11 +309,11 @@
             listener.close(() -> closeIdleConnections(endsAt + REFUSE_PERIOD_MS));
         } else if (lifecycle.phase() == Phase.LEAVING) {
             double until = killTime(MAX_LEAVE_MS);
-            thriftServer.leave();
-            timers.after(LEAVING_MS, () -> {
+            thriftServer.raiseConnectionLimitForShutdown();
+            timers.schedule(LEAVING_MS, () -> {
                 listener.close(() -> {
                     lifecycle.enter(Phase.SETTLING);
-                    timers.after(SETTLE_MS, () -> {
+                    timers.schedule(SETTLE_MS, () -> {
                         inputs.add(new Input.RefuseNewRequests());
                         clientLoop.executeAfterReads(() -> closeIdleConnections(until));
                     });
@@ -335,13 +335,13 @@
      * client reconnects for its next request without losing one. Connections that are never idle are left to {@link #stop}.
      */
     private void closeIdleConnections(double until) {
-        thriftServer.move();
-        if (thriftServer.connections() == 0) {
+        thriftServer.closeIdleConnections();
+        if (thriftServer.connectionCount() == 0) {
             enterFinishing();
         } else if (clock.now() >= until) {
             clientLoop.executeAfterReads(this::enterFinishing); // after a pause of the process requests may be unread
         } else {
-            timers.after(CLOSE_IDLE_INTERVAL_MS, () -> closeIdleConnections(until));
+            timers.schedule(CLOSE_IDLE_INTERVAL_MS, () -> closeIdleConnections(until));
         }
     }
 
@@ -352,7 +352,7 @@
 
     /** Logs the counters at this interval from now on. */
     void logCountersEvery(long intervalMs) {
-        timers.after(intervalMs, () -> {
+        timers.schedule(intervalMs, () -> {
             log.info("{}: counters: {}", configuration.name(), allCounters());
             log.info("{}: engines: {}", configuration.name(), reducer.engineCounters());
             logCountersEvery(intervalMs);
@@ -366,9 +366,9 @@
 
     /** Writes the last answers and closes the remaining connections. */
     private void stop() throws InterruptedException {
-        thriftServer.finish();
+        thriftServer.finishConnections();
         double deadline = clock.now() + FLUSH_MS;
-        while (thriftServer.connections() > 0 && clock.now() < deadline) {
+        while (thriftServer.connectionCount() > 0 && clock.now() < deadline) {
             inputs.take(10);
         }
         lifecycle.enter(Phase.STOPPED);
@@ -376,7 +376,7 @@
 
     private void step(List<Input> batch) {
         try {
-            batch.forEach(counters::taken);
+            batch.forEach(counters::countInput);
             double from = clock.now();
             pauseDetector.stepped(from);
             perform(reducer.step(from, batch));
@@ -391,7 +391,7 @@
 
     private void perform(List<Effect> effects) {
         for (Effect e : effects) {
-            counters.done(e);
+            counters.countEffect(e);
             try {
                 perform(e);
             } catch (RuntimeException | OutOfMemoryError x) { // the other effects must still be performed
@@ -431,7 +431,7 @@
         } else if (effect instanceof Effect.PollChangeLog e) {
             changeLogClient.poll(e);
         } else if (effect instanceof Effect.CloseCaller e) {
-            thriftServer.close(e);
+            thriftServer.closeCaller(e);
         } else if (effect instanceof Effect.UnexpectedError e) {
             reportError(e.activity(), e.error());
         } else if (effect instanceof Effect.ReloadConfiguration e) {
@@ -439,14 +439,14 @@
         } else if (effect instanceof Effect.ConfigurationAccepted e) {
             currentDocument = e.document();
         } else if (effect instanceof Effect.ApplySettings e) {
-            thriftServer.adopt(e.settings());
-            engines.adopt(e.settings());
+            thriftServer.applySettings(e.settings());
+            engines.applySettings(e.settings());
         } else if (effect instanceof Effect.PersistEntry e) {
             recoveryJournal.add(e.entry(), e.request());
         } else if (effect instanceof Effect.ReadFleetState) {
             readFleetState();
         } else if (effect instanceof Effect.CancelPoll) {
-            changeLogClient.drop();
+            changeLogClient.disconnect();
         } else if (effect instanceof Effect.Log e) {
             log.info("{}: {}", configuration.name(), e.line());
         } else if (effect instanceof Effect.Trace e && log.isDebugEnabled()) {
@@ -456,11 +456,11 @@
 
     /** Reads the fleet's replicated state, null on failure. Delayed, as the reducer may answer the result with another read. */
     private void readFleetState() {
-        timers.after(FLEET_READ_DELAY_MS, () -> fleetService.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
+        timers.schedule(FLEET_READ_DELAY_MS, () -> fleetService.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
     }
 
     private Map<String, String> allCounters() {
-        Map<String, String> all = new LinkedHashMap<>(counters.all());
+        Map<String, String> all = new LinkedHashMap<>(counters.snapshot());
         all.put("phase", lifecycle.phase().name().toLowerCase(java.util.Locale.ROOT));
         reducer.retainedCounts().forEach((name, n) -> all.put(name, n.toString()));
         all.put("changes.age_ms", Long.toString(Math.round(reducer.listAgeMs(clock.now()))));
@@ -475,7 +475,7 @@
         all.put("held.timers", Integer.toString(timers.size()));
         all.put("held.inputs", Integer.toString(inputs.size()));
         all.put("requests.open", Integer.toString(reducer.openRequests()));
-        all.put("clients.connected", Integer.toString(thriftServer.connections()));
+        all.put("clients.connected", Integer.toString(thriftServer.connectionCount()));
         all.put("engines.connected", Integer.toString(engines.size()));
         return all;
     }
