--- a/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
+++ b/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
@@ -17,7 +17,8 @@
 import quincespar.faultbench.world.Plant;
 
 /** Command line of the fault injection tool. */
-@Command(name = "faultbench", description = "Runs several processes of the front end, injects faults, and checks the recorded history.",
+@Command(name = "faultbench",
+        description = "Runs several processes of the front end, injects faults, and checks the recorded history.",
         mixinStandardHelpOptions = true, subcommands = Measure.class)
 public final class FaultBench implements Callable<Integer> {
     private static final int USAGE = 2;
@@ -77,7 +78,8 @@
 
     @Command(name = "list", description = "List the fixed schedules and the guards that can be removed.")
     int list() {
-        FixedSchedules.names().forEach(n -> System.out.println("# " + n + "\n" + Schedule.read(FixedSchedules.texts().get(n)).text()));
+        FixedSchedules.names().forEach(n -> System.out.println(
+                "# " + n + "\n" + Schedule.read(FixedSchedules.texts().get(n)).text()));
         System.out.println("guards: " + Plant.guards());
         return 0;
     }
@@ -151,15 +153,15 @@
             throws IOException, InterruptedException {
         Schedule s = Schedule.read(Files.readString(file));
         for (int i = s.steps().size() - 1; i >= 0; i--) {
-            Schedule less = s.withoutStep(i);
-            boolean breaks = false;
-            for (int t = 0; t < tries && !breaks; t++) {
+            Schedule shorter = s.withoutStep(i);
+            boolean fails = false;
+            for (int t = 0; t < tries && !fails; t++) {
                 List<String> problems = new java.util.ArrayList<>();
-                runSchedule(less, Files.createTempDirectory("faultbench"), losses, problems);
-                breaks = !problems.isEmpty();
+                runSchedule(shorter, Files.createTempDirectory("faultbench"), losses, problems);
+                fails = !problems.isEmpty();
             }
-            System.out.println((breaks ? "not needed: " : "needed: ") + s.steps().get(i));
-            s = breaks ? less : s;
+            System.out.println((fails ? "not needed: " : "needed: ") + s.steps().get(i));
+            s = fails ? shorter : s;
         }
         System.out.print(s.text());
         return 0;
--- a/faultbench/src/main/java/quincespar/faultbench/Measure.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Measure.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -28,7 +27,7 @@
 /** Measurements of a fleet, started manually. Prints figures and checks none against a limit. */
 @Command(name = "measure", description = "Measure a fleet of processes; prints figures.", mixinStandardHelpOptions = true)
 public final class Measure {
-    private static final int WAIT_MS = 1000, LONGEST_S = 120;
+    private static final int REQUEST_TIMEOUT_MS = 1000, CONDITION_TIMEOUT_S = 120;
 
     @ParentCommand
     private FaultBench bench;
@@ -38,24 +37,28 @@
                 Files.createTempDirectory("measure")), history);
     }
 
-    private static final int AFTER_S = 30;
+    private static final int SERVED_PERIOD_S = 30;
 
-    @Command(name = "losses", description = "Simulates a power loss of all front ends and engines, with and without recovery, in pairs: failed"
-            + " engines, the time to the first lookup served, and the requests served.")
+    @Command(name = "losses", description = "Simulates a power loss of all front ends and engines, with and without recovery, in"
+            + " pairs: failed engines, the time to the first lookup served, and the requests served.")
     int losses(@Option(names = "--pairs", defaultValue = "3") int pairs, @Option(names = "--over", defaultValue = "3000",
-            description = "Power returns to the engines one by one over this time, in milliseconds.") int overMs, @Option(names = "--every", defaultValue = "6",
-            description = "Interval between the requests of each client, in milliseconds.") int everyMs, @Option(names = "--plot", paramLabel = "FILE",
-            description = "Draw the requests served per second, as the median of the pairs, as SVG.") Path plot) throws IOException, InterruptedException {
+            description = "Power returns to the engines one by one over this time, in milliseconds.") int overMs,
+            @Option(names = "--every", defaultValue = "6",
+            description = "Interval between the requests of each client, in milliseconds.")
+            int everyMs, @Option(names = "--plot", paramLabel = "FILE",
+            description = "Draw the requests served per second, as the median of the pairs, as SVG.") Path plot)
+            throws IOException, InterruptedException {
         Map<String, List<double[]>> all = new LinkedHashMap<>();
         for (int i = 0; i < pairs; i++) {
             for (boolean on : new boolean[] {true, false}) {
-                all.computeIfAbsent(on ? "with recovery" : "without recovery", k -> new ArrayList<>()).add(measurePowerLoss(i + 1, on, overMs, everyMs));
+                all.computeIfAbsent(on ? "with recovery" : "without recovery", k -> new ArrayList<>())
+                        .add(measurePowerLoss(i + 1, on, overMs, everyMs));
             }
         }
         if (plot != null) {
             Map<String, double[]> medians = new LinkedHashMap<>();
-            all.forEach((name, runs) -> medians.put(name, IntStream.range(0, AFTER_S).mapToDouble(s -> runs.stream().mapToDouble(r -> r[s])
-                    .sorted().toArray()[runs.size() / 2]).toArray()));
+            all.forEach((name, runs) -> medians.put(name, IntStream.range(0, SERVED_PERIOD_S)
+                    .mapToDouble(s -> runs.stream().mapToDouble(r -> r[s]).sorted().toArray()[runs.size() / 2]).toArray()));
             Files.writeString(plot, LineChart.of("Requests served per second after power returns", medians));
         }
         return 0;
@@ -63,14 +66,14 @@
 
     private double[] measurePowerLoss(int pair, boolean on, int overMs, int everyMs) throws IOException, InterruptedException {
         History history = new History();
-        try (Cluster cluster = new Cluster(new Cluster.Options(5, 5, true, Run.jar(bench.root()), null, Files.createTempDirectory("measure"), true, on),
-                history)) {
+        try (Cluster cluster = new Cluster(new Cluster.Options(5, 5, true, Run.jar(bench.root()), null,
+                Files.createTempDirectory("measure"), true, on), history)) {
             startAll(cluster);
             List<Client> clients = new ArrayList<>();
-            List<Thread> asking = new ArrayList<>();
+            List<Thread> clientThreads = new ArrayList<>();
             for (Node n : cluster.nodes().values()) {
                 clients.add(new Client(n.name(), n.listenAddress(), clients.size() + 1, everyMs, history));
-                asking.add(clients.get(clients.size() - 1).start());
+                clientThreads.add(clients.get(clients.size() - 1).start());
             }
             TimeUnit.SECONDS.sleep(8);
             long lost = System.nanoTime();
@@ -88,31 +91,35 @@
                 e.setPowered(true);
                 TimeUnit.MILLISECONDS.sleep(overMs / cluster.engines().size());
             }
-            TimeUnit.NANOSECONDS.sleep(Math.max(0, back + TimeUnit.SECONDS.toNanos(AFTER_S) - System.nanoTime()));
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, back + TimeUnit.SECONDS.toNanos(SERVED_PERIOD_S) - System.nanoTime()));
             clients.forEach(Client::stop);
-            for (Thread t : asking) {
+            for (Thread t : clientThreads) {
                 t.join();
             }
-            List<History.Request> served = history.requests().stream().filter(r -> r.sentAt() > lost && r.answer().equals("served")).toList();
-            double first = served.stream().filter(r -> !r.load()).mapToDouble(r -> (r.endedAt() - back) / 1e6).min().orElse(Double.NaN);
-            System.out.printf(Locale.ROOT, "pair %d recovery %s: %d of %d engines fell, first lookup served after %.0f ms, served in 10 s %d, in"
-                    + " 20 s %d, in 30 s %d%n", pair, on ? "on " : "off", history.events().stream().filter(e -> e.kind().equals("fell")).count(),
-                    cluster.engines().size(), first, within(served, back, 10), within(served, back, 20), within(served, back, AFTER_S));
-            return IntStream.range(0, AFTER_S).mapToDouble(s -> within(served, back, s + 1) - within(served, back, s)).toArray();
+            List<History.Request> served = history.requests().stream()
+                    .filter(r -> r.sentAt() > lost && r.answer().equals("served")).toList();
+            double first = served.stream().filter(r -> !r.load())
+                    .mapToDouble(r -> (r.endedAt() - back) / 1e6).min().orElse(Double.NaN);
+            System.out.printf(Locale.ROOT, "pair %d recovery %s: %d of %d engines fell, first lookup served after %.0f ms, served"
+                    + " in 10 s %d, in 20 s %d, in 30 s %d%n", pair, on ? "on " : "off",
+                    history.events().stream().filter(e -> e.kind().equals("fell")).count(), cluster.engines().size(), first,
+                    servedWithin(served, back, 10), servedWithin(served, back, 20), servedWithin(served, back, SERVED_PERIOD_S));
+            return IntStream.range(0, SERVED_PERIOD_S)
+                    .mapToDouble(s -> servedWithin(served, back, s + 1) - servedWithin(served, back, s)).toArray();
         }
     }
 
-    private static long within(List<History.Request> served, long from, int seconds) {
+    private static long servedWithin(List<History.Request> served, long from, int seconds) {
         return served.stream().filter(r -> r.endedAt() <= from + TimeUnit.SECONDS.toNanos(seconds)).count();
     }
 
     private static Map<String, String> readStatus(Node n) {
-        Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet", WAIT_MS);
+        Response a = AdminClient.call(n.adminAddress(), "GET", "/fleet", REQUEST_TIMEOUT_MS);
         return a.status() == 200 ? a.values() : Map.of();
     }
 
     private static boolean until(BooleanSupplier condition, int pauseMs) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(CONDITION_TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 return false;
@@ -171,7 +178,8 @@
                 }, 2);
                 leads.add((System.nanoTime() - at) / 1e6);
                 String value = "v" + i;
-                until(() -> AdminClient.call(asked.adminAddress(), "PUT", "/fleet/registers/r/any/" + value, 5000).status() == 200, 1);
+                until(() -> AdminClient.call(asked.adminAddress(), "PUT", "/fleet/registers/r/any/" + value, 5000)
+                        .status() == 200, 1);
                 writes.add((System.nanoTime() - at) / 1e6);
                 old[0].start();
                 until(() -> quorumReachable(old[0]), 50);
@@ -197,8 +205,8 @@
                         Thread t = new Thread(() -> {
                             while (System.nanoTime() < end) {
                                 String path = "/fleet/registers/m" + caller + (kind.equals("PUT") ? "/any/x" : "");
-                                done[caller] += AdminClient.call(nodes.get(caller % nodes.size()).adminAddress(), kind, path, 5000)
-                                        .status() == 200 ? 1 : 0;
+                                done[caller] += AdminClient.call(nodes.get(caller % nodes.size()).adminAddress(), kind,
+                                        path, 5000).status() == 200 ? 1 : 0;
                             }
                         });
                         t.start();
@@ -238,29 +246,31 @@
                 voters += i < 5 ? after[i] - before[i] : 0;
                 followers += i < 5 ? 0 : after[i] - before[i];
             }
-            System.out.printf(Locale.ROOT, "processor ms a second, mean of a voter %.1f, of a follower %.1f; resident MB voter %d,"
-                    + " follower %d%n", voters / 5 / seconds, followers / (nodes.size() - 6) / seconds, rss(nodes.get(0)),
-                    rss(nodes.get(10)));
+            System.out.printf(Locale.ROOT, "processor ms a second, mean of a voter %.1f, of a follower %.1f; resident MB"
+                    + " voter %d, follower %d%n", voters / 5 / seconds, followers / (nodes.size() - 6) / seconds,
+                    rss(nodes.get(0)), rss(nodes.get(10)));
             late.start();
             until(() -> !readStatus(late).getOrDefault("incarnation", "0").equals("0"), 1);
-            print("ms until a join is known to all", known(nodes.subList(0, nodes.size() - 1), late, "JOINING", "SERVING"));
+            print("ms until a join is known to all",
+                    millisUntilKnown(nodes.subList(0, nodes.size() - 1), late, "JOINING", "SERVING"));
             until(() -> quorumReachable(late), 20);
             late.terminate();
             late.awaitEnd(10_000);
-            print("ms until an end in order is known to all", known(nodes.subList(0, nodes.size() - 1), late, "GONE"));
+            print("ms until an end in order is known to all", millisUntilKnown(nodes.subList(0, nodes.size() - 1), late, "GONE"));
         }
         return 0;
     }
 
-    private static List<Double> known(List<Node> by, Node who, String... standings) throws InterruptedException {
+    private static List<Double> millisUntilKnown(List<Node> by, Node who, String... standings) throws InterruptedException {
         long from = System.nanoTime();
         List<Double> out = Collections.synchronizedList(new ArrayList<>());
         List<Thread> threads = new ArrayList<>();
         for (Node n : by) {
             Thread t = new Thread(() -> {
                 try {
-                    until(() -> AdminClient.call(n.adminAddress(), "GET", "/fleet", WAIT_MS).rows().stream().anyMatch(m -> m.get("name")
-                            .equals(who.name()) && List.of(standings).contains(m.get("standing"))), 10);
+                    until(() -> AdminClient.call(n.adminAddress(), "GET", "/fleet", REQUEST_TIMEOUT_MS).rows().stream()
+                            .anyMatch(m -> m.get("name").equals(who.name())
+                            && List.of(standings).contains(m.get("standing"))), 10);
                     out.add((System.nanoTime() - from) / 1e6);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
@@ -295,7 +305,8 @@
             List<Double> rss = new ArrayList<>();
             List<Double> cpu = new ArrayList<>();
             for (int i = 0; i < times; i++) {
-                try (Cluster cluster = newCluster(which == 2 ? 4 : which == 1 ? 3 : 1, which == 0 ? 1 : 3, which > 0, new History())) {
+                try (Cluster cluster = newCluster(which == 2 ? 4 : which == 1 ? 3 : 1, which == 0 ? 1 : 3,
+                        which > 0, new History())) {
                     List<Node> nodes = List.copyOf(cluster.nodes().values());
                     for (Node n : nodes.subList(0, nodes.size() - 1)) {
                         n.start();
@@ -326,8 +337,8 @@
         return 0;
     }
 
-    @Command(name = "worth", description = "Requests served and lookup times when the leader is killed, compared with the same kill"
-            + " without a fleet, in pairs.")
+    @Command(name = "worth", description = "Requests served and lookup times when the leader is killed, compared with the same"
+            + " kill without a fleet, in pairs.")
     int worth(@Option(names = "--pairs", defaultValue = "5") int pairs) throws IOException, InterruptedException {
         for (int i = 0; i < pairs; i++) {
             for (boolean fleet : new boolean[] {true, false}) {
@@ -340,17 +351,17 @@
                         until(() -> fleet ? quorumReachable(n) : isUp(n), 20);
                     }
                     List<Client> clients = new ArrayList<>();
-                    List<Thread> asking = new ArrayList<>();
+                    List<Thread> clientThreads = new ArrayList<>();
                     for (Node n : cluster.nodes().values()) {
                         clients.add(new Client(n.name(), n.listenAddress(), clients.size() + 1, 5, history));
-                        asking.add(clients.get(clients.size() - 1).start());
+                        clientThreads.add(clients.get(clients.size() - 1).start());
                     }
                     TimeUnit.SECONDS.sleep(3);
                     Node lost = fleet ? leader(cluster) : cluster.nodes().get("n1");
                     lost.kill();
                     TimeUnit.SECONDS.sleep(7);
                     clients.forEach(Client::stop);
-                    for (Thread t : asking) {
+                    for (Thread t : clientThreads) {
                         t.join();
                     }
                     List<History.Request> all = history.requests().stream().filter(r -> !r.node().equals(lost.name())).toList();
@@ -367,6 +378,6 @@
     }
 
     private static boolean isUp(Node n) {
-        return AdminClient.call(n.adminAddress(), "GET", "/status", WAIT_MS).status() == 200;
+        return AdminClient.call(n.adminAddress(), "GET", "/status", REQUEST_TIMEOUT_MS).status() == 200;
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/Run.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Run.java
@@ -53,8 +53,8 @@
     private final Map<StandInEngine, Long> drainedAt = Collections.synchronizedMap(new LinkedHashMap<>());
     /** All loads that each instance has listed as in doubt. */
     private final Map<String, Set<String>> doubtfulLoads = Collections.synchronizedMap(new LinkedHashMap<>());
-    private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN, Verb.FORGET,
-            Verb.RETURNED);
+    private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN,
+            Verb.FORGET, Verb.RETURNED);
     private final Set<String> replacedFolders = Collections.synchronizedSet(new LinkedHashSet<>());
     private final Set<String> duplicates = Collections.synchronizedSet(new LinkedHashSet<>());
     private final List<Thread> lateThreads = Collections.synchronizedList(new ArrayList<>());
@@ -88,11 +88,12 @@
             List<Client> clients = new ArrayList<>();
             int number = 0;
             for (Node n : cluster.nodes().values()) {
-                clients.add(new Client(n.name(), n.listenAddress(), ++number, cluster.options().cold() ? LOSS_REQUEST_EVERY_MS : REQUEST_EVERY_MS, history));
+                clients.add(new Client(n.name(), n.listenAddress(), ++number,
+                        cluster.options().cold() ? LOSS_REQUEST_EVERY_MS : REQUEST_EVERY_MS, history));
                 int caller = number;
                 threads.add(thread("caller-" + number, () -> useRegisters(cluster, caller)));
             }
-            List<Thread> asking = clients.stream().map(Client::start).toList();
+            List<Thread> clientThreads = clients.stream().map(Client::start).toList();
             playSteps(cluster);
             removeAllFaults(cluster);
             lastStepAt = System.nanoTime(); // samples of a killed process say nothing about its successor
@@ -108,7 +109,7 @@
             TimeUnit.MILLISECONDS.sleep(FINAL_LOAD_MS);
             registerLoadRunning = false;
             clients.forEach(Client::stop);
-            for (Thread t : asking) {
+            for (Thread t : clientThreads) {
                 t.join();
             }
             for (int r = 0; r < REGISTERS && recovered; r++) {
@@ -162,9 +163,10 @@
         long maxApplied = lastSamples.values().stream().mapToLong(StatusSample::applied).max().orElse(0);
         for (Node n : cluster.nodes().values()) {
             StatusSample sample = lastSamples.get(n.name());
-            if (sample == null || sample.at() < lastStepAt || now - sample.at() > TimeUnit.SECONDS.toNanos(2) || !sample.quorumReachable()
-                    || sample.voting() && sample.applied() < Math.max(1, maxApplied - MAX_APPLIED_LAG) || sample.standings().stream().noneMatch(
-                    s -> s.equals(n.name() + ":" + sample.incarnation() + ":SERVING"))) {
+            if (sample == null || sample.at() < lastStepAt || now - sample.at() > TimeUnit.SECONDS.toNanos(2)
+                    || !sample.quorumReachable()
+                    || sample.voting() && sample.applied() < Math.max(1, maxApplied - MAX_APPLIED_LAG)
+                    || sample.standings().stream().noneMatch(s -> s.equals(n.name() + ":" + sample.incarnation() + ":SERVING"))) {
                 return false;
             }
         }
@@ -191,7 +193,8 @@
                 }
                 StatusSample sample = new StatusSample(at, n.name(), v.get("phase"), Long.parseLong(v.get("incarnation")),
                         Boolean.parseBoolean(v.get("voting")), Boolean.parseBoolean(v.get("inTouch")), v.get("leader"),
-                        Long.parseLong(v.get("term")), Long.parseLong(v.get("applied")), Long.parseLong(v.get("version")), standings);
+                        Long.parseLong(v.get("term")), Long.parseLong(v.get("applied")),
+                        Long.parseLong(v.get("version")), standings);
                 history.add(sample);
                 lastSamples.put(n.name(), sample);
             }
@@ -240,8 +243,8 @@
 
     private void write(Node n, String register, String caller, String value, long expected) {
         long from = System.nanoTime();
-        Response a = AdminClient.call(n.adminAddress(), "PUT", "/fleet/registers/" + register + "/" + (expected < 0 ? "any" : expected)
-                + "/" + value, REGISTER_TIMEOUT_MS);
+        Response a = AdminClient.call(n.adminAddress(), "PUT", "/fleet/registers/" + register + "/"
+                + (expected < 0 ? "any" : expected) + "/" + value, REGISTER_TIMEOUT_MS);
         Outcome outcome = a.status() == 200 ? Outcome.DONE : a.status() == 409 ? Outcome.CONFLICT : Outcome.UNKNOWN;
         long version = outcome == Outcome.UNKNOWN ? 0 : Long.parseLong(a.values().get("version"));
         history.add(new Operation(register, caller + "@" + n.name(), from, outcome == Outcome.UNKNOWN ? Long.MAX_VALUE
@@ -252,9 +255,9 @@
     private boolean finalRead(Cluster cluster, String register) throws IOException, InterruptedException {
         for (Node n : cluster.nodes().values()) {
             if (!until(() -> read(n, register, "last", new long[REGISTERS]))) {
-                problems.add(n.name() + " can no longer read " + register + ": " + cluster.nodes().values().stream().map(o -> o.name() + " says "
-                        + AdminClient.call(o.adminAddress(), "GET", "/fleet/registers/" + register, REGISTER_TIMEOUT_MS).summary() + " with status "
-                        + lastSamples.get(o.name())).toList());
+                problems.add(n.name() + " can no longer read " + register + ": " + cluster.nodes().values().stream().map(o ->
+                        o.name() + " returns " + AdminClient.call(o.adminAddress(), "GET", "/fleet/registers/" + register,
+                        REGISTER_TIMEOUT_MS).summary() + " with status " + lastSamples.get(o.name())).toList());
                 dumpThreads(cluster);
                 return false;
             }
@@ -278,7 +281,7 @@
     }
 
     private String leader() {
-        return lastSamples.values().stream().filter(g -> g.voting() && g.leader().equals(g.node())).max(
+        return lastSamples.values().stream().filter(sample -> sample.voting() && sample.leader().equals(sample.node())).max(
                 java.util.Comparator.comparingLong(StatusSample::term)).map(StatusSample::node).orElse("n1");
     }
 
@@ -358,8 +361,8 @@
             })) {
                 problems.add(n.name() + " has not recovered: " + a[0].body().lines().findFirst().orElse("no response"));
             } else if (n.alive()) {
-                doubtfulLoads.computeIfAbsent(n.name(), k -> Collections.synchronizedSet(new LinkedHashSet<>())).addAll(a[0].rows().stream().map(r ->
-                        r.get("txn")).toList());
+                doubtfulLoads.computeIfAbsent(n.name(), k -> Collections.synchronizedSet(new LinkedHashSet<>()))
+                        .addAll(a[0].rows().stream().map(r -> r.get("txn")).toList());
             }
         }
     }
@@ -473,8 +476,10 @@
     /** Every voter whose folder is intact must vote again, which shows that its durable state was kept. */
     private void checkVotersVote(Cluster cluster) throws InterruptedException {
         for (Node n : cluster.nodes().values()) {
-            boolean lost = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS).body().contains("its last vote was lost");
-            if (!untrustedSince.containsKey(n.name()) && !lost && cluster.isVoter(n.name()) && !until(() -> lastSamples.get(n.name()).voting(), VOTE_TIMEOUT_S)) {
+            boolean lost = AdminClient.call(n.adminAddress(), "GET", "/fleet", STATUS_TIMEOUT_MS).body()
+                    .contains("its last vote was lost");
+            if (!untrustedSince.containsKey(n.name()) && !lost && cluster.isVoter(n.name())
+                    && !until(() -> lastSamples.get(n.name()).voting(), VOTE_TIMEOUT_S)) {
                 problems.add(n.name() + " no longer votes although its folder was not changed: its durable state was lost");
             }
         }
@@ -491,25 +496,30 @@
         problems.addAll(Linearizability.problems(history.operations()));
         problems.addAll(Invariants.oneLeaderPerTerm(samples));
         problems.addAll(Invariants.incarnationsEndOnce(samples));
-        problems.addAll(Invariants.incarnationsIncrease(samples.stream().filter(g -> !untrustedSince.containsKey(g.node())).toList()));
+        problems.addAll(Invariants.incarnationsIncrease(
+                samples.stream().filter(sample -> !untrustedSince.containsKey(sample.node())).toList()));
         Map<String, List<String>> kept = new LinkedHashMap<>(folderIdentities);
         kept.keySet().removeAll(replacedFolders);
         problems.addAll(Invariants.folderIdentitiesStable(kept));
         if (cluster.options().recovery()) {
-            problems.addAll(Invariants.doubtfulLoadsListed(history.requests(), history.events(), Set.copyOf(cluster.receivedLoads()), doubtfulLoads, tamperedNodes()));
+            problems.addAll(Invariants.doubtfulLoadsListed(history.requests(), history.events(),
+                    Set.copyOf(cluster.receivedLoads()), doubtfulLoads, tamperedNodes()));
         }
         if (cluster.options().cold()) {
-            history.events().stream().filter(e -> e.kind().equals("fell")).forEach(e -> problems.add(e.subject() + " fell: " + e.text()));
+            history.events().stream().filter(e -> e.kind().equals("fell"))
+                    .forEach(e -> problems.add(e.subject() + " fell: " + e.text()));
             drainedAt.forEach((e, at) -> problems.addAll(Invariants.noQueryAfterDrain(e.id(), at, e.lastQueryAt())));
         }
-        mustNotEnd.forEach((n, life) -> problems.addAll(Invariants.incarnationNotEnded(samples, n, life)));
-        if (!cluster.options().cold()) { // an old folder goes undetected if all start at once: docs/design/fleet.md, "Not covered"
+        mustNotEnd.forEach((n, incarnation) -> problems.addAll(Invariants.incarnationNotEnded(samples, n, incarnation)));
+        // an old folder goes undetected if all start at once: docs/design/fleet.md, "Not covered"
+        if (!cluster.options().cold()) {
             untrustedSince.forEach((n, from) -> problems.addAll(Invariants.neverVotesSince(samples, n, from)));
         }
         duplicates.forEach(n -> problems.addAll(Invariants.duplicateNeverAdmitted(samples, n)));
         problems.addAll(Invariants.everyRequestAnswered(history.requests(), history.events()));
         problems.addAll(Invariants.noDuplicateLoads(cluster.receivedLoads()));
-        history.events().stream().filter(e -> e.kind().equals("unasked")).forEach(e -> problems.add(e.subject() + ": " + e.text()));
+        history.events().stream().filter(e -> e.kind().equals("unasked"))
+                .forEach(e -> problems.add(e.subject() + ": " + e.text()));
         if (history.operations().stream().noneMatch(o -> o.write() && o.outcome() == Outcome.DONE)
                 || history.requests().isEmpty()) {
             problems.add("no write or no request was made, so the run proves nothing");
--- a/faultbench/src/main/java/quincespar/faultbench/check/History.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/History.java
@@ -6,7 +6,7 @@
 
 /** Thread-safe record of the events, register operations, status samples and requests of a run. */
 public final class History {
-    private final long began = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final List<Event> events = new ArrayList<>();
     private final List<Operation> operations = new ArrayList<>();
     private final List<StatusSample> statusSamples = new ArrayList<>();
@@ -16,15 +16,16 @@
      * A register operation by one caller.
      *
      * @param invokedAt when it was invoked
-     * @param respondedAt when the response arrived; {@link Long#MAX_VALUE} if none did, so that it may take effect at any later time
+     * @param respondedAt when the response arrived; {@link Long#MAX_VALUE} if none did, and it may take effect at any later
+     *     time
      * @param write whether it is a write, otherwise a read
      * @param expectedVersion the version that a conditional write requires; negative for an unconditional write
      * @param value the value written or read
      * @param version the version written or read, or the current version that made a write conflict
      * @param outcome whether it took effect, as far as known
      */
-    public record Operation(String register, String caller, long invokedAt, long respondedAt, boolean write, long expectedVersion, String value,
-            long version, Outcome outcome) { }
+    public record Operation(String register, String caller, long invokedAt, long respondedAt, boolean write,
+            long expectedVersion, String value, long version, Outcome outcome) { }
 
     /** Whether an operation took effect. */
     public enum Outcome {
@@ -42,15 +43,15 @@
      * @param applied index of the last log entry that it has applied, if it is a voter
      * @param standings the standing of each known instance, as {@code name:incarnation:STANDING}
      */
-    public record StatusSample(long at, String node, String phase, long incarnation, boolean voting, boolean quorumReachable, String leader,
-            long term, long applied, long version, List<String> standings) { }
+    public record StatusSample(long at, String node, String phase, long incarnation, boolean voting, boolean quorumReachable,
+            String leader, long term, long applied, long version, List<String> standings) { }
 
     /** A client's request; {@code answer} is the kind of its final answer, empty if the connection closed without one. */
     public record Request(String node, String txn, long sentAt, long endedAt, String answer, boolean load) { }
 
     /** Start of the run, as {@link System#nanoTime()}. */
-    public long began() {
-        return began;
+    public long startNanos() {
+        return startNanos;
     }
 
     /** Records an event with the current time. */
@@ -68,9 +69,9 @@
     }
 
     /** Records a status sample. */
-    public void add(StatusSample g) {
+    public void add(StatusSample sample) {
         synchronized (statusSamples) {
-            statusSamples.add(g);
+            statusSamples.add(sample);
         }
     }
 
--- a/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
@@ -16,16 +16,16 @@
     /** Each term has at most one leader. Only an instance that reports itself as the leader counts as evidence. */
     public static List<String> oneLeaderPerTerm(List<StatusSample> samples) {
         Map<Long, String> leaders = new HashMap<>();
-        List<String> out = new ArrayList<>();
-        for (StatusSample g : samples) {
-            if (g.voting() && g.leader().equals(g.node())) {
-                String other = leaders.putIfAbsent(g.term(), g.node());
-                if (other != null && !other.equals(g.node())) {
-                    out.add("term " + g.term() + " is led by " + other + " and by " + g.node());
+        List<String> violations = new ArrayList<>();
+        for (StatusSample sample : samples) {
+            if (sample.voting() && sample.leader().equals(sample.node())) {
+                String other = leaders.putIfAbsent(sample.term(), sample.node());
+                if (other != null && !other.equals(sample.node())) {
+                    violations.add("term " + sample.term() + " is led by " + other + " and by " + sample.node());
                 }
             }
         }
-        return out.stream().distinct().toList();
+        return violations.stream().distinct().toList();
     }
 
     /**
@@ -33,72 +33,76 @@
      * instances are combined, ordered by the version of the fleet state that they report.
      */
     public static List<String> incarnationsEndOnce(List<StatusSample> samples) {
-        Map<String, Long> goneAt = new HashMap<>();
+        Map<String, Long> endedAtVersion = new HashMap<>();
         Map<Long, String> owners = new HashMap<>();
-        List<String> out = new ArrayList<>();
-        for (StatusSample g : samples.stream().sorted(java.util.Comparator.comparingLong(StatusSample::version)).toList()) {
-            for (String s : g.standings()) {
-                String[] w = s.split(":");
-                String life = w[0] + ":" + w[1];
-                String owner = owners.putIfAbsent(Long.parseLong(w[1]), w[0]);
-                if (owner != null && !owner.equals(w[0])) {
-                    out.add("incarnation " + w[1] + " is " + owner + "'s and " + w[0] + "'s");
+        List<String> violations = new ArrayList<>();
+        for (StatusSample sample : samples.stream().sorted(java.util.Comparator.comparingLong(StatusSample::version)).toList()) {
+            for (String s : sample.standings()) {
+                String[] parts = s.split(":");
+                String incarnation = parts[0] + ":" + parts[1];
+                String owner = owners.putIfAbsent(Long.parseLong(parts[1]), parts[0]);
+                if (owner != null && !owner.equals(parts[0])) {
+                    violations.add("incarnation " + parts[1] + " is " + owner + "'s and " + parts[0] + "'s");
                 }
-                if (w[2].equals("GONE")) {
-                    goneAt.putIfAbsent(life, g.version());
-                } else if (goneAt.getOrDefault(life, Long.MAX_VALUE) < g.version()) {
-                    out.add(life + " was over at version " + goneAt.get(life) + " and is " + w[2] + " at " + g.version());
+                if (parts[2].equals("GONE")) {
+                    endedAtVersion.putIfAbsent(incarnation, sample.version());
+                } else if (endedAtVersion.getOrDefault(incarnation, Long.MAX_VALUE) < sample.version()) {
+                    violations.add(incarnation + " was over at version " + endedAtVersion.get(incarnation)
+                            + " and is " + parts[2] + " at " + sample.version());
                 }
             }
         }
-        return out.stream().distinct().toList();
+        return violations.stream().distinct().toList();
     }
 
     /** No instance reports that this incarnation has ended. */
     public static List<String> incarnationNotEnded(List<StatusSample> samples, String node, long incarnation) {
         String over = node + ":" + incarnation + ":GONE";
-        return samples.stream().filter(g -> g.standings().contains(over)).map(g -> node + "'s incarnation " + incarnation
-                + " was ended by the fleet").distinct().toList();
+        return samples.stream().filter(sample -> sample.standings().contains(over))
+                .map(sample -> node + "'s incarnation " + incarnation + " was ended by the fleet").distinct().toList();
     }
 
     /** An instance's incarnation number never decreases: the number stored in its folder survives a kill. */
     public static List<String> incarnationsIncrease(List<StatusSample> samples) {
         Map<String, Long> highest = new HashMap<>();
-        List<String> out = new ArrayList<>();
-        for (StatusSample g : samples) {
-            if (g.incarnation() > 0 && g.incarnation() < highest.getOrDefault(g.node(), 0L)) {
-                out.add(g.node() + " was incarnation " + highest.get(g.node()) + " and then " + g.incarnation());
+        List<String> violations = new ArrayList<>();
+        for (StatusSample sample : samples) {
+            if (sample.incarnation() > 0 && sample.incarnation() < highest.getOrDefault(sample.node(), 0L)) {
+                violations.add(sample.node() + " was incarnation " + highest.get(sample.node()) + " and then "
+                        + sample.incarnation());
             }
-            highest.merge(g.node(), g.incarnation(), Math::max);
+            highest.merge(sample.node(), sample.incarnation(), Math::max);
         }
-        return out;
+        return violations;
     }
 
     /** An instance whose folder was replaced or rolled back never votes from then on, however often it is restarted. */
     public static List<String> neverVotesSince(List<StatusSample> samples, String node, long from) {
-        return samples.stream().filter(g -> g.node().equals(node) && g.at() >= from && g.voting())
-                .map(g -> node + " votes on a folder that is older than the fleet, in term " + g.term()).distinct().toList();
+        return samples.stream().filter(sample -> sample.node().equals(node) && sample.at() >= from && sample.voting())
+                .map(sample -> node + " votes on a folder that is older than the fleet, in term " + sample.term())
+                .distinct().toList();
     }
 
     /** A second process of the same name gets no incarnation and does not vote. It must have been sampled at least once. */
     public static List<String> duplicateNeverAdmitted(List<StatusSample> samples, String second) {
-        List<StatusSample> all = samples.stream().filter(g -> g.node().equals(second)).toList();
+        List<StatusSample> all = samples.stream().filter(sample -> sample.node().equals(second)).toList();
         if (all.isEmpty()) {
             return List.of(second + " was never sampled, so the run proves nothing");
         }
-        return all.stream().filter(g -> g.incarnation() > 0 || g.voting()).map(g -> second + " has incarnation "
-                + g.incarnation() + (g.voting() ? " and votes" : "")).distinct().toList();
+        return all.stream().filter(sample -> sample.incarnation() > 0 || sample.voting())
+                .map(sample -> second + " has incarnation " + sample.incarnation() + (sample.voting() ? " and votes" : ""))
+                .distinct().toList();
     }
 
     /** A voter keeps the identity of its state folder across kills. */
     public static List<String> folderIdentitiesStable(Map<String, List<String>> identities) {
-        List<String> out = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         identities.forEach((node, all) -> {
             if (new HashSet<>(all).size() > 1) {
-                out.add(node + "'s folder was " + String.join(", then ", all) + ": its durable state was lost");
+                violations.add(node + "'s folder was " + String.join(", then ", all) + ": its durable state was lost");
             }
         });
-        return out;
+        return violations;
     }
 
     /** Longest time between the record of a signal, which is made before sending it, and its effect, in nanoseconds. */
@@ -116,7 +120,7 @@
      * process after SIGTERM.
      */
     public static List<String> everyRequestAnswered(List<Request> requests, List<Event> events) {
-        List<String> out = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (Request r : requests) {
             boolean excused = false;
             long stoppedAt = Long.MAX_VALUE;
@@ -124,7 +128,8 @@
             for (Event e : events.stream().filter(x -> x.subject().equals(r.node())).toList()) {
                 stoppedAt = e.kind().equals("stopped") ? e.at() : stoppedAt;
                 killedAt = e.kind().equals("killed") ? e.at() : killedAt;
-                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt() // on a busy machine a kill takes longer
+                // on a busy machine a kill takes longer, so its recorded end counts too
+                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt()
                         || e.kind().equals("killed") && e.at() + SIGNAL_NANOS >= r.sentAt() && e.at() <= r.endedAt()
                         || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + SHUTDOWN_ACCEPT_NANOS <= r.sentAt()
                         : e.at() <= r.endedAt() && r.endedAt() - r.sentAt() <= UPGRADE_CROSSING_NANOS)
@@ -132,21 +137,22 @@
                 stoppedAt = e.kind().equals("continued") ? Long.MAX_VALUE : stoppedAt;
             }
             if (r.answer().isEmpty() && !excused && stoppedAt > r.endedAt()) {
-                out.add(r.node() + " left request " + r.txn() + " without an answer");
+                violations.add(r.node() + " left request " + r.txn() + " without an answer");
             }
         }
-        return out;
+        return violations;
     }
 
     /**
      * An instance lists each load as in doubt that reached an engine and got no answer because the instance was killed.
      * Instances in {@code tampered}, whose folders were changed by the schedule, are exempt.
      */
-    public static List<String> doubtfulLoadsListed(List<Request> requests, List<Event> events, Set<String> reached, Map<String, Set<String>> listed,
-            Set<String> tampered) {
-        return requests.stream().filter(r -> r.load() && r.answer().isEmpty() && reached.contains(r.txn()) && !tampered.contains(r.node()))
-                .filter(r -> events.stream().anyMatch(e -> e.subject().equals(r.node()) && e.kind().equals("killed") && e.at() >= r.sentAt()
-                        && e.at() <= r.endedAt()))
+    public static List<String> doubtfulLoadsListed(List<Request> requests, List<Event> events, Set<String> reached,
+            Map<String, Set<String>> listed, Set<String> tampered) {
+        return requests.stream()
+                .filter(r -> r.load() && r.answer().isEmpty() && reached.contains(r.txn()) && !tampered.contains(r.node()))
+                .filter(r -> events.stream().anyMatch(e -> e.subject().equals(r.node()) && e.kind().equals("killed")
+                        && e.at() >= r.sentAt() && e.at() <= r.endedAt()))
                 .filter(r -> !listed.getOrDefault(r.node(), Set.of()).contains(r.txn()))
                 .map(r -> "load " + r.txn() + " of " + r.node() + " may have run but is not listed as in doubt").toList();
     }
@@ -156,8 +162,8 @@
 
     /** A draining engine gets no new queries, even if front ends restart or receive an outdated engine list. */
     public static List<String> noQueryAfterDrain(String engine, long drainedAt, long lastAt) {
-        return lastAt <= drainedAt + DRAIN_NOTICE_NANOS ? List.of() : List.of(engine + " was sent a query " + (lastAt - drainedAt) / 1_000_000
-                + " ms after it began to drain");
+        return lastAt <= drainedAt + DRAIN_NOTICE_NANOS ? List.of() : List.of(engine + " was sent a query "
+                + (lastAt - drainedAt) / 1_000_000 + " ms after it began to drain");
     }
 
     /** Each load reaches an engine at most once; {@code sent} has one entry for each arrival. */
--- a/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Linearizability.java
@@ -46,10 +46,10 @@
 
     /** Returns one line for each register whose history is not linearizable or could not be decided. */
     public static List<String> problems(List<Operation> operations) {
-        Map<String, List<Operation>> by = new HashMap<>();
-        operations.forEach(o -> by.computeIfAbsent(o.register(), r -> new ArrayList<>()).add(o));
+        Map<String, List<Operation>> byRegister = new HashMap<>();
+        operations.forEach(o -> byRegister.computeIfAbsent(o.register(), r -> new ArrayList<>()).add(o));
         List<String> out = new ArrayList<>();
-        by.forEach((register, some) -> {
+        byRegister.forEach((register, some) -> {
             String wrong = new Linearizability(some.stream().filter(o -> o.write() || o.outcome() == Outcome.DONE).toList())
                     .check();
             if (wrong != null) {
@@ -61,8 +61,8 @@
 
     private String check() {
         try {
-            return search(new BitSet(), new State(0, "")) ? null : "no valid order; the furthest search stopped at " + (furthestOperation < 0
-                    ? "the first operation" : operations.get(furthestOperation));
+            return search(new BitSet(), new State(0, "")) ? null : "no valid order; the furthest search stopped at "
+                    + (furthestOperation < 0 ? "the first operation" : operations.get(furthestOperation));
         } catch (IllegalStateException e) {
             return e.getMessage();
         }
@@ -70,35 +70,35 @@
 
     /** Depth-first search with an explicit stack, because histories are too long for recursion. */
     private boolean search(BitSet start, State first) {
-        List<BitSet> done = new ArrayList<>(List.of(start));
-        List<State> states = new ArrayList<>(List.of(first));
-        while (!done.isEmpty()) {
-            BitSet d = done.remove(done.size() - 1);
-            State s = states.remove(states.size() - 1);
-            if (!visited.add(new Explored(d, s))) {
+        List<BitSet> doneStack = new ArrayList<>(List.of(start));
+        List<State> stateStack = new ArrayList<>(List.of(first));
+        while (!doneStack.isEmpty()) {
+            BitSet done = doneStack.remove(doneStack.size() - 1);
+            State state = stateStack.remove(stateStack.size() - 1);
+            if (!visited.add(new Explored(done, state))) {
                 continue;
             }
             if (++explored > MAX_STATES) {
                 throw new IllegalStateException("not decided after " + MAX_STATES + " states");
             }
-            if (complete(d)) {
+            if (isComplete(done)) {
                 return true;
             }
-            for (int more = applyReads(d, s); more > 0; more = applyReads(d, s)) {
-                furthestOperation = Math.max(furthestOperation, d.length() - 1);
+            for (int more = markNeutralOperations(done, state); more > 0; more = markNeutralOperations(done, state)) {
+                furthestOperation = Math.max(furthestOperation, done.length() - 1);
             }
-            if (complete(d)) {
+            if (isComplete(done)) {
                 return true;
             }
-            long bound = earliestResponse(d);
+            long bound = earliestResponse(done);
             for (int i = operations.size() - 1; i >= 0; i--) {
                 Operation o = operations.get(i);
-                State next = !d.get(i) && o.invokedAt() <= bound ? apply(s, o) : null;
-                if (next != null && next != s && isPossible(o, next)) {
-                    BitSet more = (BitSet) d.clone();
-                    more.set(i);
-                    done.add(more);
-                    states.add(next);
+                State next = !done.get(i) && o.invokedAt() <= bound ? apply(state, o) : null;
+                if (next != null && next != state && isPossible(o, next)) {
+                    BitSet nextDone = (BitSet) done.clone();
+                    nextDone.set(i);
+                    doneStack.add(nextDone);
+                    stateStack.add(next);
                     furthestOperation = Math.max(furthestOperation, i);
                 }
             }
@@ -110,16 +110,16 @@
      * Marks as done every pending operation that is possible now and leaves the state unchanged: applying it at once rules out
      * no order. Returns how many were marked.
      */
-    private int applyReads(BitSet d, State s) {
-        long bound = earliestResponse(d);
-        int out = 0;
-        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
-            if (operations.get(i).invokedAt() <= bound && apply(s, operations.get(i)) == s) {
-                d.set(i);
-                out++;
+    private int markNeutralOperations(BitSet done, State state) {
+        long bound = earliestResponse(done);
+        int marked = 0;
+        for (int i = done.nextClearBit(0); i < operations.size(); i = done.nextClearBit(i + 1)) {
+            if (operations.get(i).invokedAt() <= bound && apply(state, operations.get(i)) == state) {
+                done.set(i);
+                marked++;
             }
         }
-        return out;
+        return marked;
     }
 
     /**
@@ -132,8 +132,8 @@
     }
 
     /** Whether all operations are done, apart from those with an unknown outcome, which need not take effect. */
-    private boolean complete(BitSet d) {
-        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
+    private boolean isComplete(BitSet done) {
+        for (int i = done.nextClearBit(0); i < operations.size(); i = done.nextClearBit(i + 1)) {
             if (operations.get(i).outcome() != Outcome.UNKNOWN) {
                 return false;
             }
@@ -142,24 +142,24 @@
     }
 
     /** Earliest response among the pending operations; an operation invoked later can't be the next one. */
-    private long earliestResponse(BitSet d) {
+    private long earliestResponse(BitSet done) {
         long least = Long.MAX_VALUE;
-        for (int i = d.nextClearBit(0); i < operations.size(); i = d.nextClearBit(i + 1)) {
+        for (int i = done.nextClearBit(0); i < operations.size(); i = done.nextClearBit(i + 1)) {
             least = Math.min(least, operations.get(i).respondedAt());
         }
         return least;
     }
 
     /** The state after an operation, or null if its response is impossible in the given state. */
-    private static State apply(State s, Operation o) {
+    private static State apply(State state, Operation o) {
         if (!o.write()) {
-            return o.version() == s.version() && o.value().equals(s.value()) ? s : null;
+            return o.version() == state.version() && o.value().equals(state.value()) ? state : null;
         }
-        boolean fits = o.expectedVersion() < 0 || o.expectedVersion() == s.version();
+        boolean fits = o.expectedVersion() < 0 || o.expectedVersion() == state.version();
         return switch (o.outcome()) {
-            case DONE -> fits && o.version() == s.version() + 1 ? new State(s.version() + 1, o.value()) : null;
-            case CONFLICT -> !fits && o.version() == s.version() ? s : null;
-            case UNKNOWN -> fits ? new State(s.version() + 1, o.value()) : null; // a conflicting write has no effect, as if never invoked
+            case DONE -> fits && o.version() == state.version() + 1 ? new State(state.version() + 1, o.value()) : null;
+            case CONFLICT -> !fits && o.version() == state.version() ? state : null;
+            case UNKNOWN -> fits ? new State(state.version() + 1, o.value()) : null; // otherwise it had no effect
         };
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/report/ReportPage.java
+++ b/faultbench/src/main/java/quincespar/faultbench/report/ReportPage.java
@@ -29,8 +29,8 @@
 
     /** Returns the HTML of a run. */
     public static String of(History h, List<String> problems, Schedule s) {
-        long last = h.statusSamples().stream().mapToLong(StatusSample::at).max().orElse(h.began());
-        return new ReportPage(h.began(), last).draw(h, problems, s);
+        long last = h.statusSamples().stream().mapToLong(StatusSample::at).max().orElse(h.startNanos());
+        return new ReportPage(h.startNanos(), last).draw(h, problems, s);
     }
 
     private static String escaped(String text) {
@@ -81,7 +81,8 @@
             if (previous != null) {
                 boolean leads = previous.voting() && previous.leader().equals(node);
                 out.append("<g opacity='").append(leads ? 1 : 0.35).append("'>");
-                rect(previous.at(), sample.at(), y, LANE - 6.0, previous.quorumReachable() ? TERMS[(int) (previous.term() % TERMS.length)] : "#bbb",
+                rect(previous.at(), sample.at(), y, LANE - 6.0,
+                        previous.quorumReachable() ? TERMS[(int) (previous.term() % TERMS.length)] : "#bbb",
                         node + " term " + previous.term() + " version " + previous.version() + " " + previous.phase());
                 out.append("</g>");
             }
@@ -140,15 +141,15 @@
                 bad[at]++;
             }
         }
-        int most = 1;
+        int maxAnswers = 1;
         for (int i = 0; i < buckets; i++) {
-            most = Math.max(most, good[i] + bad[i]);
+            maxAnswers = Math.max(maxAnswers, good[i] + bad[i]);
         }
         for (int i = 0; i < buckets; i++) {
             long a = from + (to - from) * i / buckets;
             long b = from + (to - from) * (i + 1) / buckets;
-            double up = (double) CHART * good[i] / most;
-            double rest = (double) CHART * bad[i] / most;
+            double up = (double) CHART * good[i] / maxAnswers;
+            double rest = (double) CHART * bad[i] / maxAnswers;
             rect(a, b, y + CHART - up, up, "#4e79a7", good[i] + " served");
             rect(a, b, y + CHART - up - rest, rest, "#f28e2b", bad[i] + " refused, failed or unanswered");
         }
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/PowerLossSchedules.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/PowerLossSchedules.java
@@ -65,7 +65,8 @@
         }
         int spread = random.nextInt(3) == 0 ? 0 : random.nextInt(5000);
         for (int i = 1; i <= instances; i++) {
-            out.add(new Step(Math.min(LAST_START_MS, at + 300 + (spread == 0 ? 0 : random.nextInt(spread))), Verb.START, "n" + i, 0));
+            out.add(new Step(Math.min(LAST_START_MS, at + 300 + (spread == 0 ? 0 : random.nextInt(spread))),
+                    Verb.START, "n" + i, 0));
         }
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
@@ -24,7 +24,8 @@
     public record Step(int atMillis, Verb verb, String target, int amount) {
         @Override
         public String toString() {
-            return atMillis + " " + verb.name().toLowerCase(java.util.Locale.ROOT) + " " + target + (amount == 0 ? "" : " " + amount);
+            return atMillis + " " + verb.name().toLowerCase(java.util.Locale.ROOT) + " " + target
+                    + (amount == 0 ? "" : " " + amount);
         }
     }
 
@@ -167,7 +168,8 @@
                 case 6 -> addLinkFault(out, at, end, Verb.HOLDBACK, link, 0);
                 case 7 -> addLinkFault(out, at, end, Verb.CUT, link, 0);
                 case 8 -> addLinkFault(out, at, end, Verb.STALL, link, 0);
-                case 9 -> addLinkFault(out, at, end, random.nextBoolean() ? Verb.SLOW : Verb.JITTER, link, 20 + random.nextInt(400));
+                case 9 -> addLinkFault(out, at, end, random.nextBoolean() ? Verb.SLOW : Verb.JITTER, link,
+                        20 + random.nextInt(400));
                 case 10 -> addLinkFault(out, at, end, Verb.THROTTLE, link, 500 + random.nextInt(20_000));
                 case 11 -> out.add(new Step(at, Verb.FLIP, link, 0));
                 case 12 -> {
--- a/faultbench/src/main/java/quincespar/faultbench/world/Client.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Client.java
@@ -75,7 +75,8 @@
                 String txn = String.format("%08x%08x", number, ++asked);
                 open.put(call, new OpenRequest(txn, System.nanoTime(), load));
                 s.getOutputStream().write(FrontCodec.call(call, Map.of("verb", load ? "load" : "lookup", "txn", txn, "limit",
-                        Integer.toString(REQUEST_LIMIT_MS), "team", "acme", "cpu", Integer.toString(Cluster.WORK_MS), "heap_mb", "1"), STATEMENT));
+                        Integer.toString(REQUEST_LIMIT_MS), "team", "acme", "cpu", Integer.toString(Cluster.WORK_MS), "heap_mb",
+                        "1"), STATEMENT));
                 Thread.sleep(everyMs);
             }
             while (!open.isEmpty() && reader.isAlive()) {
--- a/faultbench/src/main/java/quincespar/faultbench/world/Cluster.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Cluster.java
@@ -77,7 +77,8 @@
     private void createNodes(Options options, ClassLoader program) throws IOException {
         for (int i = 0; i < options.instances(); i++) {
             String name = "n" + (i + 1);
-            Node n = new Node(name, options.folder().resolve(name), options.jar(), options.plant(), addressPrefix + (i + 1), history);
+            Node n = new Node(name, options.folder().resolve(name), options.jar(), options.plant(),
+                    addressPrefix + (i + 1), history);
             n.write(configuration(name, i, options.instances(), n), conf(name, n));
             if (options.fleet() && voterAddresses.containsKey(name)) {
                 n.initFolder(program);
@@ -100,9 +101,11 @@
              "projects":[{"name":"acme","quotaPerS":5000,"share":1}],"requestClasses":[
              {"name":"lookup","slo":1000,"hardLimit":3000,"effect":"safe","points":1},
              {"name":"load","slo":2000,"hardLimit":3000,"effect":"unsafe","points":1}]}}
-            """.formatted(name, address(n.listenAddress()), address(n.adminAddress()), number + 1, changeLog.port(), members, all, number, options.cold() ? ("\"rules\":{\"cold\":%d,"
-                + "\"coldShare\":%s,\"fall\":%d,\"fallMultiple\":%s},\"extra\":{\"sizeCores\":[%d.0],\"writesTables\":[false,true]},").formatted(
-                COLD_MS, COLD_SHARE, FALL_MS, FALL_MULTIPLE, CORES) : "");
+            """.formatted(name, address(n.listenAddress()), address(n.adminAddress()), number + 1, changeLog.port(),
+                members, all, number, options.cold() ? (
+                "\"rules\":{\"cold\":%d,\"coldShare\":%s,\"fall\":%d,\"fallMultiple\":%s},"
+                + "\"extra\":{\"sizeCores\":[%d.0],\"writesTables\":[false,true]},").formatted(COLD_MS, COLD_SHARE,
+                FALL_MS, FALL_MULTIPLE, CORES) : "");
     }
 
     private static String member(StandInEngine e, String phase) {
--- a/faultbench/src/main/java/quincespar/faultbench/world/Node.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Node.java
@@ -142,7 +142,7 @@
         return b.redirectErrorStream(true).redirectOutput(folder.resolve("log-" + ++starts).toFile()).start();
     }
 
-    /** Initializes its folder as a voter's with the program's command line, as an operator does before the first start of a fleet. */
+    /** Initializes its folder as a voter's through the program's command line, as before the first start of a fleet. */
     void initFolder(ClassLoader program) throws IOException {
         int code;
         try {
@@ -242,11 +242,11 @@
         }
     }
 
-    /** Flips one bit in the middle of the facts (0), mark (1), consensus log (2) or load list (3) file; throws if it does not exist. */
+    /** Flips a bit in the middle of the facts (0), mark (1), consensus log (2) or load list (3) file; throws if there is none. */
     public void flipBit(int which) throws IOException {
         try (Stream<Path> all = Files.walk(stateFolder())) {
-            Path p = all.filter(f -> f.getFileName().toString().startsWith(STATE_FILE_PREFIXES.get(which))).findFirst().orElseThrow(
-                    () -> new IOException(name + " has no " + STATE_FILE_PREFIXES.get(which)));
+            Path p = all.filter(f -> f.getFileName().toString().startsWith(STATE_FILE_PREFIXES.get(which))).findFirst()
+                    .orElseThrow(() -> new IOException(name + " has no " + STATE_FILE_PREFIXES.get(which)));
             byte[] bytes = Files.readAllBytes(p);
             int end = bytes.length;
             while (end > 0 && bytes[end - 1] == 0) { // preallocated space
--- a/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
@@ -34,14 +34,16 @@
     private static final String CLOCK = "frontend/src/main/java/quincespar/program/runtime/Clock.java";
 
     static { // not a guard: moves the clock one hour ahead while a file exists
-        GUARDS.put("clock", List.of(new Edit(CLOCK, "return offset + System.nanoTime() / 1e6;", "return offset + System.nanoTime()"
-                + " / 1e6 + (new java.io.File(System.getenv(\"TMPDIR\"), \"" + Node.CLOCK_AHEAD_FILE + "\").exists() ? 3_600_000 : 0);")));
+        GUARDS.put("clock", List.of(new Edit(CLOCK, "return offset + System.nanoTime() / 1e6;",
+                "return offset + System.nanoTime() / 1e6 + (new java.io.File(System.getenv(\"TMPDIR\"), \""
+                + Node.CLOCK_AHEAD_FILE + "\").exists() ? 3_600_000 : 0);")));
     }
 
     static { // not a guard: makes state file writes slow or fail while a file exists
         GUARDS.put("disk", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "java.io.File now = new java.io.File(System.getenv(\"TMPDIR\"));\n"
-                + "if (new java.io.File(now, \"" + Node.DISK_READ_ONLY_FILE + "\").exists()) { throw new IOException(\"Read-only file system\"); }\n"
+                + "if (new java.io.File(now, \"" + Node.DISK_READ_ONLY_FILE + "\").exists()) {"
+                + " throw new IOException(\"Read-only file system\"); }\n"
                 + "if (new java.io.File(now, \"" + Node.DISK_SLOW_FILE + "\").exists()) {\n"
                 + "try { Thread.sleep(5000); } catch (InterruptedException e) { Thread.currentThread().interrupt(); } }\n"
                 + "Path next = folder.resolve(name + NEXT);")));
@@ -58,8 +60,8 @@
     public static Path compileWithout(String guard, Path root, Path jar, Path folder) throws IOException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null || !GUARDS.containsKey(guard)) {
-            throw new IOException(compiler == null ? "a JDK is required to compile a mutation" : "unknown guard '" + guard + "'; known guards: "
-                    + guards());
+            throw new IOException(compiler == null ? "a JDK is required to compile a mutation"
+                    : "unknown guard '" + guard + "'; known guards: " + guards());
         }
         Path to = Files.createDirectories(folder.resolve("plant-" + guard));
         for (Edit e : GUARDS.get(guard)) {
--- a/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
@@ -45,7 +45,7 @@
     private final int port;
     private volatile ServerSocket server = Sockets.listen();
     private volatile long powerBackAt = Long.MIN_VALUE;
-    private volatile boolean fallen;
+    private volatile boolean failed;
     private volatile boolean powered = true;
     private final ScheduledExecutorService delayed = Executors.newScheduledThreadPool(1, r -> {
         Thread t = new Thread(r, "engine-later");
@@ -83,7 +83,7 @@
 
     /** Cuts its power, which closes all connections, or restores it, after which it is cold. */
     public synchronized void setPowered(boolean on) throws IOException {
-        if (on == powered || fallen) {
+        if (on == powered || failed) {
             return;
         }
         powered = on;
@@ -117,11 +117,11 @@
         while (recent.peek() < now - TimeUnit.MILLISECONDS.toNanos(cold.windowMs())) {
             recent.poll();
         }
-        if (recent.size() > cold.maxQueries() && !fallen) {
-            fallen = true;
+        if (recent.size() > cold.maxQueries() && !failed) {
+            failed = true;
             history.add(id(), "fell", recent.size() + " queries within " + cold.windowMs() + " ms");
         }
-        return !fallen;
+        return !failed;
     }
 
     /** Ids of all loads received, with repetitions. */
--- a/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
@@ -9,18 +9,19 @@
 import quincespar.faultbench.check.History.StatusSample;
 
 class InvariantsTest {
-    private static StatusSample sample(long at, String node, long incarnation, boolean voting, String leader, long term, long version,
-            String... standings) {
+    private static StatusSample sample(long at, String node, long incarnation, boolean voting, String leader, long term,
+            long version, String... standings) {
         return new StatusSample(at, node, "IN_TOUCH", incarnation, voting, true, leader, term, 0, version, List.of(standings));
     }
 
     @Test
     void eachInvariantReportsExactlyItsViolations() {
         StatusSample a = sample(1, "a", 1, true, "a", 7, 3, "a:1:SERVING", "b:2:GONE");
-        assertThat(Invariants.oneLeaderPerTerm(List.of(a, sample(2, "b", 2, true, "a", 7, 3), sample(3, "b", 2, true, "b", 8, 3))))
-                .isEmpty();
+        assertThat(Invariants.oneLeaderPerTerm(List.of(a, sample(2, "b", 2, true, "a", 7, 3),
+                sample(3, "b", 2, true, "b", 8, 3)))).isEmpty();
         assertThat(Invariants.oneLeaderPerTerm(List.of(a, sample(2, "b", 2, true, "b", 7, 3)))).hasSize(1);
-        assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(9, "b", 2, true, "a", 7, 2, "b:2:SERVING")))).isEmpty(); // an older version, sampled late
+        assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(9, "b", 2, true, "a", 7, 2, "b:2:SERVING"))))
+                .isEmpty(); // an older version, sampled late
         assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(2, "b", 2, true, "a", 7, 4, "b:2:SERVING")))).hasSize(1);
         assertThat(Invariants.incarnationsEndOnce(List.of(a, sample(2, "b", 2, true, "a", 7, 4, "c:1:SERVING")))).hasSize(1);
         assertThat(Invariants.incarnationsIncrease(List.of(a, sample(2, "a", 4, true, "a", 7, 3)))).isEmpty();
@@ -41,10 +42,15 @@
     void missingAnswerIsExcusedOnlyByFaultsOfItsOwnProcess() {
         Request none = new Request("a", "t", 1_000_000_000, 2_000_000_000, "", false);
         assertThat(Invariants.everyRequestAnswered(List.of(none), List.of())).hasSize(1);
-        assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(1_500_000_000, "b", "killed", "")))).hasSize(1);
-        assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(2_500_000_000L, "a", "killed", "")))).hasSize(1);
-        assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(1_500_000_000, "a", "killed", "")))).isEmpty();
-        assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(500_000_000, "a", "told to stop", "")))).isEmpty();
-        assertThat(Invariants.everyRequestAnswered(List.of(none), List.of(new Event(900_000_000, "a", "told to stop", "")))).hasSize(1);
+        assertThat(Invariants.everyRequestAnswered(List.of(none),
+                List.of(new Event(1_500_000_000, "b", "killed", "")))).hasSize(1);
+        assertThat(Invariants.everyRequestAnswered(List.of(none),
+                List.of(new Event(2_500_000_000L, "a", "killed", "")))).hasSize(1);
+        assertThat(Invariants.everyRequestAnswered(List.of(none),
+                List.of(new Event(1_500_000_000, "a", "killed", "")))).isEmpty();
+        assertThat(Invariants.everyRequestAnswered(List.of(none),
+                List.of(new Event(500_000_000, "a", "told to stop", "")))).isEmpty();
+        assertThat(Invariants.everyRequestAnswered(List.of(none),
+                List.of(new Event(900_000_000, "a", "told to stop", "")))).hasSize(1);
     }
 }
--- a/faultbench/src/test/java/quincespar/faultbench/check/LinearizabilityTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/check/LinearizabilityTest.java
@@ -30,16 +30,20 @@
         assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), write(0, 9, 0, "b", 1, Outcome.CONFLICT))).isTrue();
         assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0), read(7, 8, "a", 1)))
                 .isTrue(); // takes effect late
-        assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0))).isTrue(); // never takes effect
+        assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(5, 6, "", 0)))
+                .isTrue(); // never takes effect
     }
 
     @Test
     void nonLinearizableHistoriesAreFound() {
         assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), read(2, 3, "", 0))).isFalse(); // stale read
-        assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), write(2, 3, -1, "b", 1, Outcome.DONE))).isFalse(); // lost update
+        assertThat(isLinearizable(write(0, 1, -1, "a", 1, Outcome.DONE), write(2, 3, -1, "b", 1, Outcome.DONE)))
+                .isFalse(); // lost update
         assertThat(isLinearizable(read(0, 1, "a", 1), write(2, 3, -1, "a", 1, Outcome.DONE))).isFalse(); // read from the future
-        assertThat(isLinearizable(write(0, 1, 0, "a", 1, Outcome.DONE), write(0, 1, 0, "b", 1, Outcome.DONE))).isFalse(); // two first writers
-        assertThat(isLinearizable(write(0, 5, -1, "a", 1, Outcome.DONE), read(1, 2, "a", 1), read(3, 4, "", 0))).isFalse(); // read goes back in time
+        assertThat(isLinearizable(write(0, 1, 0, "a", 1, Outcome.DONE), write(0, 1, 0, "b", 1, Outcome.DONE)))
+                .isFalse(); // two first writers
+        assertThat(isLinearizable(write(0, 5, -1, "a", 1, Outcome.DONE), read(1, 2, "a", 1), read(3, 4, "", 0)))
+                .isFalse(); // read goes back in time
         assertThat(isLinearizable(write(0, Long.MAX_VALUE, -1, "a", 0, Outcome.UNKNOWN), read(1, 2, "a", 1), read(3, 4, "", 0)))
                 .isFalse();
     }
