--- a/laboratory/src/main/java/quincespar/laboratory/VirtualEngine.java
+++ b/laboratory/src/main/java/quincespar/laboratory/VirtualEngine.java
@@ -6,95 +6,106 @@
 import java.util.Map;
 
 /**
- * An engine as the rules of cold engines have it: some cores that take what comes in order, fewer of them for a while after its power is back,
- * and an end for good where it is sent more than it bears then. Times in milliseconds, work in milliseconds of a core.
+ * Model of an engine that follows the platform's rules of cold engines: its cores serve requests in order of arrival, only a
+ * share of them is available for a while after a start, and the engine fails permanently when it is sent more work than it
+ * tolerates during that time. Times in milliseconds, work in milliseconds of one core.
  */
 final class VirtualEngine {
     /**
-     * What is the same for all engines.
+     * Properties shared by all engines.
      *
-     * @param coldMs how long after a start it is cold
-     * @param coldShare what part of its cores it has at first; it grows evenly
-     * @param fallMs within any span of that length
-     * @param fallMultiple it bears so many times what it can do
-     * @param meanWork of a request: the bound is N + 3 x root of N + 3 of those, N being what is allowed, as the platform has it
+     * @param coldMs           how long an engine is cold after a start
+     * @param initialColdShare share of its cores available right after the start; grows linearly to 1 over {@code coldMs}
+     * @param overloadWindowMs length of the sliding window over which the work sent to a cold engine is summed
+     * @param overloadFactor   a cold engine tolerates this multiple of what it can serve in the window
+     * @param meanWorkMs       mean work of a request. With N the tolerated work in units of it, the engine fails above
+     *                         N + 3 sqrt(N) + 3, the platform's bound
      */
-    record Kind(int cores, double coldMs, double coldShare, double fallMs, double fallMultiple, double meanWork) { }
+    record Profile(int cores, double coldMs, double initialColdShare, double overloadWindowMs, double overloadFactor,
+            double meanWorkMs) { }
 
-    private record Job(Object key, double work, Runnable done) { }
+    private record Job(Object key, double workMs, Runnable onDone) { }
+
+    private record Submission(double atMs, double workMs) { }
 
     private final VirtualTime time;
-    private final Kind kind;
-    private final Deque<double[]> recent = new ArrayDeque<>();
+    private final Profile profile;
+    private final Deque<Submission> recentSubmissions = new ArrayDeque<>();
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final Map<Object, Job> running = new HashMap<>();
     private boolean powered;
-    private boolean fallen;
-    private double backAt;
+    private boolean failed;
+    private double poweredOnAt;
 
-    VirtualEngine(VirtualTime time, Kind kind) {
+    VirtualEngine(VirtualTime time, Profile profile) {
         this.time = time;
-        this.kind = kind;
+        this.profile = profile;
     }
 
-    /** Its power is back: it is cold. */
-    void back() {
+    /** Restores power; the engine is cold from now on. */
+    void powerOn() {
         powered = true;
-        backAt = time.now();
+        poweredOnAt = time.now();
     }
 
-    /** Whether it takes connections. */
-    boolean stands() {
-        return powered && !fallen;
+    /** Whether it accepts connections. */
+    boolean isAvailable() {
+        return powered && !failed;
     }
 
-    boolean fallen() {
-        return fallen;
+    boolean hasFailed() {
+        return failed;
     }
 
-    /** The part of its cores that it has now. */
-    double share() {
-        double since = time.now() - backAt;
-        return !stands() ? 0 : since >= kind.coldMs() ? 1 : kind.coldShare() + (1 - kind.coldShare()) * since / kind.coldMs();
+    /** The share of its cores that is available now: 0 without power or after a failure, 1 once it is warm. */
+    double availableShare() {
+        double uptimeMs = time.now() - poweredOnAt;
+        return !isAvailable() ? 0 : uptimeMs >= profile.coldMs() ? 1
+                : profile.initialColdShare() + (1 - profile.initialColdShare()) * uptimeMs / profile.coldMs();
     }
 
-    /** Takes a request; {@code done} is called when it is served. False where this one has pushed it over: all that it had is lost. */
-    boolean take(Object key, double work, Runnable done) {
-        if (share() < 1) {
-            recent.add(new double[] {time.now(), work});
-            while (recent.peek()[0] < time.now() - kind.fallMs()) {
-                recent.poll();
+    /**
+     * Submits a request; {@code onDone} is called when it has been served.
+     *
+     * @return false if the engine has failed, by this request or before; all its requests are lost then
+     */
+    boolean submit(Object key, double workMs, Runnable onDone) {
+        if (availableShare() < 1) {
+            recentSubmissions.add(new Submission(time.now(), workMs));
+            while (recentSubmissions.peek().atMs() < time.now() - profile.overloadWindowMs()) {
+                recentSubmissions.poll();
             }
-            double bears = kind.fallMultiple() * share() * kind.cores() * kind.fallMs() / kind.meanWork();
-            double sent = recent.stream().mapToDouble(r -> r[1]).sum() / kind.meanWork();
-            fallen = sent > bears + 3 * Math.sqrt(bears) + 3;
+            double tolerated = profile.overloadFactor() * availableShare() * profile.cores() * profile.overloadWindowMs()
+                    / profile.meanWorkMs();
+            double submitted = recentSubmissions.stream().mapToDouble(Submission::workMs).sum() / profile.meanWorkMs();
+            failed = submitted > tolerated + 3 * Math.sqrt(tolerated) + 3;
         }
-        if (fallen) {
+        if (failed) {
             waiting.clear();
             running.clear();
             return false;
         }
-        waiting.add(new Job(key, work, done));
-        next();
+        waiting.add(new Job(key, workMs, onDone));
+        startWaitingJobs();
         return true;
     }
 
-    /** Its client wants it no more. */
-    void drop(Object key) {
-        waiting.removeIf(j -> j.key().equals(key));
+    /** Cancels a request, whether it waits or runs. */
+    void cancel(Object key) {
+        waiting.removeIf(job -> job.key().equals(key));
         if (running.remove(key) != null) {
-            next();
+            startWaitingJobs();
         }
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && running.size() < Math.max(1, Math.round(kind.cores() * share()))) {
-            Job j = waiting.poll();
-            running.put(j.key(), j);
-            time.after(j.work(), () -> {
-                if (running.remove(j.key(), j)) {
-                    next();
-                    j.done().run();
+    private void startWaitingJobs() {
+        while (!waiting.isEmpty() && running.size() < Math.max(1, Math.round(profile.cores() * availableShare()))) {
+            Job job = waiting.poll();
+            running.put(job.key(), job);
+            time.schedule(job.workMs(), () -> {
+                if (running.remove(job.key(), job)) {
+                    startWaitingJobs();
+                    job.onDone().run();
                 }
             });
         }
--- a/laboratory/src/main/java/quincespar/laboratory/VirtualTime.java
+++ b/laboratory/src/main/java/quincespar/laboratory/VirtualTime.java
@@ -3,31 +3,35 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Steps in the order of a clock that nobody waits for; those of one moment in the order in which they were asked for. */
+/**
+ * Discrete-event scheduler: runs tasks in the order of a virtual clock. Tasks due at the same time run in the order in which they
+ * were scheduled.
+ */
 final class VirtualTime {
-    private record Due(double at, long serial, Runnable step) { }
+    private record Task(double dueMs, long sequence, Runnable action) { }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::serial));
-    private double now;
-    private long serial;
+    private final PriorityQueue<Task> queue = new PriorityQueue<>(
+            Comparator.comparingDouble(Task::dueMs).thenComparingLong(Task::sequence));
+    private double nowMs;
+    private long lastSequence;
 
-    /** Milliseconds since the world began. */
+    /** Milliseconds since the start of the simulation. */
     double now() {
-        return now;
+        return nowMs;
     }
 
-    /** A step after so many milliseconds. */
-    void after(double ms, Runnable step) {
-        queue.add(new Due(now + Math.max(0, ms), ++serial, step));
+    /** Schedules a task after a delay; a negative delay counts as 0. */
+    void schedule(double delayMs, Runnable action) {
+        queue.add(new Task(nowMs + Math.max(0, delayMs), ++lastSequence, action));
     }
 
-    /** All steps until that time. */
-    void run(double until) {
-        while (!queue.isEmpty() && queue.peek().at() <= until) {
-            Due d = queue.poll();
-            now = d.at();
-            d.step().run();
+    /** Runs all tasks that are due up to the given time, also those scheduled meanwhile, and leaves the clock there. */
+    void runUntil(double endMs) {
+        while (!queue.isEmpty() && queue.peek().dueMs() <= endMs) {
+            Task task = queue.poll();
+            nowMs = task.dueMs();
+            task.action().run();
         }
-        now = until;
+        nowMs = endMs;
     }
 }
--- a/laboratory/src/main/java/quincespar/laboratory/package-info.java
+++ b/laboratory/src/main/java/quincespar/laboratory/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Many front ends in one process and in virtual time: the program's own {@code Reducer}, module and recovery over modelled engines, links,
- * disks and agreement. One seed decides all. Knows the program; nothing of the program knows it.
+ * Simulates many front ends in one process and in virtual time: the program's own reducer, scheduler and recovery run against
+ * modelled engines, links, disks and consensus. A run is deterministic for a given seed. This package may use the program's
+ * packages; none of them may use this one.
  */
 package quincespar.laboratory;
