--- a/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -24,15 +24,15 @@
 import quincespar.settings.ConfReader;
 
 /**
- * What is still owed at the instant in which something ends, on real connections: each test has its peers bring about the
- * bad order every time. The rows are in docs/design/endings.md.
+ * Requests that are open when a connection, an engine or the process ends, on real connections. In each test the scripted peers
+ * force the critical order of events. The cases are listed in docs/design/endings.md.
  */
 @Timeout(60)
 class ConnectionEndTest {
     private static final String LOAD = "{\"name\":\"load\",\"slo\":2000,\"hardLimit\":30000,\"effect\":\"unsafe\"}";
     private static final String LOOKUP = "{\"name\":\"lookup\",\"slo\":2000,\"hardLimit\":30000,\"effect\":\"safe\"}";
-    /** Connections that only a stop ends. */
-    private static final String PATIENT = "clients {\n idle 3600s\n first-word 3600s\n}\n";
+    /** Client connections that are closed at shutdown only. */
+    private static final String NO_IDLE_TIMEOUT = "clients {\n idle 3600s\n first-word 3600s\n}\n";
 
     @TempDir
     private Path folder;
@@ -44,14 +44,14 @@
     private CompletableFuture<Void> running;
 
     @BeforeEach
-    void peers() throws IOException {
+    void createPeers() throws IOException {
         engine = new ScriptedPeers.Engine();
         changes = new ScriptedPeers.ChangeLog();
         port = ScriptedPeers.freePort();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void shutDown() throws Exception {
         for (AutoCloseable p : peers) {
             p.close();
         }
@@ -59,7 +59,7 @@
         running.join();
     }
 
-    /** A front end before one engine. */
+    /** Starts a front end with one engine. */
     private void start(String conf, int engineAt, String limits, String... classes) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":64},"changelog":"127.0.0.1:%d",
@@ -94,35 +94,35 @@
         return FrontCodec.call(seqid, fields, "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8));
     }
 
-    private ScriptedPeers.UnconnectableEngine held() throws IOException {
+    private ScriptedPeers.UnconnectableEngine unconnectable() throws IOException {
         ScriptedPeers.UnconnectableEngine held = new ScriptedPeers.UnconnectableEngine();
         peers.add(held);
         return held;
     }
 
-    /** A client whose load waits for the connection to the only engine there is. */
-    private ScriptedPeers.Client waitsFor(ScriptedPeers.UnconnectableEngine held, boolean cancels) throws Exception {
-        start(PATIENT, held.server.getLocalPort(), "\"cancelling\":" + cancels + ",\"connectTimeout\":30000", LOAD);
+    /** A client whose load waits for the connection to the only engine. */
+    private ScriptedPeers.Client clientWaitingFor(ScriptedPeers.UnconnectableEngine held, boolean cancels) throws Exception {
+        start(NO_IDLE_TIMEOUT, held.server.getLocalPort(), "\"cancelling\":" + cancels + ",\"connectTimeout\":30000", LOAD);
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
-        until(c, "engines.connected", "1");
+        awaitCounter(c, "engines.connected", "1");
         return c;
     }
 
-    private static void until(ScriptedPeers.Client watch, String counter, String value) throws IOException {
+    private static void awaitCounter(ScriptedPeers.Client watch, String counter, String value) throws IOException {
         while (!value.equals(watch.counters().get(counter))) {
             ScriptedPeers.spin();
         }
     }
 
-    private static void done(ScriptedPeers.Engine.Command c) {
+    private static void answerDone(ScriptedPeers.Engine.Command c) {
         c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
     }
 
-    /** The stop must not wait for the engine with all: who rests is told, and moves. */
+    /** An idle client must not be kept connected until the engine has answered another one. */
     @Test
-    void aClientThatRestsIsEndedByTheStopWhileAnotherWaitsForAnEngine() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void shutdownClosesIdleConnectionsWhileARequestIsOpenOnAnother() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client waits = client();
         ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
@@ -131,16 +131,16 @@
         CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
         assertThat(rests.awaitEnd()).isTrue();
         assertThat(leaving).isNotDone();
-        done(out);
+        answerDone(out);
         assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(waits.awaitEnd()).isTrue();
         leaving.join();
     }
 
-    /** The system's end may find it unanswered, and then it is lost: it is refused, which is true as it never ran. */
+    /** Sent to an engine, it might be unanswered at SIGKILL and lost. It is refused instead, which is true as it never ran. */
     @Test
-    void whatComesAfterTheStopBehindARequestThatIsOutIsRefusedAndNotSentOn() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aRequestReceivedAfterTheStopOnABusyConnectionIsRefusedAndNotSent() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client waits = client();
         ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
@@ -150,20 +150,20 @@
         assertThat(rests.awaitEnd()).isTrue();
         waits.call(2, request("load", 2));
         assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED);
-        done(out);
+        answerDone(out);
         assertThat(waits.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         leaving.join();
         assertThat(engine.commands).noneMatch(c -> c.words().get(0).equals("serve"));
     }
 
-    /** Its last byte comes after the word to stop: it is read and answered, not met by a close. */
+    /** Its last byte arrives after the stop: the request is read and answered, and the connection is not closed before. */
     @Test
-    void aRequestThatIsHalfHereAtTheStopIsReadToItsEndAndAnswered() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aPartialRequestAtTheStopIsReadCompletelyAndAnswered() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client slow = client();
         ScriptedPeers.Client rests = client();
         assertThat(rests.healthy()).isTrue();
-        byte[] half = halfBehindAServedRequest(slow);
+        byte[] half = partialRequestAfterAServedOne(slow);
         CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
         assertThat(rests.awaitEnd()).isTrue();
         slow.raw(half);
@@ -172,55 +172,55 @@
         leaving.join();
     }
 
-    /** Has a request served with the first half of the next one behind it, in one write; answers the other half. */
-    private byte[] halfBehindAServedRequest(ScriptedPeers.Client c) throws Exception {
+    /** Writes a request and the first part of a second one at once, and has the first served; returns the rest of the second. */
+    private byte[] partialRequestAfterAServedOne(ScriptedPeers.Client c) throws Exception {
         byte[] first = frame(1, request("load", 1));
         byte[] second = frame(2, request("load", 2));
         byte[] both = Arrays.copyOf(first, first.length + 9);
         System.arraycopy(second, 0, both, first.length, 9);
         c.raw(both);
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         return Arrays.copyOfRange(second, 9, second.length);
     }
 
-    /** The other connection had its last word later and goes as idle, so this one's time was over before that. */
+    /** The other connection is closed as idle although it was used later, so this one's idle timeout has passed too. */
     @Test
-    void aConnectionWithARequestHalfHereIsNotClosedAsIdle() throws Exception {
+    void aConnectionWithAPartialRequestIsNotClosedAsIdle() throws Exception {
         start("clients {\n idle 100ms\n first-word 3600s\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client slow = client();
-        byte[] half = halfBehindAServedRequest(slow);
+        byte[] half = partialRequestAfterAServedOne(slow);
         ScriptedPeers.Client later = client();
         later.call(1, request("load", 3));
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(later.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(later.awaitEnd()).isTrue();
         slow.raw(half);
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(slow.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
-    /** What came whole before it is owed an answer all the same, though the connection is to end. */
+    /** The connection is closed, but requests received completely before the malformed data are still answered. */
     @Test
-    void nonsenseBehindARequestThatIsOutEndsTheConnectionOnceThatIsAnswered() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
-        for (byte[] nonsense : List.of(new byte[] {-1, -1, -1, -1}, new byte[] {0, 0, 0, 4, 1, 2, 3, 4},
+    void malformedDataAfterAnOpenRequestClosesTheConnectionOnceThatIsAnswered() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+        for (byte[] malformed : List.of(new byte[] {-1, -1, -1, -1}, new byte[] {0, 0, 0, 4, 1, 2, 3, 4},
                 frame(1, request("load", 2)), frame(2, Map.of("verb", "odd")))) {
             ScriptedPeers.Client c = client();
             c.call(1, request("load", 1));
             ScriptedPeers.Engine.Command out = engine.next("serve");
-            c.raw(nonsense);
+            c.raw(malformed);
             assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
-            done(out);
+            answerDone(out);
             assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
             assertThat(c.awaitEnd()).isTrue();
         }
     }
 
-    /** One that floods on after that is closed at once, and others are served meanwhile. */
+    /** A client that sends more data after that is disconnected at once, and other clients are served meanwhile. */
     @Test
-    void aClientThatGoesOnAfterNonsenseIsClosedWhateverIsOpen() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aClientThatSendsMoreAfterMalformedDataIsClosedDespiteOpenRequests() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         ScriptedPeers.Engine.Command out = engine.next("serve");
@@ -235,64 +235,64 @@
         assertThat(engine.next("cancel").id()).isEqualTo(out.id()); // its client is gone
         ScriptedPeers.Client other = client();
         other.call(1, request("load", 3));
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(other.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
-    /** Nobody waits for it any more, whether the site lets attempts be cancelled or not. */
+    /** No client waits for it any more, whether or not the site allows cancelling attempts. */
     @Test
-    void whatWaitsForAConnectionIsNotSentOnceItsClientHasLeft() throws Exception {
-        ScriptedPeers.UnconnectableEngine held = held();
-        ScriptedPeers.Client leaves = waitsFor(held, false);
+    void aRequestWaitingForAConnectionIsNotSentOnceItsClientHasLeft() throws Exception {
+        ScriptedPeers.UnconnectableEngine held = unconnectable();
+        ScriptedPeers.Client leaves = clientWaitingFor(held, false);
         ScriptedPeers.Client watch = client();
         leaves.close();
-        until(watch, "requests.open", "0");
+        awaitCounter(watch, "requests.open", "0");
         held.release();
-        isIdleUnasked(watch, held);
+        awaitDisconnectedWithoutRequests(watch, held);
     }
 
-    /** Engines discard repeats within the window only: a connection that comes up after it must not carry one. */
+    /** Engines deduplicate retries within the window only, so a connection that is established later must not carry one. */
     @Test
-    void aRepeatThatWaitsForAConnectionBeyondItsWindowIsNotSent() throws Exception {
-        ScriptedPeers.UnconnectableEngine held = held();
+    void aRetryThatWaitsForAConnectionBeyondItsWindowIsNotSent() throws Exception {
+        ScriptedPeers.UnconnectableEngine held = unconnectable();
         long windowMs = 2000;
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true,\"connectTimeout\":30000",
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true,\"connectTimeout\":30000",
                 LOAD.replace("\"unsafe\"", "\"keyed\",\"keyScope\":\"all\",\"repeatWindow\":" + windowMs));
         ScriptedPeers.Client watch = client();
         ScriptedPeers.Client c = client();
         long from = System.nanoTime();
         c.call(1, request("load", 1));
         ScriptedPeers.Engine.Command first = engine.next("serve");
-        changes.answers.add(news(2, member("s-1", "draining", engine.server.getLocalPort()),
+        changes.answers.add(changes(2, member("s-1", "draining", engine.server.getLocalPort()),
                 member("s-2", "up", held.server.getLocalPort())));
-        until(watch, "held.engines", "2");
+        awaitCounter(watch, "held.engines", "2");
         first.answer(first.id(), "BROKE", "-", "");
-        until(watch, "engines.connected", "2"); // the repeat waits for its connection
+        awaitCounter(watch, "engines.connected", "2"); // the retry waits for its connection
         while (System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(windowMs + 100)) {
             ScriptedPeers.spin();
         }
         held.release();
-        isIdleUnasked(watch, held);
-        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED); // by the scope a repeat is harmless
+        awaitDisconnectedWithoutRequests(watch, held);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED); // by the deduplication scope a retry is harmless
     }
 
-    /** Waits until the front end has no connection to an engine any more, and nothing was asked on this one's. */
-    private static void isIdleUnasked(ScriptedPeers.Client watch, ScriptedPeers.UnconnectableEngine held) throws IOException {
+    /** Waits until the front end has no engine connection any more, and checks that none carried a request to this engine. */
+    private static void awaitDisconnectedWithoutRequests(ScriptedPeers.Client watch, ScriptedPeers.UnconnectableEngine held) throws IOException {
         while (!watch.counters().get("engines.connected").equals("0")) {
-            assertThat(held.heard()).doesNotContain("serve");
+            assertThat(held.received()).doesNotContain("serve");
         }
-        assertThat(held.heard()).doesNotContain("serve");
+        assertThat(held.received()).doesNotContain("serve");
     }
 
-    private static String news(int seq, String... members) {
+    private static String changes(int seq, String... members) {
         return "{\"seq\":%d,\"results\":[{\"seq\":%d,\"fleet\":{\"revision\":%d,\"complete\":false,\"members\":[%s]}}]}"
                 .formatted(seq, seq, seq, String.join(",", members));
     }
 
-    /** Engines know a repeat by its client's idempotency key: without it each attempt would be a request of its own. */
+    /** Engines recognize a retry by the client's idempotency key: without it each attempt would run as a new request. */
     @Test
-    void aRepeatCarriesTheIdempotencyKeyOfItsRequest() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true",
+    void aRetryCarriesTheIdempotencyKeyOfItsRequest() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true",
                 LOAD.replace("\"unsafe\"", "\"keyed\",\"keyScope\":\"all\",\"repeatWindow\":20000"));
         ScriptedPeers.Client c = client();
         Map<String, String> request = request("load", 1);
@@ -303,31 +303,31 @@
         first.answer(first.id(), "BROKE", "-", "");
         ScriptedPeers.Engine.Command again = engine.next("serve");
         assertThat(again.words().get(2)).matches("queue=load,budget=\\d+,uniq=8f3a=90/b1");
-        done(again);
+        answerDone(again);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
-        request.put("unique", "a,budget=1"); // it would be read as another field
+        request.put("unique", "a,budget=1"); // would be parsed as another field
         c.call(2, request);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
     }
 
-    /** Word of a drain between the choice of the engine and the first byte. */
+    /** The drain is reported after the engine was chosen and before the first byte was written. */
     @Test
-    void whatWaitsForAConnectionToAnEngineThatBeginsToDrainGoesElsewhere() throws Exception {
-        ScriptedPeers.UnconnectableEngine held = held();
-        ScriptedPeers.Client c = waitsFor(held, true);
+    void aRequestWaitingForAConnectionToADrainingEngineIsSentToAnother() throws Exception {
+        ScriptedPeers.UnconnectableEngine held = unconnectable();
+        ScriptedPeers.Client c = clientWaitingFor(held, true);
         ScriptedPeers.Client watch = client();
-        changes.answers.add(news(2, member("s-1", "draining", held.server.getLocalPort()),
+        changes.answers.add(changes(2, member("s-1", "draining", held.server.getLocalPort()),
                 member("s-2", "up", engine.server.getLocalPort())));
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         held.release();
-        isIdleUnasked(watch, held);
+        awaitDisconnectedWithoutRequests(watch, held);
     }
 
-    /** An engine may say its last word twice: the second one must not end the next attempt, which still runs. */
+    /** An engine may send its final message twice: the second one must not end the next attempt, which is still running. */
     @Test
-    void aSecondLastWordDoesNotEndTheNextAttempt() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aRepeatedFinalMessageDoesNotEndTheNextAttempt() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         ScriptedPeers.Engine.Command first = engine.next("serve");
@@ -335,20 +335,20 @@
         ScriptedPeers.Engine.Command second = engine.next("serve");
         first.answer(first.id(), "WAIT", "-", "");
         ScriptedPeers.Client other = client();
-        other.call(1, request("load", 2)); // shares the first one's connection, so its answer comes behind that word
+        other.call(1, request("load", 2)); // shares the first one's connection, so its answer follows that message
         ScriptedPeers.Engine.Command behind = engine.next("serve");
         assertThat(behind.id()).as("nothing is sent twice").isNotEqualTo(first.id());
         first.answer(behind.id(), "BROKE", "-", "");
         assertThat(other.answer()).isNotEqualTo(ScriptedPeers.Kind.SERVED);
-        done(second);
+        answerDone(second);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(engine.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
 
-    /** It may have run, so it is never sent again, and its client is not told that a repeat is harmless. */
+    /** The load may have run, so it is not sent again, and the client is not told that a retry is harmless. */
     @Test
-    void aLoadWhoseConnectionEndsUnderItIsFailedAndNotSentAgain() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aLoadWhoseConnectionIsLostIsFailedAndNotSentAgain() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         engine.next("serve").from().close();
@@ -356,13 +356,13 @@
         c.call(2, request("load", 2));
         ScriptedPeers.Engine.Command next = engine.next("serve");
         assertThat(next.id()).isEqualTo(request("load", 2).get("txn"));
-        done(next);
+        answerDone(next);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
     @Test
-    void allThatAClientHasOpenIsCancelledWhenItLeaves() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOOKUP);
+    void allOpenRequestsOfAClientAreCancelledWhenItDisconnects() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOOKUP);
         ScriptedPeers.Client c = client();
         Set<String> out = new HashSet<>();
         for (int i = 1; i <= 3; i++) {
@@ -375,73 +375,73 @@
         }
     }
 
-    /** A watch that goes silent is replaced, and what it did not tell is heard from the next one. */
+    /** A poll of the change log that is never answered is replaced, and the next one reports the events it missed. */
     @Test
-    void aWatchThatFallsSilentIsReplacedAndTheDrainIsHeard() throws Exception {
+    void anUnansweredPollIsReplacedAndTheDrainIsLearned() throws Exception {
         ScriptedPeers.Engine old = new ScriptedPeers.Engine();
-        start(PATIENT + "change-log {\n wait 200ms\n slack 100ms\n}\n", old.server.getLocalPort(), "\"cancelling\":true", LOAD);
+        start(NO_IDLE_TIMEOUT + "change-log {\n wait 200ms\n slack 100ms\n}\n", old.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
-        assertThat(changes.questions.take()).startsWith("GET /changes?since=1&");
-        assertThat(changes.questions.take()).startsWith("GET /changes?since=1&"); // the first is never answered
-        String drain = news(2, member("s-1", "draining", old.server.getLocalPort()),
+        assertThat(changes.polls.take()).startsWith("GET /changes?since=1&");
+        assertThat(changes.polls.take()).startsWith("GET /changes?since=1&"); // the first is never answered
+        String drain = changes(2, member("s-1", "draining", old.server.getLocalPort()),
                 member("s-2", "up", engine.server.getLocalPort()));
         for (int i = 0; i < 3; i++) {
-            changes.answers.add(drain); // the silent ones answer too, when nobody asks them any more
+            changes.answers.add(drain); // the abandoned polls are answered too, when nobody reads them any more
         }
-        until(c, "held.engines", "2");
+        awaitCounter(c, "held.engines", "2");
         c.call(1, request("load", 1));
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         assertThat(old.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
 
-    /** Nothing ran behind a refused connection: its client is told that a repeat is harmless, also for a load. */
+    /** Nothing ran on a refused connection: the client is told that a retry is harmless, even for a load. */
     @Test
-    void aLoadThatMeetsRefusedConnectionsOnlyIsRefusedAndNotFailed() throws Exception {
-        start(PATIENT, ScriptedPeers.freePort(), "\"cancelling\":true", LOAD);
+    void aLoadWithOnlyRefusedConnectionsIsRefusedAndNotFailed() throws Exception {
+        start(NO_IDLE_TIMEOUT, ScriptedPeers.freePort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.REFUSED);
     }
 
-    /** The old one's connection is not the new one's, and what is out there is answered there. */
+    /** The old engine's connection is not used for the new one, and its open request is answered on it. */
     @Test
-    void aNewEngineAtTheAddressOfOneThatHasGoneIsDialledAnew() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aNewEngineAtTheAddressOfARemovedOneGetsANewConnection() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client watch = client();
         ScriptedPeers.Client c = client();
         c.call(1, request("load", 1));
         ScriptedPeers.Engine.Command old = engine.next("serve");
-        changes.answers.add(news(2, member("s-1", "removed", engine.server.getLocalPort()),
+        changes.answers.add(changes(2, member("s-1", "removed", engine.server.getLocalPort()),
                 member("s-2", "up", engine.server.getLocalPort())));
-        until(watch, "held.engines", "2"); // the old one is kept for what is out
+        awaitCounter(watch, "held.engines", "2"); // the old one is kept for its open request
         c.call(2, request("load", 2));
         ScriptedPeers.Engine.Command next = engine.next("serve");
         assertThat(next.from()).isNotSameAs(old.from());
-        done(next);
+        answerDone(next);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
-        done(old);
+        answerDone(old);
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
     }
 
-    /** What a whole list does not name is gone, as if its removal had been told. */
+    /** An engine missing from a complete list is gone, as if its removal had been reported. */
     @Test
-    void whatWaitsForAnEngineThatAWholeListLeavesOutGoesElsewhere() throws Exception {
-        ScriptedPeers.UnconnectableEngine held = held();
-        ScriptedPeers.Client c = waitsFor(held, true);
+    void aRequestWaitingForAnEngineMissingFromACompleteListIsSentToAnother() throws Exception {
+        ScriptedPeers.UnconnectableEngine held = unconnectable();
+        ScriptedPeers.Client c = clientWaitingFor(held, true);
         ScriptedPeers.Client watch = client();
-        changes.answers.add(news(2, member("s-2", "up", engine.server.getLocalPort())).replace("\"complete\":false",
+        changes.answers.add(changes(2, member("s-2", "up", engine.server.getLocalPort())).replace("\"complete\":false",
                 "\"complete\":true"));
-        done(engine.next("serve"));
+        answerDone(engine.next("serve"));
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
         held.release();
-        isIdleUnasked(watch, held);
+        awaitDisconnectedWithoutRequests(watch, held);
     }
 
-    /** A second answer and one under another id are no answers, to this request or to the next. */
+    /** A second answer, or one with an unknown id, is not delivered for this request or the next. */
     @Test
-    void whatAnEngineSaysBesideItsAnswerReachesNoClient() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void superfluousAnswersOfAnEngineReachNoClient() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         for (int i = 1; i <= 3; i++) {
             c.call(i, request("load", i));
@@ -453,10 +453,10 @@
         }
     }
 
-    /** Half an answer is none: it may have run, and is not sent again. One that never ends is ended in time. */
+    /** After a partial answer the load may have run, so it is not sent again. A partial answer that stalls is ended by a timeout. */
     @Test
-    void aLoadOfWhichHalfAnAnswerCameIsFailedWhenItsConnectionEndsOrStops() throws Exception {
-        start(PATIENT + "links {\n midway 100ms\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+    void aLoadWithAPartialAnswerIsFailedWhenItsConnectionEndsOrStalls() throws Exception {
+        start(NO_IDLE_TIMEOUT + "links {\n midway 100ms\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         for (boolean ends : new boolean[] {true, false}) {
             c.call(ends ? 1 : 2, request("load", ends ? 1 : 2));
@@ -470,17 +470,17 @@
         assertThat(engine.commands).noneMatch(x -> x.words().get(0).equals("serve"));
     }
 
-    /** An engine that says nothing: the client has its one answer before its time, and what comes later is dropped. */
+    /** The engine does not answer in time: the client gets one answer before its deadline, and the later one is dropped. */
     @Test
     void aShortDeadlineIsKeptAndALateAnswerIsDropped() throws Exception {
-        start(PATIENT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         Map<String, String> brief = request("load", 1);
         brief.put("limit", "1000");
         c.call(1, brief);
         ScriptedPeers.Engine.Command late = engine.next("serve");
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.FAILED);
-        done(late);
+        answerDone(late);
         c.call(2, request("load", 2));
         ScriptedPeers.Engine.Command next = engine.next("serve");
         next.answer(next.id(), "DONE", "count=1", "next\ta\tb\n");
--- a/frontend/src/test/java/quincespar/program/FrontEndTest.java
+++ b/frontend/src/test/java/quincespar/program/FrontEndTest.java
@@ -192,7 +192,7 @@
         changes.answers.add("{\"seq\":");
         changes.answers.add("{\"seq\":1,\"results\":[]}");
         for (int i = 0; i < 3; i++) {
-            assertThat(changes.questions.take()).startsWith("GET /changes?since=1&timeout=");
+            assertThat(changes.polls.take()).startsWith("GET /changes?since=1&timeout=");
         }
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.healthy()).isTrue();
@@ -213,10 +213,10 @@
         Files.writeString(file, old.replace("\"changelog\":\"127.0.0.1:" + changes.server.getLocalPort(),
                 "\"changelog\":\"127.0.0.1:" + moved.server.getLocalPort()));
         frontEnd.requestReload();
-        assertThat(moved.questions.take()).startsWith("GET /changes?since=1&timeout=");
+        assertThat(moved.polls.take()).startsWith("GET /changes?since=1&timeout=");
         Files.writeString(file, old);
         frontEnd.requestReload(); // and back again, as the other stories need the old one
-        while (changes.questions.poll(10, java.util.concurrent.TimeUnit.MILLISECONDS) == null) {
+        while (changes.polls.poll(10, java.util.concurrent.TimeUnit.MILLISECONDS) == null) {
             ScriptedPeers.spin();
         }
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
--- a/frontend/src/test/java/quincespar/program/ScriptedChangeLog.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedChangeLog.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Servers that come and drain, and the change log that tells of them: each question is answered by what came after it. */
+/** A change log at two addresses for engines that are added and drained; it answers each poll with the events since. */
 final class ScriptedChangeLog {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Length: ";
     final ServerSocket changeLog = ScriptedPeers.listen(this::play);
@@ -27,8 +27,8 @@
         return "{\"id\":\"%s\",\"host_port\":\"127.0.0.1:%d\",\"phase\":\"%s\",\"size\":4}".formatted(id, port, phase);
     }
 
-    /** A server is in the list from now on, or leaves it. */
-    synchronized void tell(String id, int port, String phase) {
+    /** Appends an event: an engine in this phase. */
+    synchronized void append(String id, int port, String phase) {
         int seq = events.size() + 1;
         events.add("{\"seq\":%d,\"fleet\":{\"revision\":%d,\"complete\":%b,\"members\":[%s]}}".formatted(seq, seq, seq == 1,
                 member(id, port, phase)));
@@ -38,16 +38,16 @@
         notifyAll();
     }
 
-    /** How long ago, at a moment, it was told that this server drains; negative where it was not. */
+    /** The time from the event that reported this engine as draining to {@code at}; negative without such an event. */
     double msSinceDrain(String id, long at) {
-        Long told = drainedAt.get(id);
-        return told == null ? -1 : (at - told) / 1e6;
+        Long reportedAt = drainedAt.get(id);
+        return reportedAt == null ? -1 : (at - reportedAt) / 1e6;
     }
 
-    /** All that has been told, as a configuration and an answer have it. */
+    /** The events since this number, in the form of the configuration and of answers. */
     synchronized String since(long seq) {
-        List<String> news = events.subList((int) Math.min(seq, events.size()), events.size());
-        return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", news) + "]}";
+        List<String> newEvents = events.subList((int) Math.min(seq, events.size()), events.size());
+        return "{\"seq\":" + events.size() + ",\"results\":[" + String.join(",", newEvents) + "]}";
     }
 
     private synchronized String answer(long seq, long waitMs) throws InterruptedException {
--- a/frontend/src/test/java/quincespar/program/ScriptedPeers.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedPeers.java
@@ -25,18 +25,18 @@
 import java.util.concurrent.TimeUnit;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** Scripted peers on loopback: an engine, a change log, a client. */
+/** Scripted peers on loopback (an engine, a change log, a client), and the program as a process. */
 final class ScriptedPeers {
     private ScriptedPeers() { }
 
-    /** A port that nothing listens at now. */
+    /** A port that is free now. */
     static int freePort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
     }
 
-    /** Waits until the front end there says that it can serve; it binds its address only then. */
+    /** Waits until the front end at this port reports healthy; it binds its address only shortly before. */
     static void awaitHealthy(int port) {
         while (true) {
             try (Client c = new Client(port)) {
@@ -50,15 +50,15 @@
         }
     }
 
-    /** Between two looks at a condition. Guards against a wait without end: a test's time-out interrupts it. */
+    /** Called between two checks of a condition; fails once the test's timeout has interrupted the thread. */
     static void spin() {
         if (Thread.currentThread().isInterrupted()) {
-            throw new AssertionError("what is waited for did not come in time");
+            throw new AssertionError("interrupted by the test's timeout while waiting for a condition");
         }
         Thread.onSpinWait();
     }
 
-    /** The status that a second address answers with; 0 where nothing answers. */
+    /** The HTTP status that the status server at this port answers; 0 without an answer. */
     static int status(int port) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(10_000);
@@ -70,14 +70,14 @@
         }
     }
 
-    /** Waits for a second address's yes. */
+    /** Waits until the status server at this port reports ready. */
     static void awaitReady(int port) {
         while (status(port) != 200) {
             spin();
         }
     }
 
-    /** Classes as a configuration has them. */
+    /** Request classes in the form of the configuration. */
     static final String LOOKUP = "{\"name\":\"lookup\",\"slo\":2000,\"hardLimit\":4000,\"effect\":\"safe\"}";
     static final String LOAD = LOOKUP.replace("lookup", "load").replace("safe", "unsafe");
 
@@ -92,28 +92,28 @@
             """.formatted(port, changes.server.getLocalPort(), engine.server.getLocalPort(), String.join(",", classes));
     }
 
-    /** The fields of a request of that class. */
+    /** The fields of a request of this class. */
     static Map<String, String> fields(String verb, String txn) {
         return Map.of("verb", verb, "txn", txn, "limit", "3000", "team", "acme", "cpu", "10.0", "heap_mb", "1");
     }
 
-    /** Something that may take its time. */
-    interface Part {
+    /** A task that may block. */
+    interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Runs it on a thread of its own. */
-    static CompletableFuture<Void> runAsync(Part part) {
+    /** Runs a task on a new thread. */
+    static CompletableFuture<Void> runAsync(Task task) {
         return CompletableFuture.runAsync(() -> {
             try {
-                part.run();
+                task.run();
             } catch (IOException | InterruptedException e) {
                 throw new CompletionException(e);
             }
         }, r -> new Thread(r).start());
     }
 
-    /** The deploy file's command line, from the root of the repository, with a second address of its own; {@code first} comes before it. */
+    /** Runs the command line of the deploy file from the root of the repository, after the shell commands {@code first}. */
     static Process startProcess(String first, Path configuration, int admin, Path tmp, Path log) throws IOException {
         Path root = Path.of("").toAbsolutePath().getParent();
         String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run = "))
@@ -124,7 +124,7 @@
         return b.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     static void terminate(Process p) {
         p.destroy();
     }
@@ -155,14 +155,14 @@
             try {
                 body.run();
             } catch (IOException e) {
-                return; // the peer's end of the story
+                return; // the connection has ended, and with it the script
             }
         });
         t.setDaemon(true);
         t.start();
     }
 
-    /** Reads RESP commands; what each is answered with is the test's to say. */
+    /** An engine that reads RESP commands; the test answers each. */
     static final class Engine {
         final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
         final ServerSocket server = listen(this::play);
@@ -206,38 +206,37 @@
             }
         }
 
-        /** The next command with this word. */
+        /** Waits for the next command of this name; drops the commands before it. */
         Command next(String word) throws InterruptedException {
             Command c;
             do {
                 c = commands.poll(10, TimeUnit.SECONDS);
             } while (c != null && !c.words().get(0).equals(word));
             if (c == null) {
-                throw new AssertionError("no " + word + " came");
+                throw new AssertionError("no command " + word + " received");
             }
             return c;
         }
     }
 
     /**
-     * An engine whose connections do not come up: the system's queue in front of it is full, so that it takes no more.
-     * Nothing else tells a connect that is under way from one that is refused.
+     * An engine that can't be connected to: the backlog of its listener is full, so connects stay pending and are not refused.
      */
     static final class UnconnectableEngine implements AutoCloseable {
         private static final int BACKLOG = 1;
         final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         private final List<Socket> fillers = new ArrayList<>();
-        private final List<Socket> taken = new ArrayList<>();
-        private final StringBuilder heard = new StringBuilder();
+        private final List<Socket> accepted = new ArrayList<>();
+        private final StringBuilder received = new StringBuilder();
 
         UnconnectableEngine() throws IOException {
-            for (int i = 0; i <= BACKLOG; i++) { // the system takes one more than it is told
+            for (int i = 0; i <= BACKLOG; i++) { // Linux accepts one more than the backlog
                 fillers.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
             server.setSoTimeout(1);
         }
 
-        /** Takes connections from now on: those that waited come up as soon as they try again. */
+        /** Accepts connections from now on: pending connects succeed at their next SYN. */
         void release() throws IOException {
             for (Socket filler : fillers) {
                 server.accept().close();
@@ -245,18 +244,18 @@
             }
         }
 
-        /** All that has come by now. */
-        String heard() throws IOException {
+        /** All data received so far. */
+        String received() throws IOException {
             try {
-                taken.add(server.accept());
+                accepted.add(server.accept());
             } catch (SocketTimeoutException e) {
                 Thread.onSpinWait();
             }
-            for (Socket s : taken) {
-                heard.append(new String(s.getInputStream().readNBytes(s.getInputStream().available()),
+            for (Socket s : accepted) {
+                received.append(new String(s.getInputStream().readNBytes(s.getInputStream().available()),
                         StandardCharsets.ISO_8859_1));
             }
-            return heard.toString();
+            return received.toString();
         }
 
         @Override
@@ -265,20 +264,20 @@
             for (Socket s : fillers) {
                 s.close();
             }
-            for (Socket s : taken) {
+            for (Socket s : accepted) {
                 s.close();
             }
         }
     }
 
     /**
-     * Answers each question with the next text that the test gives. Those of a start, which hardly wait, are answered with
-     * nothing new where the test gives none, and are not among the questions then.
+     * A change log that answers each poll with the next text given by the test. The short polls of a start are answered with an
+     * empty result if the test has given no text, and are then not recorded in {@code polls}.
      */
     static final class ChangeLog {
-        private static final int LEAST_WAIT_MS = 200;
+        private static final int MIN_LONG_POLL_MS = 200;
         final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> questions = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> polls = new LinkedBlockingQueue<>();
         final ServerSocket server = listen(this::play);
 
         ChangeLog() throws IOException { }
@@ -286,12 +285,12 @@
         private void play(Socket s) throws IOException {
             DataInputStream in = new DataInputStream(new BufferedInputStream(s.getInputStream()));
             while (true) {
-                String question = line(in);
+                String poll = line(in);
                 while (!line(in).isEmpty()) {
                     continue;
                 }
                 try {
-                    byte[] body = answer(question).getBytes(StandardCharsets.US_ASCII);
+                    byte[] body = answer(poll).getBytes(StandardCharsets.US_ASCII);
                     OutputStream out = s.getOutputStream();
                     out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(
                             StandardCharsets.US_ASCII));
@@ -302,18 +301,18 @@
             }
         }
 
-        private String answer(String question) throws InterruptedException {
-            long waitMs = number(question, "timeout");
-            String given = waitMs < LEAST_WAIT_MS ? answers.poll() : null;
-            if (given == null && waitMs < LEAST_WAIT_MS) {
-                return "{\"seq\":" + number(question, "since") + ",\"results\":[]}";
+        private String answer(String poll) throws InterruptedException {
+            long waitMs = number(poll, "timeout");
+            String given = waitMs < MIN_LONG_POLL_MS ? answers.poll() : null;
+            if (given == null && waitMs < MIN_LONG_POLL_MS) {
+                return "{\"seq\":" + number(poll, "since") + ",\"results\":[]}";
             }
-            questions.add(question);
+            polls.add(poll);
             return given != null ? given : answers.take();
         }
 
-        private static long number(String question, String name) {
-            return Long.parseLong(question.replaceAll(".*[?&]" + name + "=([0-9]+).*", "$1"));
+        private static long number(String poll, String name) {
+            return Long.parseLong(poll.replaceAll(".*[?&]" + name + "=([0-9]+).*", "$1"));
         }
     }
 
@@ -325,7 +324,7 @@
         return out.toString();
     }
 
-    /** What a client hears. */
+    /** Kind of an answer to a client. */
     enum Kind { SERVED, REFUSED, FAILED, EXCEPTION }
 
     /** A client with one connection. */
@@ -349,7 +348,7 @@
             out.write(bytes);
         }
 
-        /** What kind of answer the next frame is. */
+        /** Reads the next frame and returns its kind. */
         Kind answer() throws IOException {
             byte[] f = frame();
             int name = f[4] << 24 | (f[5] & 255) << 16 | (f[6] & 255) << 8 | f[7] & 255;
@@ -362,20 +361,20 @@
             return FrontCodec.readAnswer(frame()).good();
         }
 
-        /** The counters that come with the answer to health. */
+        /** The counters in the answer to a health call. */
         Map<String, String> counters() throws IOException {
             out.write(FrontCodec.healthCall(999));
             return FrontCodec.readAnswer(frame()).fields();
         }
 
-        /** The next frame; its type is its fourth byte, as text it shows what it holds. */
+        /** Reads the next frame; the message type is its fourth byte, and strings in it are readable as text. */
         byte[] frame() throws IOException {
             byte[] all = new byte[in.readInt()];
             in.readFully(all);
             return all;
         }
 
-        /** Whether the other side has ended the connection, as far as is known here. */
+        /** Whether the other side has closed the connection, as far as is known here. */
         boolean ended() throws IOException {
             socket.setSoTimeout(1);
             try {
@@ -389,7 +388,7 @@
             }
         }
 
-        /** Waits for the other side to end it; false where something else comes. */
+        /** Waits until the other side closes the connection; false if data arrives instead. */
         boolean awaitEnd() throws IOException {
             return in.read() < 0;
         }
--- a/frontend/src/test/java/quincespar/program/SystemCallFaults.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaults.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes system calls of a started process fail, by rules that begin and end while it runs: a small preloaded library,
- * compiled by the machine's C compiler, shares a mapped file of rules with the test.
+ * Injects failures of system calls into a started process, by rules that begin and end while it runs: a small preloaded library,
+ * compiled with the C compiler of the machine, shares a memory-mapped file of rules with the test.
  */
 final class SystemCallFaults {
-    /** The calls that can fail; their places are the library's numbers. */
+    /** The calls that can fail; the ordinals are the numbers of the library's {@code enum call}. */
     enum Call { NONE, SOCKET, CONNECT, ACCEPT, READ, WRITE, POLL, EPOLL_WAIT, OPEN, CLOCK }
 
     /** Error numbers of Linux. */
@@ -33,7 +33,7 @@
 
     /** The layout of the library's struct rule. */
     private static final int RULES = 16, NAME_BYTES = 64, RULE_BYTES = 32 + NAME_BYTES;
-    private static final int ERROR_AT = 4, PERMILLE_AT = 8, PORT_AT = 12, MOST_BYTES_AT = 16, RANDOM_AT = 20, STRUCK_AT = 24,
+    private static final int ERROR_AT = 4, PERMILLE_AT = 8, PORT_AT = 12, MAX_BYTES_AT = 16, RANDOM_AT = 20, STRUCK_AT = 24,
             NAME_AT = 32;
     private static final int ALWAYS = 1000;
     private static final long COMPILE_S = 60;
@@ -48,7 +48,7 @@
         this.file = file;
     }
 
-    /** Compiles the library and makes an empty set of rules, both in this folder. */
+    /** Compiles the library and creates an empty set of rules in this folder. */
     static SystemCallFaults in(Path folder) throws IOException, InterruptedException {
         Path library = folder.resolve("system_call_faults.so");
         Process cc = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-Wall", "-Wextra", "-Werror", "-o", library.toString(),
@@ -64,12 +64,12 @@
         }
     }
 
-    /** What comes before a command line, so that its process obeys the rules. */
+    /** The shell commands before a command line that make its process load the library with these rules. */
     String prefix() {
         return "export SYSTEM_CALL_FAULTS=" + file + " LD_PRELOAD=" + library + "; ";
     }
 
-    /** A fault that has begun. */
+    /** An active fault. */
     final class Fault {
         private final int at;
 
@@ -77,56 +77,56 @@
             this.at = at;
         }
 
-        /** How many calls it has failed. */
+        /** The number of calls that it has made fail. */
         long struck() {
             return rules.getLong(at + STRUCK_AT);
         }
 
-        /** Waits until it has failed so many calls. */
+        /** Waits until it has made this number of calls fail. */
         void awaitStruck(long times) {
             while (struck() < times) {
                 ScriptedPeers.spin();
             }
         }
 
-        /** It fails no more calls. */
+        /** Ends the fault. */
         void end() {
             rules.putInt(at, Call.NONE.ordinal());
         }
     }
 
-    /** Each such call on a socket with that local or remote port, 0 for any, fails from now on. */
+    /** Each such call on a socket with this local or remote port (0 for any) fails from now on. */
     Fault fail(Call call, Errno error, int port) {
         return begin(call, error.number, ALWAYS, port, 0, 1, "");
     }
 
-    /** So many of a thousand such calls fail, chosen by the seed. */
+    /** This number of a thousand such calls fail, chosen by the seed. */
     Fault failSome(Call call, Errno error, int port, int permille, int seed) {
         return begin(call, error.number, permille, port, 0, seed, "");
     }
 
-    /** Reads or writes take so many bytes at the most. */
-    Fault shorten(Call call, int mostBytes, int port) {
-        return begin(call, 0, ALWAYS, port, mostBytes, 1, "");
+    /** Reads or writes transfer at most this number of bytes. */
+    Fault shorten(Call call, int maxBytes, int port) {
+        return begin(call, 0, ALWAYS, port, maxBytes, 1, "");
     }
 
-    /** Opening files whose name holds this text fails. */
+    /** Opening files whose name contains this text fails. */
     Fault failOpen(Errno error, String name) {
         return begin(Call.OPEN, error.number, ALWAYS, 0, 0, 1, name);
     }
 
-    /** The wall clock is off by so many seconds. */
+    /** The wall clock is off by this number of seconds. */
     Fault stepClock(int seconds) {
         return begin(Call.CLOCK, seconds, ALWAYS, 0, 0, 1, "");
     }
 
-    private Fault begin(Call call, int error, int permille, int port, int mostBytes, int seed, String name) {
+    private Fault begin(Call call, int error, int permille, int port, int maxBytes, int seed, String name) {
         int at = 0;
         while (rules.getInt(at) != Call.NONE.ordinal()) {
-            at += RULE_BYTES; // more faults at a time than there are places is an error of the test
+            at += RULE_BYTES; // beyond the last rule, with too many faults at a time, this throws
         }
         rules.putLong(at + STRUCK_AT, 0).putInt(at + ERROR_AT, error).putInt(at + PERMILLE_AT, permille).putInt(at + PORT_AT, port)
-                .putInt(at + MOST_BYTES_AT, mostBytes).putInt(at + RANDOM_AT, seed);
+                .putInt(at + MAX_BYTES_AT, maxBytes).putInt(at + RANDOM_AT, seed);
         ByteBuffer text = rules.duplicate();
         text.position(at + NAME_AT);
         text.put((name + "\0").getBytes(StandardCharsets.US_ASCII));
--- a/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
@@ -25,13 +25,13 @@
 import quincespar.program.SystemCallFaults.Errno;
 import quincespar.program.SystemCallFaults.Fault;
 
-/** The jar as {@code run} starts it, before two servers and a change log, while its system calls fail for a moment. */
+/** The jar, started by the deploy file's command line, with two engines and a change log, while its system calls fail briefly. */
 @Timeout(60)
 class SystemCallFaultsIT {
-    private static final long NEXT_QUESTION_MS = 500;
+    private static final long MAX_NEXT_POLL_MS = 500;
     private static final int CLIENTS = 8, ROUNDS = 10;
-    /** Where the number of a call stands in an answer's frame, behind version, length and name. */
-    private static final int NUMBER_AT = 12;
+    /** Offset of the call's number in the frame of an answer, after version, length and name. */
+    private static final int SEQUENCE_ID_OFFSET = 12;
 
     @TempDir
     private Path folder;
@@ -42,10 +42,10 @@
     private int port;
     private int admin;
     private Process process;
-    private final ConcurrentLinkedQueue<String> reached = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> receivedBy = new ConcurrentLinkedQueue<>();
 
     @BeforeEach
-    void peers() throws IOException, InterruptedException {
+    void createPeers() throws IOException, InterruptedException {
         draining = new ScriptedPeers.Engine();
         other = new ScriptedPeers.Engine();
         changes = new ScriptedPeers.ChangeLog();
@@ -57,7 +57,7 @@
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void killProcess() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
@@ -67,7 +67,7 @@
                 while (true) {
                     ScriptedPeers.Engine.Command c = engine.commands.take();
                     if (c.words().get(0).equals("serve")) {
-                        reached.add(id);
+                        receivedBy.add(id);
                         c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
                     }
                 }
@@ -107,12 +107,12 @@
         ScriptedPeers.awaitReady(admin);
     }
 
-    private String nextQuestion() throws InterruptedException {
-        return changes.questions.poll(20, TimeUnit.SECONDS);
+    private String nextPoll() throws InterruptedException {
+        return changes.polls.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Asks until both servers would have had their turn. */
-    private void askAll(String verb, int from) throws IOException {
+    /** Sends enough requests one by one that both engines would get some. */
+    private void sendSequentially(String verb, int from) throws IOException {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
                 c.call(i, ScriptedPeers.fields(verb, String.format("%016x", from + i)));
@@ -121,8 +121,8 @@
         }
     }
 
-    /** Asks on one connection without waiting, so that both servers have work. */
-    private void askAtOnce(int from) throws IOException {
+    /** Sends requests on one connection without waiting for answers, so that both engines get some. */
+    private void sendConcurrently(int from) throws IOException {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
                 c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", from + i)));
@@ -134,9 +134,9 @@
     }
 
     @Test
-    void aDrainIsHeardAsSoonAsFailingCallsWorkAgain() throws Exception {
+    void aDrainIsLearnedAsSoonAsFailingCallsWorkAgain() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         int changeLog = changes.server.getLocalPort();
         Fault connects = faults.fail(Call.CONNECT, Errno.EADDRNOTAVAIL, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
@@ -146,17 +146,17 @@
         connects.end();
         long ended = System.nanoTime();
         changes.answers.add(drain());
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
-        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until it asks again").isLessThan(NEXT_QUESTION_MS);
-        assertThat(nextQuestion()).startsWith("GET /changes?since=2&");
-        askAll("lookup", 0);
-        assertThat(reached).containsOnly("s-2");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until the next poll").isLessThan(MAX_NEXT_POLL_MS);
+        assertThat(nextPoll()).startsWith("GET /changes?since=2&");
+        sendSequentially("lookup", 0);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void nothingGoesToADrainingServerPastItsGraceWhileConnectsFail() throws Exception {
+    void noRequestIsSentToADrainingEngineAfterTheGracePeriodWhileConnectsFail() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         int changeLog = changes.server.getLocalPort();
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
@@ -166,25 +166,25 @@
         while (!Files.readString(folder.resolve("log")).contains("nothing new is sent")) {
             ScriptedPeers.spin();
         }
-        reached.clear();
+        receivedBy.clear();
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
                 c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", i)));
             }
-            ScriptedPeers.status(admin); // a round trip: the requests are in by now
-            assertThat(reached).isEmpty();
+            ScriptedPeers.status(admin); // a round trip: the requests have been received by now
+            assertThat(receivedBy).isEmpty();
             connects.end();
             changes.answers.add(drain());
             for (int i = 1; i <= 20; i++) {
                 assertThat(c.answer()).isIn(ScriptedPeers.Kind.SERVED, ScriptedPeers.Kind.REFUSED);
             }
         }
-        askAll("lookup", 100);
-        assertThat(reached).containsOnly("s-2");
+        sendSequentially("lookup", 100);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void aStartDoesNotServeByAListThatItCouldNotAskForYet() throws Exception {
+    void aStartWaitsForTheEngineListWhileConnectsToTheChangeLogFail() throws Exception {
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changes.server.getLocalPort());
         changes.answers.add(drain());
         launch();
@@ -192,12 +192,12 @@
         assertThat(ScriptedPeers.status(admin)).isNotEqualTo(200);
         connects.end();
         ScriptedPeers.awaitReady(admin);
-        askAll("lookup", 0);
-        assertThat(reached).containsOnly("s-2");
+        sendSequentially("lookup", 0);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void aStartGoesOnThoughItsFirstCallsFailForAMoment() throws Exception {
+    void aStartRetriesFirstCallsThatFailBriefly() throws Exception {
         Fault opens = faults.failOpen(Errno.EIO, "config.json");
         Fault sockets = faults.fail(Call.SOCKET, Errno.ENFILE, 0);
         launch();
@@ -206,15 +206,15 @@
         sockets.awaitStruck(2);
         sockets.end();
         ScriptedPeers.awaitReady(admin);
-        askAll("lookup", 0);
+        sendSequentially("lookup", 0);
     }
 
     @Test
-    void anInterruptedReadIsNotTakenForTheEndOfAConnection() throws Exception {
+    void anInterruptedReadDoesNotCloseAConnection() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         Fault reads = faults.failSome(Call.READ, Errno.EINTR, 0, 300, 7);
-        askAll("load", 0);
+        sendSequentially("load", 0);
         reads.awaitStruck(1);
         reads.end();
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
@@ -223,10 +223,10 @@
     }
 
     @Test
-    void anInterruptedLookAtAConnectIsNotTakenForItsEnd() throws Exception {
+    void anInterruptedPollDoesNotFailAConnect() throws Exception {
         start();
         Fault polls = faults.failSome(Call.POLL, Errno.EINTR, 0, 700, 3);
-        askAll("load", 0);
+        sendSequentially("load", 0);
         polls.awaitStruck(1);
         polls.end();
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
@@ -235,28 +235,28 @@
     }
 
     @Test
-    void aRequestOfWhichNothingWasWrittenDoesNotGoToAServerThatDrains() throws Exception {
+    void anUnwrittenRequestIsNotSentToAnEngineThatStartsToDrain() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
-        askAll("lookup", 0); // connections to both are up
-        reached.clear();
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
+        sendSequentially("lookup", 0); // connections to both are up
+        receivedBy.clear();
         Fault writes = faults.fail(Call.WRITE, Errno.EAGAIN, draining.server.getLocalPort());
         CompletableFuture<Void> asking = ScriptedPeers.runAsync(() -> {
-            for (int round = 1; writes.struck() == 0; round++) { // until one was meant for the server that drains
-                askAtOnce(100 * round);
+            for (int round = 1; writes.struck() == 0; round++) { // until one is assigned to the engine that will drain
+                sendConcurrently(100 * round);
             }
         });
         writes.awaitStruck(1);
         changes.answers.add(drain());
-        assertThat(nextQuestion()).startsWith("GET /changes?since=2&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=2&");
         writes.end();
         asking.join();
-        assertThat(reached).containsOnly("s-2");
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EINTR"})
-    void whatWaitsToBeAcceptedAtTheStopIsTakenThoughAcceptFailsForAMoment(Errno error) throws Exception {
+    void pendingConnectionsAtTheStopAreAcceptedThoughAcceptFailsBriefly(Errno error) throws Exception {
         start();
         Fault accepts = faults.fail(Call.ACCEPT, error, port);
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
@@ -267,7 +267,7 @@
                 ScriptedPeers.spin();
             }
             long before = accepts.struck();
-            while (accepts.struck() < before + 1 && !c.ended()) { // it tries on, or has given the client up
+            while (accepts.struck() < before + 1 && !c.ended()) { // it retries, or has closed the client's connection
                 ScriptedPeers.spin();
             }
             accepts.end();
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void aConfigurationThatCanNotBeOpenedForAMomentIsReadAgain() throws Exception {
+    void aConfigurationThatCanNotBeOpenedBrieflyIsReadAgain() throws Exception {
         start();
         ScriptedPeers.ChangeLog moved = new ScriptedPeers.ChangeLog();
         configuration(moved.server.getLocalPort());
@@ -284,23 +284,23 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).inheritIO().start().waitFor();
         opens.awaitStruck(2);
         opens.end();
-        assertThat(moved.questions.poll(10, TimeUnit.SECONDS)).startsWith("GET /changes?since=1&");
+        assertThat(moved.polls.poll(10, TimeUnit.SECONDS)).startsWith("GET /changes?since=1&");
     }
 
     @Test
-    void aFailedWaitForEventsEndsNothing() throws Exception {
+    void aFailedEpollWaitDoesNotEndTheProgram() throws Exception {
         start();
         Fault waits = faults.fail(Call.EPOLL_WAIT, Errno.EIO, 0);
-        askUnheard();
+        sendWithoutReading();
         waits.awaitStruck(10);
         waits.end();
-        askAll("lookup", 0);
+        sendSequentially("lookup", 0);
         assertThat(process.isAlive()).isTrue();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void everyRequestIsAnsweredOnceWhileCallsFailByChance(int seed) throws Exception {
+    void everyRequestIsAnsweredOnceWhileCallsFailRandomly(int seed) throws Exception {
         start();
         faults.failSome(Call.READ, Errno.EINTR, 0, 100, seed);
         faults.failSome(Call.WRITE, Errno.EAGAIN, 0, 100, seed + 1);
@@ -316,7 +316,7 @@
             int first = i * ROUNDS * 100;
             clients.add(ScriptedPeers.runAsync(() -> {
                 for (int round = 0; round < ROUNDS; round++) {
-                    askForAnyAnswer(first + 100 * round);
+                    checkOneAnswerEach(first + 100 * round);
                 }
             }));
         }
@@ -325,22 +325,22 @@
         assertThat(process.isAlive()).isTrue();
     }
 
-    /** Each request has one answer of any kind, and none comes beside them. */
-    private void askForAnyAnswer(int from) throws IOException {
+    /** Checks that each request gets exactly one answer, of any kind. */
+    private void checkOneAnswerEach(int from) throws IOException {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
                 c.call(i, ScriptedPeers.fields(i % 5 == 0 ? "load" : "lookup", String.format("%016x", from + i)));
             }
             Set<Integer> answered = new HashSet<>();
             for (int i = 1; i <= 20; i++) {
-                assertThat(answered.add(ByteBuffer.wrap(c.frame()).getInt(NUMBER_AT))).isTrue();
+                assertThat(answered.add(ByteBuffer.wrap(c.frame()).getInt(SEQUENCE_ID_OFFSET))).isTrue();
             }
             assertThat(c.ended()).isFalse();
         }
     }
 
-    /** Has the loops wake up; nothing may come back yet. */
-    private void askUnheard() throws IOException {
+    /** Sends a request, which wakes up the event loops; an answer is not awaited. */
+    private void sendWithoutReading() throws IOException {
         ScriptedPeers.Client c = new ScriptedPeers.Client(port);
         c.call(1, ScriptedPeers.fields("lookup", "00000000000000bb"));
     }
--- a/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
@@ -30,39 +30,39 @@
 import quincespar.program.SystemCallFaults.Fault;
 
 /**
- * The jar as {@code run} starts it, while servers drain and come and one kind of system call after another fails for a moment,
- * by seed. With -Dsoak.seeds=FROM-TO other seeds than those of each build.
+ * The jar, started by the deploy file's command line, while engines are replaced and system calls of changing kinds fail briefly,
+ * chosen by seed. {@code -Dsoak.seeds=FROM-TO} selects other seeds than the default.
  */
 @Timeout(60)
 class SystemCallSoakIT {
     private static final String SEEDS = System.getProperty("soak.seeds", "1-6");
     private static final int SERVERS = 4, CLIENTS = 4, BATCH = 5;
-    /** After SIGTERM clients ask for so long, and the process may take so long. */
-    private static final long ASKS_ON_MS = 400, ENDS_MS = 3700;
-    /** The first fault begins before the start and lasts so long. */
-    private static final long EARLY_MS = 1500;
+    /** After SIGTERM clients go on sending for the first time, and the process has to end within the second. */
+    private static final long SENDING_AFTER_TERM_MS = 400, SHUTDOWN_LIMIT_MS = 3700;
+    /** Duration of the first fault, which begins before the start. */
+    private static final long FIRST_FAULT_MS = 1500;
     private static final long SOAK_MS = 8000, STEP_MS = 20;
-    /** What clients wait, and how much later an answer counts as lost. */
+    /** The deadline of requests, and the delay after it from which an answer counts as late. */
     private static final long LIMIT_MS = 3000, LATE_MS = 500;
     private static final double GRACE_MS = 1000, SLACK_MS = 150;
-    /** Where the number of a call stands in an answer's frame, behind version, length and name. */
-    private static final int NUMBER_AT = 12;
+    /** Offset of the call's number in the frame of an answer, after version, length and name. */
+    private static final int SEQUENCE_ID_OFFSET = 12;
 
     @TempDir
     private Path folder;
-    private final ScriptedChangeLog list = listed();
+    private final ScriptedChangeLog list = createChangeLog();
     private final Deque<ScriptedPeers.Engine> up = new ArrayDeque<>();
     private final Deque<String> ids = new ArrayDeque<>();
-    private final Queue<String> broken = new ConcurrentLinkedQueue<>();
+    private final Queue<String> violations = new ConcurrentLinkedQueue<>();
     private final Set<String> loads = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
-    private volatile boolean asking = true;
+    private volatile boolean sending = true;
     private volatile boolean over;
     private int port;
     private int servers;
 
-    private static ScriptedChangeLog listed() {
+    private static ScriptedChangeLog createChangeLog() {
         try {
             return new ScriptedChangeLog();
         } catch (IOException e) {
@@ -83,13 +83,13 @@
         ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
         String id = "s-" + ++servers;
         ScriptedPeers.runAsync(() -> serveAll(id, engine));
-        list.tell(id, engine.server.getLocalPort(), "up");
+        list.append(id, engine.server.getLocalPort(), "up");
         up.add(engine);
         ids.add(id);
     }
 
     private void drainOldest() {
-        list.tell(ids.poll(), up.poll().server.getLocalPort(), "draining");
+        list.append(ids.poll(), up.poll().server.getLocalPort(), "draining");
     }
 
     private void serveAll(String id, ScriptedPeers.Engine engine) throws InterruptedException {
@@ -100,45 +100,45 @@
             }
             double late = list.msSinceDrain(id, System.nanoTime());
             if (late > GRACE_MS + SLACK_MS) {
-                broken.add("drain: " + c.id() + " came to " + id + " " + Math.round(late) + " ms after the notice");
+                violations.add("drain: " + c.id() + " came to " + id + " " + Math.round(late) + " ms after the drain was reported");
             }
             if (c.words().get(2).contains("queue=load") && !loads.add(c.id())) {
-                broken.add("duplicate: load " + c.id() + " came twice");
+                violations.add("duplicate: load " + c.id() + " came twice");
             }
             try {
                 c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
-            } catch (java.io.UncheckedIOException e) { // its connection has ended meanwhile
+            } catch (java.io.UncheckedIOException e) { // the connection was closed meanwhile
                 continue;
             }
         }
     }
 
-    private void ask() throws IOException {
-        while (asking) {
+    private void sendRequests() throws IOException {
+        while (sending) {
             List<String> txns = new ArrayList<>();
             Set<Integer> open = new HashSet<>();
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 long from = System.nanoTime();
                 for (int i = 1; i <= BATCH; i++) {
-                    int n = asked.incrementAndGet();
+                    int n = sent.incrementAndGet();
                     txns.add(String.format("%016x", n));
                     c.call(i, ScriptedPeers.fields(n % 5 == 0 ? "load" : "lookup", txns.get(i - 1)));
                     open.add(i);
                 }
                 while (!open.isEmpty()) {
-                    if (!open.remove(ByteBuffer.wrap(c.frame()).getInt(NUMBER_AT))) {
-                        broken.add("duplicate: a second answer to one of " + txns);
+                    if (!open.remove(ByteBuffer.wrap(c.frame()).getInt(SEQUENCE_ID_OFFSET))) {
+                        violations.add("duplicate: a second answer to one of " + txns);
                     }
                     answered.incrementAndGet();
                     long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
                     if (ms > LIMIT_MS + LATE_MS) {
-                        broken.add("late: an answer to one of " + txns + " after " + ms + " ms");
+                        violations.add("late: an answer to one of " + txns + " after " + ms + " ms");
                     }
                 }
             } catch (ConnectException e) {
                 ScriptedPeers.spin();
             } catch (IOException e) {
-                broken.add("lost: " + open + " of " + txns + ": " + e.getMessage());
+                violations.add("lost: " + open + " of " + txns + ": " + e.getMessage());
             }
         }
     }
@@ -152,32 +152,32 @@
         return Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** A fault of some kind, by chance, for a moment. */
-    private Fault begin(SystemCallFaults faults, Random chance) {
-        int seed = chance.nextInt();
-        int some = 300 + chance.nextInt(700);
+    /** Begins a random fault. */
+    private Fault begin(SystemCallFaults faults, Random random) {
+        int seed = random.nextInt();
+        int permille = 300 + random.nextInt(700);
         int changeLog = list.changeLog.getLocalPort();
-        return switch (chance.nextInt(13)) {
-            case 0 -> faults.failSome(Call.CONNECT, Errno.EADDRNOTAVAIL, 0, some, seed);
+        return switch (random.nextInt(13)) {
+            case 0 -> faults.failSome(Call.CONNECT, Errno.EADDRNOTAVAIL, 0, permille, seed);
             case 1 -> faults.fail(Call.CONNECT, Errno.ENETUNREACH, changeLog);
-            case 2 -> faults.failSome(Call.SOCKET, Errno.ENFILE, 0, some, seed);
+            case 2 -> faults.failSome(Call.SOCKET, Errno.ENFILE, 0, permille, seed);
             case 3 -> faults.fail(Call.SOCKET, Errno.ENOBUFS, 0);
-            case 4 -> faults.failSome(Call.ACCEPT, Errno.ENFILE, port, some, seed);
-            case 5 -> faults.failSome(Call.READ, Errno.EINTR, 0, some, seed);
-            case 6 -> faults.failSome(Call.WRITE, Errno.EAGAIN, 0, some, seed);
-            case 7 -> faults.failSome(Call.POLL, Errno.EINTR, 0, some, seed);
-            case 8 -> faults.failSome(Call.EPOLL_WAIT, Errno.EINTR, 0, some, seed);
+            case 4 -> faults.failSome(Call.ACCEPT, Errno.ENFILE, port, permille, seed);
+            case 5 -> faults.failSome(Call.READ, Errno.EINTR, 0, permille, seed);
+            case 6 -> faults.failSome(Call.WRITE, Errno.EAGAIN, 0, permille, seed);
+            case 7 -> faults.failSome(Call.POLL, Errno.EINTR, 0, permille, seed);
+            case 8 -> faults.failSome(Call.EPOLL_WAIT, Errno.EINTR, 0, permille, seed);
             case 9 -> faults.failOpen(Errno.ENFILE, "config.json");
-            case 10 -> faults.stepClock(chance.nextBoolean() ? 3600 : -3600);
-            case 11 -> faults.shorten(Call.READ, 1 + chance.nextInt(50), 0);
-            default -> faults.shorten(Call.WRITE, 1 + chance.nextInt(50), 0);
+            case 10 -> faults.stepClock(random.nextBoolean() ? 3600 : -3600);
+            case 11 -> faults.shorten(Call.READ, 1 + random.nextInt(50), 0);
+            default -> faults.shorten(Call.WRITE, 1 + random.nextInt(50), 0);
         };
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void noRuleIsBrokenWhileServersDrainAndCallsFail(int seed) throws Exception {
-        Random chance = new Random(seed);
+    void noRequestIsLostOrDuplicatedWhileEnginesDrainAndCallsFail(int seed) throws Exception {
+        Random random = new Random(seed);
         SystemCallFaults faults = SystemCallFaults.in(folder);
         port = ScriptedPeers.freePort();
         int admin = ScriptedPeers.freePort();
@@ -185,25 +185,25 @@
             addServer();
         }
         Path file = configure(seed, list.changeLog.getLocalPort());
-        Fault early = begin(faults, chance);
+        Fault firstFault = begin(faults, random);
         Process process = ScriptedPeers.startProcess(faults.prefix(), file, admin, Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
         try {
-            TimeUnit.MILLISECONDS.sleep(EARLY_MS);
-            early.end();
+            TimeUnit.MILLISECONDS.sleep(FIRST_FAULT_MS);
+            firstFault.end();
             ScriptedPeers.awaitReady(admin);
             List<CompletableFuture<Void>> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(ScriptedPeers.runAsync(this::ask));
+                clients.add(ScriptedPeers.runAsync(this::sendRequests));
             }
-            play(faults, chance, seed, process.pid());
+            play(faults, random, seed, process.pid());
             assertThat(process.isAlive()).isTrue();
-            begin(faults, chance);
+            begin(faults, random);
             ScriptedPeers.terminate(process);
-            TimeUnit.MILLISECONDS.sleep(ASKS_ON_MS);
-            asking = false;
+            TimeUnit.MILLISECONDS.sleep(SENDING_AFTER_TERM_MS);
+            sending = false;
             clients.forEach(CompletableFuture::join);
-            assertThat(process.waitFor(ENDS_MS, TimeUnit.MILLISECONDS)).as("ends in time").isTrue();
-            assertThat(broken).as("seed " + seed + ", " + answered + " answers; the log:\n" + Files.readString(folder.resolve("log")))
+            assertThat(process.waitFor(SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS)).as("ends in time").isTrue();
+            assertThat(violations).as("seed " + seed + ", " + answered + " answers; the log:\n" + Files.readString(folder.resolve("log")))
                     .isEmpty();
             assertThat(answered.get()).isGreaterThan(100);
         } finally {
@@ -212,8 +212,8 @@
         }
     }
 
-    /** The run's schedule: servers are replaced, and up to two faults are on at a time. */
-    private void play(SystemCallFaults faults, Random chance, int seed, long pid) throws Exception {
+    /** Replaces engines and begins and ends faults, up to two at a time, by the seed's schedule. */
+    private void play(SystemCallFaults faults, Random random, int seed, long pid) throws Exception {
         Fault[] on = new Fault[2];
         long[] ends = new long[2];
         long nextDrain = 0;
@@ -222,19 +222,19 @@
             if (now >= nextDrain) {
                 addServer();
                 drainOldest();
-                nextDrain = now + 300 + chance.nextInt(700);
+                nextDrain = now + 300 + random.nextInt(700);
             }
             for (int i = 0; i < on.length; i++) {
                 if (on[i] != null && now >= ends[i]) {
                     on[i].end();
                     on[i] = null;
-                    ends[i] = now + chance.nextInt(500);
+                    ends[i] = now + random.nextInt(500);
                 } else if (on[i] == null && now >= ends[i]) {
-                    on[i] = begin(faults, chance);
-                    ends[i] = now + 100 + chance.nextInt(1900);
+                    on[i] = begin(faults, random);
+                    ends[i] = now + 100 + random.nextInt(1900);
                 }
             }
-            if (now > 1000 * (resets + 1)) { // the watch breaks, and a new configuration moves it
+            if (now > 1000 * (resets + 1)) { // the poll fails, and a new configuration moves the change log
                 resets++;
                 Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, list.changeLog.getLocalPort());
                 TimeUnit.MILLISECONDS.sleep(STEP_MS);
--- a/frontend/src/test/java/quincespar/program/UpgradeIT.java
+++ b/frontend/src/test/java/quincespar/program/UpgradeIT.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** Two processes of the jar beside each other, started as {@code run} says, under clients that go on asking. */
+/** Upgrades under load: an old and a new process of the jar at one address, started by the deploy file's command line. */
 @Timeout(120)
 class UpgradeIT {
     private static final int CLIENTS = 16;
@@ -52,7 +52,7 @@
     private int port;
 
     @BeforeEach
-    void peers() throws Exception {
+    void createPeers() throws Exception {
         engine = new ScriptedPeers.Engine();
         ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
         port = ScriptedPeers.freePort();
@@ -69,7 +69,7 @@
     }
 
     @AfterEach
-    void end() {
+    void stopAll() {
         stopping.set(true);
         started.forEach(Process::destroyForcibly);
         pool.shutdownNow();
@@ -85,7 +85,7 @@
         return Files.readString(folder.resolve("log-" + process));
     }
 
-    /** Answers at once, loads after some milliseconds, so that some are always out. */
+    /** Answers lookups after {@code lookupMs} and loads after {@code loadMs}, so that some requests are always open. */
     private Void serveAll() throws InterruptedException {
         while (true) {
             ScriptedPeers.Engine.Command c = engine.commands.take();
@@ -100,27 +100,27 @@
     }
 
     /**
-     * Asks on a connection for as long as that lasts. A request that crosses the end of a connection with nothing open
-     * may be sent again on a new one, once; a connection that is refused, or a request that is then not answered, is lost.
+     * Sends requests one by one on a connection until it is closed. A request that crosses the close of an idle connection may be
+     * retried once on a new one. A refused connection, or a retry without an answer, counts as lost.
      */
     private void client(int number) {
-        Random chance = new Random(number);
+        Random random = new Random(number);
         int asked = 0;
         while (!stopping.get()) {
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 for (int call = 1; !stopping.get(); call++) {
-                    TimeUnit.MILLISECONDS.sleep(chance.nextInt(10));
+                    TimeUnit.MILLISECONDS.sleep(random.nextInt(10));
                     if (c.ended()) {
                         break;
                     }
                     String txn = String.format("%08x%08x", number, ++asked);
-                    boolean whole = ask(c, call, txn);
-                    if (!whole && call == 1) {
-                        lost.add(txn + " met a new connection that ended");
-                    } else if (!whole) {
+                    boolean answeredHere = ask(c, call, txn);
+                    if (!answeredHere && call == 1) {
+                        lost.add(txn + " was sent on a new connection that was closed");
+                    } else if (!answeredHere) {
                         try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                             if (!ask(again, 1, txn)) {
-                                lost.add(txn + " met two connections that ended");
+                                lost.add(txn + " was sent on two connections that were closed");
                             }
                         }
                         break;
@@ -149,7 +149,7 @@
         }
     }
 
-    private void untilAnswered(int more) {
+    private void awaitAnswers(int more) {
         int before = answered.get();
         while (answered.get() < before + more) {
             ScriptedPeers.spin();
@@ -167,7 +167,7 @@
             int number = i;
             clients.add(pool.submit(() -> client(number)));
         }
-        untilAnswered(20 * CLIENTS);
+        awaitAnswers(20 * CLIENTS);
         for (int upgrade = 1; upgrade <= 2; upgrade++) {
             admin = ScriptedPeers.freePort();
             Process next = start(admin);
@@ -175,7 +175,7 @@
             ScriptedPeers.terminate(old);
             assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue();
             assertThat(log(upgrade - 1)).contains("another process serves").contains("stopped");
-            untilAnswered(20 * CLIENTS);
+            awaitAnswers(20 * CLIENTS);
             old = next;
         }
         stopping.set(true);
@@ -185,9 +185,9 @@
         assertThat(lost).isEmpty();
     }
 
-    /** Half a request that lay with the old process at the word to stop is no moment to end its connection. */
+    /** The old process must not close a connection on which it has received part of a request when it is told to stop. */
     @Test
-    void aRequestInPiecesAndALoadThatIsOutAreFollowedToTheirAnswers() throws Exception {
+    void aPartialRequestAndAnOpenLoadAreAnsweredByTheOldProcess() throws Exception {
         int admin = ScriptedPeers.freePort();
         Process old = start(admin);
         ScriptedPeers.awaitReady(admin);
@@ -203,24 +203,24 @@
             start(second);
             ScriptedPeers.awaitReady(second);
             ScriptedPeers.terminate(old);
-            assertThat(idle.awaitEnd()).isTrue(); // nothing is open there: its client moves over
+            assertThat(idle.awaitEnd()).isTrue(); // idle: its client reconnects to the new process
             half.raw(java.util.Arrays.copyOfRange(request, 20, request.length));
             ScriptedPeers.Engine.Command late = engine.next("serve");
             late.answer(late.id(), "DONE", "count=1", "late\ta\tb\n");
             assertThat(new String(half.frame(), StandardCharsets.ISO_8859_1)).contains("late\ta\tb\n");
             out.answer(out.id(), "DONE", "count=1", "row\ta\tb\n");
             assertThat(new String(load.frame(), StandardCharsets.ISO_8859_1)).contains("row\ta\tb\n");
-            assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue(); // nothing is left: it does not wait for its time
+            assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue(); // nothing is open: it does not wait until its deadline
         }
     }
 
     @Test
-    void aNewProcessThatEndsBeforeItsYesLeavesTheOldOneServing() throws Exception {
+    void aNewProcessThatEndsBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         pool.submit(this::serveAll);
         int admin = ScriptedPeers.freePort();
         start(admin);
         ScriptedPeers.awaitReady(admin);
-        Process next = start(admin); // its second address is taken: it can't start
+        Process next = start(admin); // the status server's address is in use: it can't start
         assertThat(next.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(next.exitValue()).isEqualTo(1);
         assertThat(log(1).lines()).hasSize(1).first().asString().contains("admin_addr");
@@ -234,62 +234,62 @@
         assertThat(lost).isEmpty();
     }
 
-    /** Where a process is stopped, and for how long, in milliseconds; {@code after} what {@code phase} names. */
+    /** A pause of a process for {@code ms}, {@code after} ms from the event {@code phase}. */
     private record Pause(String phase, int after, int ms) { }
 
-    private static final int DEADLINE = 1200, KILL = DEADLINE + 700;
+    private static final int DEADLINE_MS = 1200, KILL_MS = DEADLINE_MS + 700;
 
     /**
-     * Each upgrade stops the new process once while it starts or just after its yes, and the old one twice: as the word
-     * to stop comes or soon after, and about the time at which it must have moved its last clients. The times are those
-     * that the operators' page grants: SIGKILL follows the longest deadline and 0.7 s after SIGTERM.
+     * Each upgrade pauses the new process once, during its start or just after it is ready, and the old one twice: around SIGTERM,
+     * and about when it must have closed its last connections. SIGKILL follows SIGTERM after the longest deadline and 0.7 s, as
+     * the operators' page specifies.
      */
     @Test
-    void processesStoppedInEveryPhaseOfAnUpgradeLoseNothing() throws Exception {
-        Files.writeString(file, Files.readString(file).replace("\"hardLimit\":4000", "\"hardLimit\":" + DEADLINE));
+    void processesPausedInAnyPhaseOfAnUpgradeLoseNoRequest() throws Exception {
+        Files.writeString(file, Files.readString(file).replace("\"hardLimit\":4000", "\"hardLimit\":" + DEADLINE_MS));
         lookupMs = 40;
         pool.submit(this::serveAll);
         Process old = start(ScriptedPeers.freePort());
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
             int number = i;
-            clients.add(pool.submit(() -> neverQuiet(number)));
+            clients.add(pool.submit(() -> neverIdleClient(number)));
         }
-        Pause[] starts = {new Pause("start", 100, 400), new Pause("start", 600, 300), new Pause("yes", 0, 400),
-            new Pause("yes", 60, 200), new Pause("start", 900, 20), new Pause("yes", 20, 400), new Pause("yes", 300, 100),
+        Pause[] newProcessPauses = {new Pause("start", 100, 400), new Pause("start", 600, 300), new Pause("ready", 0, 400),
+            new Pause("ready", 60, 200), new Pause("start", 900, 20), new Pause("ready", 20, 400), new Pause("ready", 300, 100),
             new Pause("start", 300, 50)};
-        Pause[] words = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150), new Pause("SIGTERM", 0, 400),
+        Pause[] oldProcessPauses = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150), new Pause("SIGTERM", 0, 400),
             new Pause("SIGTERM", 3, 400), new Pause("SIGTERM", 15, 250), new Pause("SIGTERM", 40, 20), new Pause("SIGTERM", 200, 400),
-            new Pause("before SIGTERM", 0, 1100)}; // the last is longer than any page grants: the bench has been seen to do it
-        int[] lates = {1650, 1450, 1650, 1650, 1480, 1300, 1000, 1700};
-        int[] longs = {250, 400, 250, 250, 400, 400, 300, 20};
-        untilAnswered(200);
-        for (int i = 0; i < starts.length; i++) {
+            new Pause("before SIGTERM", 0, 1100)}; // the last is longer than the operators' page allows, but occurs in practice
+        int[] latePauseStartsMs = {1650, 1450, 1650, 1650, 1480, 1300, 1000, 1700};
+        int[] latePausesMs = {250, 400, 250, 250, 400, 400, 300, 20};
+        awaitAnswers(200);
+        for (int i = 0; i < newProcessPauses.length; i++) {
             int admin = ScriptedPeers.freePort();
             Process next = start(admin);
-            if (starts[i].phase().equals("start")) {
-                stopped(next, starts[i].after(), starts[i].ms());
+            if (newProcessPauses[i].phase().equals("start")) {
+                pause(next, newProcessPauses[i].after(), newProcessPauses[i].ms());
             }
             ScriptedPeers.awaitReady(admin);
-            long yes = System.nanoTime();
-            boolean before = words[i].phase().equals("before SIGTERM");
+            long readyAt = System.nanoTime();
+            boolean before = oldProcessPauses[i].phase().equals("before SIGTERM");
             if (before) {
                 signal(old, "STOP");
             }
-            loadMs = 2 * KILL; // what is taken from here on is open until its time is over
-            ScriptedPeers.terminate(old); // a stopped process hears of it when it goes on
-            long word = System.nanoTime();
-            Future<?> other = starts[i].phase().equals("yes") ? inTurn(next, yes, starts[i]) : null;
+            loadMs = 2 * KILL_MS; // loads accepted from here on are open until their deadline
+            ScriptedPeers.terminate(old); // a paused process handles it when it continues
+            long termAt = System.nanoTime();
+            Future<?> other = newProcessPauses[i].phase().equals("ready") ? pauseAsync(next, readyAt, newProcessPauses[i]) : null;
             if (before) {
-                until(word, words[i].ms());
+                sleepUntil(termAt, oldProcessPauses[i].ms());
                 signal(old, "CONT");
             } else {
-                until(word, words[i].after());
-                stopped(old, 0, words[i].ms());
+                sleepUntil(termAt, oldProcessPauses[i].after());
+                pause(old, 0, oldProcessPauses[i].ms());
             }
-            until(word, lates[i]);
-            stopped(old, 0, longs[i]);
-            if (!old.waitFor(Math.max(1, KILL - sinceMs(word)), TimeUnit.MILLISECONDS)) {
+            sleepUntil(termAt, latePauseStartsMs[i]);
+            pause(old, 0, latePausesMs[i]);
+            if (!old.waitFor(Math.max(1, KILL_MS - sinceMs(termAt)), TimeUnit.MILLISECONDS)) {
                 old.destroyForcibly();
             }
             assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue();
@@ -297,9 +297,9 @@
             if (other != null) {
                 other.get();
             }
-            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, starts[i], words[i], lates[i]).isEmpty();
+            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, newProcessPauses[i], oldProcessPauses[i], latePauseStartsMs[i]).isEmpty();
             assertThat(next.isAlive()).isTrue();
-            untilAnswered(200);
+            awaitAnswers(200);
             old = next;
         }
         stopping.set(true);
@@ -309,10 +309,10 @@
         assertThat(lost).isEmpty();
     }
 
-    private Future<?> inTurn(Process p, long from, Pause pause) {
+    private Future<?> pauseAsync(Process p, long from, Pause pause) {
         return pool.submit(() -> {
-            until(from, pause.after());
-            stopped(p, 0, pause.ms());
+            sleepUntil(from, pause.after());
+            pause(p, 0, pause.ms());
             return null;
         });
     }
@@ -321,12 +321,12 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
     }
 
-    /** The schedule of the faults, and no wait for something to come. */
-    private static void until(long from, int ms) throws InterruptedException {
+    /** Sleeps until {@code ms} after {@code from}: the schedule of the pauses, not a wait for a condition. */
+    private static void sleepUntil(long from, int ms) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(Math.max(0, ms - sinceMs(from)));
     }
 
-    private static void stopped(Process p, int after, int ms) throws IOException, InterruptedException {
+    private static void pause(Process p, int after, int ms) throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(after);
         if (p.isAlive()) {
             signal(p, "STOP");
@@ -335,17 +335,17 @@
         }
     }
 
-    /** {@code run} ends by exec, so that it is the program that hears it; one that has just ended hears nothing. */
+    /** The command line ends with exec, so the signal reaches the program; the exit code is ignored as it may just have ended. */
     private static void signal(Process p, String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(p.pid())).redirectErrorStream(true).start().waitFor();
     }
 
     /**
-     * A client that nearly always has something open on its connection. What goes unanswered there when that ends is
-     * lost where a later request was answered, or where it is more than what crosses an end by chance.
+     * A client that nearly always has open requests on its connection. Requests without an answer when the connection is closed
+     * count as lost if a later one was answered, or if they are more than can cross the close.
      */
-    private Void neverQuiet(int number) throws Exception {
-        Random chance = new Random(number);
+    private Void neverIdleClient(int number) throws Exception {
+        Random random = new Random(number);
         int asked = 0;
         while (!stopping.get()) {
             Set<Integer> open = ConcurrentHashMap.newKeySet();
@@ -358,17 +358,17 @@
                     }
                     open.add(call);
                     c.call(call, Map.of("verb", call % 8 == 0 ? "load" : "lookup", "txn", String.format("%08x%08x", number,
-                            ++asked), "limit", Integer.toString(DEADLINE), "team", "acme", "cpu", "10.0", "heap_mb", "1"));
-                    TimeUnit.MILLISECONDS.sleep(4 + chance.nextInt(8));
+                            ++asked), "limit", Integer.toString(DEADLINE_MS), "team", "acme", "cpu", "10.0", "heap_mb", "1"));
+                    TimeUnit.MILLISECONDS.sleep(4 + random.nextInt(8));
                 }
                 while (stopping.get() && !open.isEmpty() && !reader.isDone()) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
-            } catch (IOException e) { // ended under a write: what is open tells whether that was in order
+            } catch (IOException e) { // closed during a write: the check of the open requests below decides
                 Thread.onSpinWait();
             }
             if (open.size() > 3 || !open.isEmpty() && Collections.min(open) < last.get()) {
-                lost.add("client " + number + " has no answer to " + open + ", the last was to " + last);
+                lost.add("client " + number + " has no answer to " + open + ", the last answer was to " + last);
             }
         }
         return null;
@@ -377,12 +377,12 @@
     private Void read(ScriptedPeers.Client c, Set<Integer> open, AtomicInteger last) {
         try {
             while (true) {
-                int call = ByteBuffer.wrap(c.frame()).getInt(12); // behind version, length and name
+                int call = ByteBuffer.wrap(c.frame()).getInt(12); // after version, length and name
                 open.remove(call);
                 last.accumulateAndGet(call, Math::max);
                 answered.incrementAndGet();
             }
-        } catch (IOException e) { // the end of this connection, whichever side ended it
+        } catch (IOException e) { // the connection was closed by either side
             return null;
         }
     }
--- a/frontend/src/test/native/system_call_faults.c
+++ b/frontend/src/test/native/system_call_faults.c
@@ -1,6 +1,7 @@
 /*
- * Makes system calls of one process fail, for tests: preloaded into it (LD_PRELOAD), it reads rules from a file that
- * the test maps too (SYSTEM_CALL_FAULTS), so that faults begin and end without a restart. Each rule counts its strikes.
+ * Injects failures of system calls into a process under test. The library is preloaded (LD_PRELOAD) and maps a file of rules
+ * (SYSTEM_CALL_FAULTS) that the test maps too, so that faults begin and end without a restart. Each rule counts the calls
+ * that it made fail.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -26,14 +27,14 @@
 #define RULES 16
 #define NAME_BYTES 64
 
-/* One rule; the layout is known to SystemCallFaults.java. */
+/* One rule; SystemCallFaults.java uses the same layout. */
 struct rule {
     int32_t call;          /* enum call; 0 while the rule is off */
     int32_t error;         /* errno; 0 for a short read or write; seconds by which the wall clock is off */
     int32_t permille;      /* of the calls that match */
     int32_t port;          /* local or remote port of the socket; 0 for any */
-    int32_t most_bytes;    /* of a short read or write */
-    uint32_t random;       /* state of the generator, the seed at first */
+    int32_t max_bytes;     /* of a short read or write */
+    uint32_t random;       /* state of the random generator, initially the seed */
     int64_t struck;        /* calls that failed so far */
     char name[NAME_BYTES]; /* part of a file's name, for open */
 };
@@ -69,14 +70,14 @@
     return getpeername(fd, (struct sockaddr *)&address, &length) == 0 && port_of((struct sockaddr *)&address) == port;
 }
 
-static int is_due(struct rule *rule) {
+static int is_selected(struct rule *rule) {
     uint32_t next = __atomic_load_n(&rule->random, __ATOMIC_RELAXED) * 1664525u + 1013904223u;
     __atomic_store_n(&rule->random, next, __ATOMIC_RELAXED);
     return (int32_t)((next >> 8) % 1000) < rule->permille;
 }
 
-/* The rule that strikes this call, counted; fd, address and name where the call has one. */
-static struct rule *striking(enum call call, int fd, const struct sockaddr *address, const char *name) {
+/* Finds the rule that applies to this call, and counts it; fd, address and name are -1 or NULL if the call has none. */
+static struct rule *matching_rule(enum call call, int fd, const struct sockaddr *address, const char *name) {
     int saved = errno;
     struct rule *found = NULL;
     for (int i = 0; rules && i < RULES && !found; i++) {
@@ -87,7 +88,7 @@
         int matches = name ? strstr(name, rule->name) != NULL
             : address ? rule->port == 0 || port_of(address) == rule->port
             : fd >= 0 ? socket_has_port(fd, rule->port) : 1;
-        if (matches && is_due(rule)) {
+        if (matches && is_selected(rule)) {
             __atomic_add_fetch(&rule->struck, 1, __ATOMIC_RELAXED);
             found = rule;
         }
@@ -96,7 +97,7 @@
     return found;
 }
 
-static int failing(struct rule *rule) {
+static int fails(struct rule *rule) {
     if (rule && rule->error) {
         errno = rule->error;
         return 1;
@@ -104,60 +105,60 @@
     return 0;
 }
 
-static size_t shortened(struct rule *rule, size_t count) {
-    return rule && (size_t)rule->most_bytes < count ? (size_t)rule->most_bytes : count;
+static size_t limited_count(struct rule *rule, size_t count) {
+    return rule && (size_t)rule->max_bytes < count ? (size_t)rule->max_bytes : count;
 }
 
 #define REAL(name) __typeof__(&name) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    return failing(striking(CALL_SOCKET, -1, NULL, NULL)) ? -1 : real(domain, type, protocol);
+    return fails(matching_rule(CALL_SOCKET, -1, NULL, NULL)) ? -1 : real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    return failing(striking(CALL_CONNECT, fd, address, NULL)) ? -1 : real(fd, address, length);
+    return fails(matching_rule(CALL_CONNECT, fd, address, NULL)) ? -1 : real(fd, address, length);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept);
-    return failing(striking(CALL_ACCEPT, fd, NULL, NULL)) ? -1 : real(fd, address, length);
+    return fails(matching_rule(CALL_ACCEPT, fd, NULL, NULL)) ? -1 : real(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
-    return failing(striking(CALL_ACCEPT, fd, NULL, NULL)) ? -1 : real(fd, address, length, flags);
+    return fails(matching_rule(CALL_ACCEPT, fd, NULL, NULL)) ? -1 : real(fd, address, length, flags);
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
     REAL(read);
-    struct rule *rule = striking(CALL_READ, fd, NULL, NULL);
-    return failing(rule) ? -1 : real(fd, buffer, shortened(rule, count));
+    struct rule *rule = matching_rule(CALL_READ, fd, NULL, NULL);
+    return fails(rule) ? -1 : real(fd, buffer, limited_count(rule, count));
 }
 
 ssize_t recv(int fd, void *buffer, size_t count, int flags) {
     REAL(recv);
-    struct rule *rule = striking(CALL_READ, fd, NULL, NULL);
-    return failing(rule) ? -1 : real(fd, buffer, shortened(rule, count), flags);
+    struct rule *rule = matching_rule(CALL_READ, fd, NULL, NULL);
+    return fails(rule) ? -1 : real(fd, buffer, limited_count(rule, count), flags);
 }
 
 ssize_t write(int fd, const void *buffer, size_t count) {
     REAL(write);
-    struct rule *rule = striking(CALL_WRITE, fd, NULL, NULL);
-    return failing(rule) ? -1 : real(fd, buffer, shortened(rule, count));
+    struct rule *rule = matching_rule(CALL_WRITE, fd, NULL, NULL);
+    return fails(rule) ? -1 : real(fd, buffer, limited_count(rule, count));
 }
 
 ssize_t send(int fd, const void *buffer, size_t count, int flags) {
     REAL(send);
-    struct rule *rule = striking(CALL_WRITE, fd, NULL, NULL);
-    return failing(rule) ? -1 : real(fd, buffer, shortened(rule, count), flags);
+    struct rule *rule = matching_rule(CALL_WRITE, fd, NULL, NULL);
+    return fails(rule) ? -1 : real(fd, buffer, limited_count(rule, count), flags);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
     REAL(clock_gettime);
     int result = real(clock, time);
-    struct rule *rule = clock == CLOCK_REALTIME ? striking(CALL_CLOCK, -1, NULL, NULL) : NULL;
+    struct rule *rule = clock == CLOCK_REALTIME ? matching_rule(CALL_CLOCK, -1, NULL, NULL) : NULL;
     time->tv_sec += rule ? rule->error : 0;
     return result;
 }
@@ -173,18 +174,18 @@
 
 int poll(struct pollfd *fds, nfds_t count, int timeout) {
     REAL(poll);
-    return failing(striking(CALL_POLL, -1, NULL, NULL)) ? -1 : real(fds, count, timeout);
+    return fails(matching_rule(CALL_POLL, -1, NULL, NULL)) ? -1 : real(fds, count, timeout);
 }
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait);
-    return failing(striking(CALL_EPOLL_WAIT, -1, NULL, NULL)) ? -1 : real(epoll, events, most, timeout);
+    return fails(matching_rule(CALL_EPOLL_WAIT, -1, NULL, NULL)) ? -1 : real(epoll, events, max_events, timeout);
 }
 
 static int open_with(const char *real_name, const char *name, int flags, va_list more) {
     int (*real)(const char *, int, ...) = (int (*)(const char *, int, ...))dlsym(RTLD_NEXT, real_name);
     int mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(more, int) : 0;
-    return failing(striking(CALL_OPEN, -1, NULL, name)) ? -1 : real(name, flags, mode);
+    return fails(matching_rule(CALL_OPEN, -1, NULL, name)) ? -1 : real(name, flags, mode);
 }
 
 int open(const char *name, int flags, ...) {
