--- a/frontend/src/test/java/quincespar/program/CaptureReplayTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureReplayTest.java
@@ -31,7 +31,7 @@
 import quincespar.settings.ConfReader;
 import quincespar.settings.Settings;
 
-/** The whole program with a capture into a folder, and what the command line then says of it. */
+/** The whole program with a capture, and the commands that read the capture. */
 @Timeout(60)
 class CaptureReplayTest {
     @TempDir
@@ -43,7 +43,7 @@
     private CompletableFuture<Void> running;
 
     @BeforeEach
-    void peers() throws IOException {
+    void createPeers() throws IOException {
         engine = new ScriptedPeers.Engine();
         ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
         port = ScriptedPeers.freePort();
@@ -51,22 +51,22 @@
         Files.writeString(folder.resolve("config.json"), ScriptedPeers.configuration(port, changes, engine, ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
     }
 
-    private record Said(int code, String out) { }
+    private record Output(int code, String out) { }
 
-    /** Standard output alone: the log of the life before may still be written to the other. */
-    private static Said command(Object... words) {
+    /** Runs a command; captures standard output only, as the previous run may still be logging to standard error. */
+    private static Output command(Object... words) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PrintStream before = System.out;
         try (PrintStream to = new PrintStream(out, true, StandardCharsets.UTF_8)) {
             System.setOut(to);
             int code = Main.run(java.util.Arrays.stream(words).map(String::valueOf).toArray(String[]::new));
-            return new Said(code, out.toString(StandardCharsets.UTF_8));
+            return new Output(code, out.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(before);
         }
     }
 
-    /** The program with its capture; its engine answers all that comes. */
+    /** Starts the program with a capture; its engine answers all requests. */
     private FrontEnd start() throws Exception {
         Settings settings = ConfReader.read("f", "capture {\n folder \"" + captures + "\"\n every 1s\n flush 10ms\n}\n");
         FrontEnd frontEnd = new FrontEnd(Map.of("GW_CONFIG", folder.resolve("config.json").toString()), settings,
@@ -84,8 +84,8 @@
         return frontEnd;
     }
 
-    /** Asks until a counter is so high. */
-    private void ask(ScriptedPeers.Client c, String counter, long wanted) throws Exception {
+    /** Sends requests until a counter reaches a value. */
+    private void sendUntil(ScriptedPeers.Client c, String counter, long wanted) throws Exception {
         do {
             String txn = String.format("%016x", ++requests);
             c.call(requests, ScriptedPeers.fields(requests % 3 == 0 ? "load" : "lookup", txn));
@@ -93,12 +93,12 @@
         } while (Long.parseLong(c.counters().get(counter)) < wanted);
     }
 
-    /** One life of the program, from its start to its end in order. */
-    private Map<String, String> live(int calls) throws Exception {
+    /** Runs the program until it has captured this number of calls, and shuts it down. */
+    private Map<String, String> runProgram(int calls) throws Exception {
         FrontEnd frontEnd = start();
         Map<String, String> counters;
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
-            ask(c, "capture.calls", calls);
+            sendUntil(c, "capture.calls", calls);
             counters = c.counters();
         }
         ScriptedPeers.runAsync(frontEnd::shutDown).join();
@@ -106,8 +106,8 @@
         return counters;
     }
 
-    /** The module's numbers are the front end's: the first that was sent is looked up. */
-    private long firstRequest(Said replay) throws IOException {
+    /** The number of the first request that was sent, from the capture. */
+    private long firstRequest(Output replay) throws IOException {
         long[] id = {0};
         CaptureReader all = new CaptureReader(new CaptureFolder(captures));
         all.forEachEntry(all.segmentNames(), (name, e) -> {
@@ -122,14 +122,14 @@
     }
 
     @Test
-    void whatTheProgramDecidedIsDecidedAgain() throws Exception {
-        Map<String, String> counters = live(24);
+    void aReplayMakesTheSameDecisions() throws Exception {
+        Map<String, String> counters = runProgram(24);
         assertThat(counters).containsEntry("capture.lost", "0").containsEntry("capture.failures", "0");
-        Said replay = command("replay", captures);
+        Output replay = command("replay", captures);
         assertThat(replay.code()).as(replay.out()).isZero();
         assertThat(replay.out()).contains(" lost=0", "other-states=0").containsPattern("decisions=[1-9]");
         assertThat(replay.out()).contains("broken-rules=0");
-        Said explain = command("explain", captures, "--request", firstRequest(replay));
+        Output explain = command("explain", captures, "--request", firstRequest(replay));
         assertThat(explain.code()).as(explain.out()).isZero();
         assertThat(explain.out()).contains(" received: class ", "is sent to engine ", "* engine ", "ended after ");
         assertThat(command("explain", captures, "--engine", "s-1").out()).contains(" for lookup: takes work");
@@ -139,7 +139,7 @@
         assertThat(command("replay", captures, "--decisions", decisions).out().lines().findFirst())
                 .isEqualTo(replay.out().lines().findFirst());
         assertThat(Files.readString(decisions)).contains("Send[id=").doesNotContain("SendAttempt");
-        Said verify = command("capture", "verify", captures);
+        Output verify = command("capture", "verify", captures);
         assertThat(verify.code()).as(verify.out()).isZero();
         assertThat(command("capture", "info", captures).out()).contains("n1 started ", "(this build's)",
                 "classes=[lookup, load]");
@@ -147,34 +147,34 @@
     }
 
     @Test
-    void aCaptureThatLostItsTailIsToldAndPlaysUpToThere() throws Exception {
-        live(6);
+    void aTruncatedCaptureIsReportedAndReplayedUpToItsEnd() throws Exception {
+        runProgram(6);
         SegmentName first = new CaptureReader(new CaptureFolder(captures)).segmentNames().get(0);
         Path file = captures.resolve(first.fileName());
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(whole, whole.length - 5));
-        Said verify = command("capture", "verify", captures);
+        Output verify = command("capture", "verify", captures);
         assertThat(verify.code()).isEqualTo(1);
         assertThat(verify.out()).contains("gap in or before " + first.fileName()).contains("cut off within a record");
         assertThat(command("replay", captures).code()).isZero();
     }
 
-    /** Of what lies in the folder the program drops its own only, also where that is over the bound. */
+    /** The program deletes only its own segments, even if those of others exceed the size limit. */
     @Test
-    void whatOthersWroteToTheFolderIsLeftAlone() throws Exception {
+    void segmentsOfOtherInstancesAreNotDeleted() throws Exception {
         Path other = captures.resolve("n2-0000000000001-000001.qcap");
         Path own = captures.resolve("n1-0000000000001-000001.qcap");
         Files.write(other, new byte[300_000_000]);
-        Files.write(own, new byte[300_000_000]); // over the bound of 256 MB already
-        live(6);
+        Files.write(own, new byte[300_000_000]); // already exceeds the limit of 256 MB
+        runProgram(6);
         assertThat(other).exists();
         assertThat(own).doesNotExist();
     }
 
     @Test
-    void anotherBuildPlaysTheCaptureToo() throws Exception {
-        live(6);
-        Path jar = folder.resolve("other.jar"); // of the classes here: another build of the same module
+    void anotherBuildReplaysTheCapture() throws Exception {
+        runProgram(6);
+        Path jar = folder.resolve("other.jar"); // made of the classes of this build, as another build of the same module
         try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar))) {
             for (Class<?> part : List.of(Main.class, Replay.class, Scheduler.class, quincespar.records.RecordCodec.class,
                     quincespar.fleet.FleetView.class, picocli.CommandLine.class,
@@ -184,8 +184,8 @@
                 copy(Path.of(part.getProtectionDomain().getCodeSource().getLocation().toURI()), out);
             }
         }
-        Said here = command("replay", captures);
-        Said there = command("replay", captures, "--against", jar);
+        Output here = command("replay", captures);
+        Output there = command("replay", captures, "--against", jar);
         assertThat(there.code()).as(there.out()).isZero();
         assertThat(there.out().lines().findFirst()).isEqualTo(here.out().lines().findFirst());
         assertThat(command("replay", captures, "--against", folder.resolve("none.jar")).code()).isEqualTo(1);
@@ -199,7 +199,7 @@
                 String name = (root == null ? p.toString().substring(1) : root.relativize(p).toString());
                 try {
                     to.putNextEntry(new ZipEntry(name));
-                } catch (ZipException e) { // two libraries have it: the first is taken
+                } catch (ZipException e) { // in two libraries: the first one is used
                     continue;
                 }
                 to.write(Files.readAllBytes(p));
@@ -208,12 +208,12 @@
     }
 
     @Test
-    void aTimeIsCutOutAndPlaysByItself() throws Exception {
-        live(12);
-        CaptureReader.SegmentSummary s = new CaptureReader(new CaptureFolder(captures)).summarize(new CaptureReader(new CaptureFolder(captures)).segmentNames()
-                .get(0));
+    void aCutSegmentCanBeReplayedByItself() throws Exception {
+        runProgram(12);
+        CaptureReader reader = new CaptureReader(new CaptureFolder(captures));
+        CaptureReader.SegmentSummary s = reader.summarize(reader.segmentNames().get(0));
         Path out = folder.resolve("cut");
-        Said cut = command("capture", "cut", captures, "--from", s.from() / 1000, "--to", s.to() / 1000 + 60, "--out", out);
+        Output cut = command("capture", "cut", captures, "--from", s.from() / 1000, "--to", s.to() / 1000 + 60, "--out", out);
         assertThat(cut.code()).as(cut.out()).isZero();
         assertThat(command("replay", out).code()).isZero();
         assertThat(command("capture", "cut", captures, "--from", 1, "--to", 2, "--out", folder.resolve("none")).code())
@@ -221,21 +221,21 @@
         assertThat(command("replay", folder.resolve("cut-none")).code()).isEqualTo(1);
     }
 
-    /** The folder goes under the program: calls are lost and counted, and its clients do not notice. */
+    /** The folder is removed while the program runs: calls are lost and counted, and clients are served as before. */
     @Test
-    void aFolderThatIsTakenAwayHoldsUpNobody() throws Exception {
+    void aMissingFolderDoesNotDelayRequests() throws Exception {
         FrontEnd frontEnd = start();
         Path aside = folder.resolve("aside");
         Files.move(captures, aside);
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
-            ask(c, "capture.failures", 1);
+            sendUntil(c, "capture.failures", 1);
             Files.move(aside, captures);
-            ask(c, "capture.segments", 2);
-            ask(c, "capture.calls", 1 + Long.parseLong(c.counters().get("capture.calls")));
+            sendUntil(c, "capture.segments", 2);
+            sendUntil(c, "capture.calls", 1 + Long.parseLong(c.counters().get("capture.calls")));
         }
         ScriptedPeers.runAsync(frontEnd::shutDown).join();
         running.get(30, TimeUnit.SECONDS);
-        Said verify = command("capture", "verify", captures);
+        Output verify = command("capture", "verify", captures);
         assertThat(verify.code()).isEqualTo(1);
         assertThat(verify.out()).contains("calls lost: ");
         assertThat(command("replay", captures).code()).isZero();
--- a/frontend/src/test/java/quincespar/program/DescriptorLimitIT.java
+++ b/frontend/src/test/java/quincespar/program/DescriptorLimitIT.java
@@ -23,17 +23,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The jar as {@code run} starts it, with few descriptors, which idle clients fill while the change log is down. */
+/** The jar, started by the deploy file's command line, with few descriptors that idle clients use up while the change log is down. */
 @Timeout(120)
 class DescriptorLimitIT {
-    private static final int DESCRIPTORS = 128, CROWD = 300;
+    private static final int DESCRIPTORS = 128, IDLE_CONNECTIONS = 300;
 
     @Test
-    void enginesTheSecondAddressAndTheChangeLogAreReachedAmidIdleClients(@TempDir Path folder) throws Exception {
+    void enginesStatusServerAndChangeLogStayReachableUnderIdleClients(@TempDir Path folder) throws Exception {
         ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
         int port = ScriptedPeers.freePort();
         int admin = ScriptedPeers.freePort();
-        int changeLog = ScriptedPeers.freePort(); // down: nothing listens there
+        int changeLog = ScriptedPeers.freePort(); // down: nothing listens on it
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":%d,"memory_mb":144},
              "changelog":"127.0.0.1:%d","known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,
@@ -45,49 +45,49 @@
                 folder.resolve("log"));
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger connected = new AtomicInteger();
-        CompletableFuture<Void> crowd = null;
+        CompletableFuture<Void> idleClients = null;
         try {
             ScriptedPeers.awaitReady(admin);
-            crowd = ScriptedPeers.runAsync(() -> crowd(port, connected, over));
-            while (connected.get() < 2 * CROWD) { // all of them, and as many again in place of those that were closed
+            idleClients = ScriptedPeers.runAsync(() -> connectIdleClients(port, connected, over));
+            while (connected.get() < 2 * IDLE_CONNECTIONS) { // all, and as many again in place of those that were closed
                 ScriptedPeers.spin();
             }
             CompletableFuture<Void> answering = ScriptedPeers.runAsync(() -> {
                 ScriptedPeers.Engine.Command c = engine.next("serve");
                 c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
             });
-            assertThat(askedUntilHeard(port)).isEqualTo(ScriptedPeers.Kind.SERVED);
+            assertThat(sendUntilAnswered(port)).isEqualTo(ScriptedPeers.Kind.SERVED);
             answering.join();
             assertThat(ScriptedPeers.status(admin)).isEqualTo(200);
-            assertThat(asked(changeLog)).startsWith("GET /changes?since=1&");
+            assertThat(firstPoll(changeLog)).startsWith("GET /changes?since=1&");
             assertThat(p.isAlive()).isTrue();
         } finally {
             over.set(true);
             p.destroyForcibly().waitFor();
-            if (crowd != null) {
-                crowd.join();
+            if (idleClients != null) {
+                idleClients.join();
             }
         }
     }
 
-    /** A connection may be shut unread in such a crowd: then a client asks again on a new one. */
-    private static ScriptedPeers.Kind askedUntilHeard(int port) {
+    /** Retries on a new connection, as one may be closed unread under so many idle ones. */
+    private static ScriptedPeers.Kind sendUntilAnswered(int port) {
         for (int i = 1; ; i++) {
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 c.call(1, ScriptedPeers.fields("load", String.format("%016x", i)));
                 return c.answer();
-            } catch (IOException shut) {
+            } catch (IOException closed) {
                 ScriptedPeers.spin();
             }
         }
     }
 
-    /** Connects and says nothing, and once more for each that is closed. */
-    private static void crowd(int port, AtomicInteger connected, AtomicBoolean over) throws IOException {
+    /** Opens idle connections, and replaces those that are closed. */
+    private static void connectIdleClients(int port, AtomicInteger connected, AtomicBoolean over) throws IOException {
         List<SocketChannel> all = new ArrayList<>();
-        ByteBuffer nothing = ByteBuffer.allocate(1);
+        ByteBuffer empty = ByteBuffer.allocate(1);
         while (!over.get()) {
-            if (all.size() < CROWD) {
+            if (all.size() < IDLE_CONNECTIONS) {
                 SocketChannel c = SocketChannel.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 c.configureBlocking(false);
                 all.add(c);
@@ -95,7 +95,7 @@
                 continue;
             }
             for (SocketChannel c : List.copyOf(all)) {
-                if (ended(c, nothing)) {
+                if (ended(c, empty)) {
                     c.close();
                     all.remove(c);
                 }
@@ -106,19 +106,19 @@
         }
     }
 
-    private static boolean ended(SocketChannel c, ByteBuffer nothing) {
+    private static boolean ended(SocketChannel c, ByteBuffer empty) {
         try {
-            return c.read(nothing.clear()) < 0;
+            return c.read(empty.clear()) < 0;
         } catch (IOException e) {
             return true;
         }
     }
 
-    /** The first question to a change log that is up from now on. */
-    private static String asked(int port) throws IOException {
-        try (ServerSocket back = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
-            back.setSoTimeout(20_000);
-            try (Socket s = back.accept()) {
+    /** Starts the change log and returns its first poll. */
+    private static String firstPoll(int port) throws IOException {
+        try (ServerSocket changeLog = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
+            changeLog.setSoTimeout(20_000);
+            try (Socket s = changeLog.accept()) {
                 return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
             }
         }
--- a/frontend/src/test/java/quincespar/program/FrontEndTest.java
+++ b/frontend/src/test/java/quincespar/program/FrontEndTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.settings.Settings;
 
-/** The whole program over loopback against scripted peers, one story for each failure met. */
+/** The whole program over loopback against scripted peers. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @Timeout(60)
 class FrontEndTest {
@@ -34,7 +34,7 @@
     private int port;
 
     @BeforeAll
-    @Timeout(60) // the class's own is for its stories only
+    @Timeout(60) // the timeout of the class applies to its test methods only
     void start(@TempDir Path folder) throws Exception {
         engine = new ScriptedPeers.Engine();
         changes = new ScriptedPeers.ChangeLog();
@@ -63,38 +63,38 @@
         ScriptedPeers.awaitHealthy(port);
     }
 
-    /** Last, so that it is a story too: what was taken before the word to stop is answered after it. */
+    /** Shuts the program down and checks that requests accepted before the shutdown are answered. */
     @AfterAll
     @Timeout(60)
-    void whatWasTakenIsAnsweredBeforeTheEnd() throws Exception {
+    void acceptedRequestsAreAnsweredBeforeTheEnd() throws Exception {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
             ScriptedPeers.Engine.Command serve = engine.next("serve");
-            Thread leaving = new Thread(() -> {
+            Thread shutdown = new Thread(() -> {
                 try {
                     frontEnd.shutDown();
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            leaving.start();
+            shutdown.start();
             while (c.healthy()) {
                 ScriptedPeers.spin();
             }
-            try (ScriptedPeers.Client late = new ScriptedPeers.Client(port)) { // clients come for a while yet
+            try (ScriptedPeers.Client late = new ScriptedPeers.Client(port)) { // new connections are accepted for a while
                 late.call(1, with("txn", "00000000000000bb"));
                 engine.next("serve").answer("00000000000000bb", "DONE", "count=1", "late\ta\tb\n");
                 assertThat(text(late.frame())).contains("late\ta\tb\n");
             }
             serve.answer(serve.id(), "DONE", "count=1", "row\ta\tb\n");
             assertThat(text(c.frame())).contains("row\ta\tb\n");
-            leaving.join();
+            shutdown.join();
             running.join();
             assertThatThrownBy(c::frame).isInstanceOf(EOFException.class);
         }
     }
 
-    /** A request under an id of its own, as every one has. */
+    /** The fields of a request with a new id. */
     private Map<String, String> lookup() {
         return with("txn", String.format("%016x", ++requests));
     }
@@ -118,7 +118,7 @@
     @Test
     void allPagesAreServedInOrder() throws Exception {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
-            Map<String, String> load = lookup(); // what may not run twice: the module cuts none on a slow machine
+            Map<String, String> load = lookup(); // an unsafe request: never cancelled as slow on a busy machine
             load.put("verb", "load");
             c.call(1, load);
             ScriptedPeers.Engine.Command serve = engine.next("serve");
@@ -134,9 +134,9 @@
     }
 
     @Test
-    void closesAreCountedByTheirCause() throws Exception {
+    void closedConnectionsAreCountedByCause() throws Exception {
         try (ScriptedPeers.Client silent = new ScriptedPeers.Client(port); ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
-            assertThatThrownBy(silent::frame).isInstanceOf(IOException.class); // it has said nothing for too long
+            assertThatThrownBy(silent::frame).isInstanceOf(IOException.class); // closed because it has sent nothing for too long
             try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                 while (!again.counters().containsKey("closed.nothing_open")) { // counted once the socket is closed
                     ScriptedPeers.spin();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aClientThatLeavesHasItsAttemptCancelled() throws Exception {
+    void anAttemptIsCancelledWhenItsClientDisconnects() throws Exception {
         String id;
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void whatCannotBeUsedGetsAnApplicationExceptionAndNothingElseEnds() throws Exception {
+    void anInvalidRequestGetsAnApplicationExceptionAndClosesItsConnectionOnly() throws Exception {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (Map<String, String> wrong : java.util.List.of(with("verb", "odd"), with("team", "odd"),
                     with("limit", "-1"), with("limit", "99999"), with("cpu", "much"), with("cpu", "NaN"),
@@ -164,12 +164,12 @@
                 try (ScriptedPeers.Client bad = new ScriptedPeers.Client(port)) {
                     bad.call(1, wrong);
                     assertThat(bad.frame()[3]).isEqualTo((byte) 3);
-                    assertThatThrownBy(bad::frame).isInstanceOf(IOException.class); // it would try again for good
+                    assertThatThrownBy(bad::frame).isInstanceOf(IOException.class); // closed, as such a client would retry forever
                 }
             }
             try (ScriptedPeers.Client malformed = new ScriptedPeers.Client(port)) {
                 malformed.raw(new byte[] {0, 0, 0, 4, 1, 2, 3, 4});
-                assertThat(malformed.frame()[3]).isEqualTo((byte) 3); // it is told so, and then its connection ends
+                assertThat(malformed.frame()[3]).isEqualTo((byte) 3); // answered with an exception, and then closed
                 assertThatThrownBy(malformed::frame).isInstanceOf(IOException.class);
             }
             assertThat(c.healthy()).isTrue();
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aMalformedAnswerEndsItsConnectionOnlyAndTheQueryIsTriedAgain() throws Exception {
+    void aMalformedAnswerClosesItsConnectionOnlyAndTheQueryIsRetried() throws Exception {
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             c.call(1, lookup());
             engine.next("serve").raw("+nonsense\r\n");
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aBadAnswerOfTheChangeLogKeepsTheListAndIsAskedForAgain() throws Exception {
+    void anInvalidAnswerOfTheChangeLogKeepsTheListAndIsPolledAgain() throws Exception {
         changes.answers.add("{\"seq\":");
         changes.answers.add("{\"seq\":1,\"results\":[]}");
         for (int i = 0; i < 3; i++) {
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aNewConfigurationIsTakenWhileServing() throws Exception {
+    void aNewConfigurationIsAppliedWhileServing() throws Exception {
         ScriptedPeers.ChangeLog moved = new ScriptedPeers.ChangeLog();
         String old = Files.readString(file);
         Files.writeString(file, "{");
@@ -215,7 +215,7 @@
         frontEnd.requestReload();
         assertThat(moved.polls.take()).startsWith("GET /changes?since=1&timeout=");
         Files.writeString(file, old);
-        frontEnd.requestReload(); // and back again, as the other stories need the old one
+        frontEnd.requestReload(); // and back again, as the other tests need the old one
         while (changes.polls.poll(10, java.util.concurrent.TimeUnit.MILLISECONDS) == null) {
             ScriptedPeers.spin();
         }
@@ -224,20 +224,20 @@
         }
     }
 
-    /** Bound early, it would be handed connections that wait until the warm-up is over, beside a process that could serve. */
+    /** Bound earlier, it would receive connections that wait for the end of the warm-up while another process could serve them. */
     @Test
-    void theClientsAddressIsBoundByTheStartAndNotBefore(@TempDir Path folder) throws Exception {
+    void theClientsAddressIsNotBoundBeforeTheStart(@TempDir Path folder) throws Exception {
         int other = ScriptedPeers.freePort();
         Path copy = Files.writeString(folder.resolve("config.json"), Files.readString(file).replace(
                 "127.0.0.1:" + port + "\"", "127.0.0.1:" + other + "\""));
         FrontEnd waiting = new FrontEnd(Map.of("GW_CONFIG", copy.toString()), Settings.defaults(),
                 Logs.start(Settings.defaults()));
         assertThatThrownBy(() -> new ScriptedPeers.Client(other)).isInstanceOf(java.net.ConnectException.class);
-        waiting.shutDown(); // it has taken nothing, so it ends at once
+        waiting.shutDown(); // it has accepted nothing, so it stops at once
     }
 
     @Test
-    void aBadConfigurationIsToldInOneLine(@TempDir Path folder) throws IOException {
+    void anInvalidConfigurationIsReportedInOneLine(@TempDir Path folder) throws IOException {
         Path file = Files.writeString(folder.resolve("bad.json"), "{\"listen\":\"127.0.0.1:1\"");
         for (Map<String, String> wrong : java.util.List.of(Map.<String, String>of(),
                 Map.of("GW_CONFIG", folder.resolve("none").toString()), Map.of("GW_CONFIG", file.toString()))) {
--- a/frontend/src/test/java/quincespar/program/LogsTest.java
+++ b/frontend/src/test/java/quincespar/program/LogsTest.java
@@ -39,10 +39,10 @@
     }
 
     @Test
-    void linesAreTextWithTheirFieldsOrOneJsonObjectEach() throws ConfException {
+    void linesAreTextWithFieldsOrJsonObjects() throws ConfException {
         Runnable body = () -> {
             log.atInfo().addKeyValue("engine", "s-1").log("a link is {}", "up");
-            log.debug("not asked for");
+            log.debug("below the level");
         };
         assertThat(lines("", body)).matches("(?s)[0-9:.]{12} INFO  a link is up engine=\"s-1\"\n");
         written.reset();
@@ -51,19 +51,19 @@
         assertThat(json).contains("\"a link is up\"", "{\"engine\":\"s-1\"}", "\"DEBUG\"");
     }
 
-    /** Whoever reads standard error may stop: no log call waits for that, and what is dropped is counted. */
+    /** The reader of standard error may stop reading: log calls do not block, and dropped lines are counted. */
     @Test
-    void aReaderOfTheLogThatStopsHoldsUpNobody() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        CountDownLatch stuck = new CountDownLatch(1);
+    void aBlockedStandardErrorDoesNotBlockLogCalls() throws Exception {
+        CountDownLatch reading = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         System.setErr(new PrintStream(new OutputStream() {
             @Override
             public void write(int b) {
                 boolean interrupted = false;
-                stuck.countDown();
-                while (reads.getCount() > 0) { // as a pipe that is full: an interrupt does not end the write
+                blocked.countDown();
+                while (reading.getCount() > 0) { // like a full pipe: an interrupt does not end the write
                     try {
-                        reads.await();
+                        reading.await();
                     } catch (InterruptedException e) {
                         interrupted = true;
                     }
@@ -76,12 +76,12 @@
         }, true, StandardCharsets.UTF_8));
         Logs logs = Logs.start(ConfReader.read("f", "log {\n queue 16\n}\n"));
         log.info("the first line");
-        stuck.await(); // the writer takes all that is queued when it wakes: only once it is stuck do places stay taken
+        blocked.await(); // the writer drains the whole queue when it wakes: the queue stays full only once it is blocked
         for (int i = 0; i < 100; i++) {
             log.info("line {}", i);
         }
         assertThat(logs.dropped()).isEqualTo(100 - 16);
-        reads.countDown();
+        reading.countDown();
         logs.stop();
         String lines = written.toString(StandardCharsets.UTF_8);
         assertThat(lines).contains("the first line\n", "line 15\n").doesNotContain("line 16\n", "line 99\n");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void anErrorIsLoggedWithItsTrace() throws ConfException {
+    void anErrorIsLoggedWithItsStackTrace() throws ConfException {
         assertThat(lines("", () -> log.error("in the reducer", new UncheckedIOException(new IOException("disk")))))
                 .contains("in the reducer", "UncheckedIOException", "LogsTest");
     }
--- a/frontend/src/test/java/quincespar/program/MetricsTest.java
+++ b/frontend/src/test/java/quincespar/program/MetricsTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.settings.Settings;
 
-/** The figures against what scripted peers saw: once all is quiet they agree exactly. */
+/** The metrics agree exactly with what scripted peers counted, once no request is open. */
 @Timeout(60)
 class MetricsTest {
-    private final Map<String, Integer> seen = new HashMap<>();
+    private final Map<String, Integer> counted = new HashMap<>();
     private ScriptedPeers.Engine engine;
     private int admin;
     private int port;
@@ -58,23 +58,23 @@
                 "heap_mb", "1");
     }
 
-    /** Has one request sent, and takes it at the engine. */
-    private ScriptedPeers.Engine.Command taken(ScriptedPeers.Client c, String verb) throws Exception {
+    /** Sends a request and waits for it at the engine. */
+    private ScriptedPeers.Engine.Command sendToEngine(ScriptedPeers.Client c, String verb) throws Exception {
         c.call(1, fields(verb));
         ScriptedPeers.Engine.Command serve = engine.next("serve");
-        seen.merge("sends", 1, Integer::sum);
+        counted.merge("sends", 1, Integer::sum);
         return serve;
     }
 
-    /** What the client was told: a result, Busy, or Failed, by the number of the answer's field. */
-    private void told(ScriptedPeers.Client c, String verb) throws IOException {
-        byte[] frame = c.frame(); // strict binary: version and type, name, number, then the field's type and number
+    /** Counts the client's answer: a result, Busy or Failed, by the field number in the frame. */
+    private void countAnswer(ScriptedPeers.Client c, String verb) throws IOException {
+        byte[] frame = c.frame(); // Thrift binary protocol: version and type, name, number, then the field's type and number
         int name = frame[7];
         int field = frame[8 + name + 4 + 2];
-        seen.merge(verb + (field == 0 ? ".answered" : field == 1 ? ".deferred" : ".errored"), 1, Integer::sum);
+        counted.merge(verb + (field == 0 ? ".answered" : field == 1 ? ".deferred" : ".errored"), 1, Integer::sum);
     }
 
-    private Map<String, String> figures() throws IOException {
+    private Map<String, String> metrics() throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), admin)) {
             s.getOutputStream().write("GET /status/metrics HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             Map<String, String> out = new HashMap<>();
@@ -85,55 +85,55 @@
     }
 
     @Test
-    void theFiguresAreWhatPeersSaw(@TempDir Path folder) throws Exception {
+    void theMetricsAgreeWithWhatPeersCounted(@TempDir Path folder) throws Exception {
         start(folder);
         for (String verb : new String[] {"lookup", "load", "lookup"}) {
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // served
-                ScriptedPeers.Engine.Command serve = taken(c, verb);
+                ScriptedPeers.Engine.Command serve = sendToEngine(c, verb);
                 serve.answer(serve.id(), "DONE", "count=1", "row\ta\tb\n");
-                told(c, verb);
+                countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // an error: it may have run, and one attempt is all
-                ScriptedPeers.Engine.Command serve = taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // an error: it may have run, and only one attempt is allowed
+                ScriptedPeers.Engine.Command serve = sendToEngine(c, verb);
                 serve.answer(serve.id(), "BROKE", "-", "");
-                told(c, verb);
+                countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // turned away by the engine: it never ran
-                ScriptedPeers.Engine.Command serve = taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // refused by the engine: it never ran
+                ScriptedPeers.Engine.Command serve = sendToEngine(c, verb);
                 serve.answer(serve.id(), "WAIT", "-", "");
-                told(c, verb);
+                countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a spoilt answer
-                taken(c, verb).raw("+nonsense\r\n");
-                told(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a malformed answer
+                sendToEngine(c, verb).raw("+nonsense\r\n");
+                countAnswer(c, verb);
             }
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a lost link
-                taken(c, verb).from().close();
-                told(c, verb);
+                sendToEngine(c, verb).from().close();
+                countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // one that goes away: in none of the states
-                taken(c, verb);
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a client that disconnects: counted in none of the states
+                sendToEngine(c, verb);
             }
             assertThat(engine.next("cancel")).isNotNull();
         }
-        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // open: taken, and not ended
-            taken(c, "load");
-            while (!figures().get("gw_current").equals("1")) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // open: accepted and not answered
+            sendToEngine(c, "load");
+            while (!metrics().get("gw_current").equals("1")) {
                 ScriptedPeers.spin();
             }
         }
-        while (!figures().get("gw_current").equals("0")) {
+        while (!metrics().get("gw_current").equals("0")) {
             ScriptedPeers.spin();
         }
-        Map<String, String> told = figures();
+        Map<String, String> metrics = metrics();
         for (String verb : new String[] {"lookup", "load"}) {
             for (String state : new String[] {"answered", "deferred", "errored"}) {
-                assertThat(told).containsEntry("gw_transactions_total{group=\"" + verb + "\",state=\"" + state + "\"}",
-                        "" + seen.getOrDefault(verb + "." + state, 0));
+                assertThat(metrics).containsEntry("gw_transactions_total{group=\"" + verb + "\",state=\"" + state + "\"}",
+                        "" + counted.getOrDefault(verb + "." + state, 0));
             }
         }
-        assertThat(told).containsEntry("gw_sends_total", "" + seen.get("sends")).containsEntry("gw_cluster_size", "2")
+        assertThat(metrics).containsEntry("gw_sends_total", "" + counted.get("sends")).containsEntry("gw_cluster_size", "2")
                 .containsEntry("gw_cluster_unhealthy", "0").containsEntry("gw_conf_loaded_total", "0");
-        assertThat(seen).containsKeys("lookup.answered", "lookup.deferred", "load.answered", "load.deferred", "load.errored");
+        assertThat(counted).containsKeys("lookup.answered", "lookup.deferred", "load.answered", "load.deferred", "load.errored");
     }
 }
--- a/frontend/src/test/java/quincespar/program/ProcessLocksTest.java
+++ b/frontend/src/test/java/quincespar/program/ProcessLocksTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What processes of one front end know of each other; that a killed one gives its locks back is the system's word. */
+/** Detection of other processes of a front end. Release of a killed process's locks is left to the operating system. */
 class ProcessLocksTest {
     @TempDir
     private Path folder;
 
-    private ProcessLocks join() {
-        return join(8080);
+    private ProcessLocks acquire() {
+        return acquire(8080);
     }
 
-    private ProcessLocks join(int port) {
+    private ProcessLocks acquire(int port) {
         return ProcessLocks.acquire(Map.of("TMPDIR", folder.toString()), listen(port));
     }
 
@@ -27,10 +27,10 @@
         return InetSocketAddress.createUnresolved("127.0.0.1", port);
     }
 
-    /** A front end at another address may use the same folder: taken for a new version it would have the clients moved to it. */
+    /** A front end at another address may use the same folder: mistaken for a new process, it would have the clients moved to it. */
     @Test
-    void oneAtAnotherAddressIsNoSibling() throws IOException {
-        try (ProcessLocks one = join(8080); ProcessLocks other = join(8081)) {
+    void aProcessAtAnotherAddressIsNotDetected() throws IOException {
+        try (ProcessLocks one = acquire(8080); ProcessLocks other = acquire(8081)) {
             other.markServing();
             assertThat(one.othersAlive()).isFalse();
             assertThat(one.othersServing()).isFalse();
@@ -38,10 +38,10 @@
     }
 
     @Test
-    void oneThatLivesIsSeenAndOneThatServesIsToldApart() throws IOException {
-        ProcessLocks first = join();
+    void aLiveProcessAndAServingProcessAreDistinguished() throws IOException {
+        ProcessLocks first = acquire();
         assertThat(first.othersAlive()).isFalse();
-        try (ProcessLocks second = join()) {
+        try (ProcessLocks second = acquire()) {
             assertThat(first.othersAlive()).isTrue();
             assertThat(second.othersAlive()).isTrue();
             assertThat(first.othersServing()).isFalse();
@@ -55,21 +55,21 @@
     }
 
     @Test
-    void filesThatAreLeftOverStopNoStartAndSayNothing() throws IOException {
+    void leftOverFilesHaveNoEffect() throws IOException {
         for (int i = 0; i < 8; i++) {
             Files.writeString(folder.resolve("quincespar-127.0.0.1_8080-" + i + ".lock"), "left over");
         }
-        try (ProcessLocks alone = join()) {
+        try (ProcessLocks alone = acquire()) {
             assertThat(alone.othersAlive()).isFalse();
             assertThat(alone.othersServing()).isFalse();
-            try (ProcessLocks second = join()) {
+            try (ProcessLocks second = acquire()) {
                 assertThat(second.othersAlive()).isTrue();
             }
         }
     }
 
     @Test
-    void withoutAFolderThereIsNoWordOfOthers() throws IOException {
+    void withoutAFolderNoOtherProcessIsDetected() throws IOException {
         for (Map<String, String> none : java.util.List.of(Map.<String, String>of(),
                 Map.of("TMPDIR", folder.resolve("none").toString()))) {
             try (ProcessLocks alone = ProcessLocks.acquire(none, listen(8080))) {
--- a/frontend/src/test/java/quincespar/program/ReloadSignalTest.java
+++ b/frontend/src/test/java/quincespar/program/ReloadSignalTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.settings.Settings;
 
-/** SIGHUP at the moments at which it is least expected: before the program is ready, and after the word to stop. */
+/** SIGHUP at unusual moments: before the program serves, and after the start of the shutdown. */
 @Timeout(60)
 class ReloadSignalTest {
     @TempDir
@@ -29,7 +29,7 @@
     }
 
     @BeforeEach
-    void peers() throws IOException {
+    void createPeers() throws IOException {
         engine = new ScriptedPeers.Engine();
         changes = new ScriptedPeers.ChangeLog();
         port = ScriptedPeers.freePort();
@@ -38,54 +38,54 @@
                 Logs.start(Settings.defaults()));
     }
 
-    private void isServed(ScriptedPeers.Client c, int call, String verb, String txn) throws Exception {
+    private void checkServed(ScriptedPeers.Client c, int call, String verb, String txn) throws Exception {
         c.call(call, ScriptedPeers.fields(verb, txn));
         engine.next("serve").answer(txn, "DONE", "count=1", verb + "\ta\tb\n");
         assertThat(new String(c.frame(), StandardCharsets.ISO_8859_1)).contains(verb + "\ta\tb\n");
     }
 
-    private static void untilTaken(ScriptedPeers.Client c) throws IOException {
+    private static void awaitReloaded(ScriptedPeers.Client c) throws IOException {
         while (!c.counters().get("configurations.taken").equals("1")) {
             ScriptedPeers.spin();
         }
     }
 
-    /** It was read before, so without a second look the old file would be in force for good. */
+    /** The file has been read by then, so without a reload the old configuration would stay in use forever. */
     @Test
-    void aSignalBeforeItServesIsHeardOnceItDoes() throws Exception {
+    void aSignalBeforeServingIsHandledOnceItServes() throws Exception {
         write(ScriptedPeers.LOAD, ScriptedPeers.LOOKUP);
         frontEnd.requestReload();
         CompletableFuture<Void> running = ScriptedPeers.runAsync(frontEnd::run);
         ScriptedPeers.awaitHealthy(port);
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
-            untilTaken(c);
-            isServed(c, 1, "lookup", "00000000000000aa");
+            awaitReloaded(c);
+            checkServed(c, 1, "lookup", "00000000000000aa");
         }
         ScriptedPeers.runAsync(frontEnd::shutDown).join();
         running.join();
     }
 
-    /** What is still taken after the word to stop goes by the new file; what is open by the old one. */
+    /** Requests accepted after the start of the shutdown follow the new file, open ones the old file. */
     @Test
-    void aSignalAfterTheWordToStopStillBinds() throws Exception {
+    void aSignalDuringTheShutdownIsHandled() throws Exception {
         CompletableFuture<Void> running = ScriptedPeers.runAsync(frontEnd::run);
         ScriptedPeers.awaitHealthy(port);
         try (ScriptedPeers.Client c = new ScriptedPeers.Client(port); ScriptedPeers.Client open = new ScriptedPeers.Client(port)) {
             open.call(1, ScriptedPeers.fields("load", "00000000000000bb"));
-            ScriptedPeers.Engine.Command out = engine.next("serve"); // open: the program can't end before it is answered
-            CompletableFuture<Void> leaving = ScriptedPeers.runAsync(frontEnd::shutDown);
+            ScriptedPeers.Engine.Command out = engine.next("serve"); // the program can't end before this open request is answered
+            CompletableFuture<Void> shutdown = ScriptedPeers.runAsync(frontEnd::shutDown);
             while (c.healthy()) {
                 ScriptedPeers.spin();
             }
             write(ScriptedPeers.LOOKUP);
             frontEnd.requestReload();
-            untilTaken(c);
-            isServed(c, 1, "lookup", "00000000000000cc");
+            awaitReloaded(c);
+            checkServed(c, 1, "lookup", "00000000000000cc");
             out.answer(out.id(), "DONE", "count=1", "row\ta\tb\n");
             assertThat(new String(open.frame(), StandardCharsets.ISO_8859_1)).contains("row\ta\tb\n");
-            leaving.join();
+            shutdown.join();
             running.join();
         }
-        frontEnd.requestReload(); // after the end nobody hears it, and nothing fails
+        frontEnd.requestReload(); // after the end it has no effect and does not fail
     }
 }
--- a/frontend/src/test/java/quincespar/program/RestartUnderIdleConnectionsTest.java
+++ b/frontend/src/test/java/quincespar/program/RestartUnderIdleConnectionsTest.java
@@ -23,13 +23,12 @@
 import quincespar.settings.Settings;
 
 /**
- * A planned restart amid a crowd that connects and says nothing, as in the recorded incident: every request of the
- * usual clients that was written whole to a connection which the system took is answered, and the crowd does not
- * delay the end.
+ * A planned restart while many clients connect and send nothing, as in a recorded incident: each request of other clients that was
+ * written completely to an accepted connection is answered, and the idle connections do not delay the end.
  */
 @Timeout(60)
 class RestartUnderIdleConnectionsTest {
-    private static final int CROWD = 300;
+    private static final int IDLE_CONNECTIONS = 300;
     private static final int CLIENTS = 20;
 
     private final AtomicBoolean stopping = new AtomicBoolean();
@@ -37,7 +36,7 @@
     private final AtomicInteger answered = new AtomicInteger();
 
     @Test
-    void noRequestIsLostInARestartAmidASilentCrowd(@TempDir Path folder) throws Exception {
+    void noRequestIsLostInARestartUnderIdleConnections(@TempDir Path folder) throws Exception {
         ScriptedPeers.Engine engine = new ScriptedPeers.Engine();
         ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
         int port = ScriptedPeers.freePort();
@@ -62,8 +61,8 @@
         });
         pool.submit(() -> serveAll(engine));
         ScriptedPeers.awaitHealthy(port);
-        List<Socket> crowd = new ArrayList<>();
-        Future<?> crowding = pool.submit(() -> crowd(port, crowd));
+        List<Socket> idle = new ArrayList<>();
+        Future<?> connecting = pool.submit(() -> connectIdle(port, idle));
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
@@ -72,20 +71,20 @@
         while (answered.get() < 5 * CLIENTS) {
             ScriptedPeers.spin();
         }
-        Future<?> leaving = pool.submit(() -> {
+        Future<?> shutdown = pool.submit(() -> {
             frontEnd.shutDown();
             return null;
         });
         int before = answered.get();
-        while (answered.get() < before + CLIENTS) { // requests keep coming for a while after the word to stop
+        while (answered.get() < before + CLIENTS) { // requests are accepted for a while after the start of the shutdown
             ScriptedPeers.spin();
         }
         stopping.set(true);
         join(clients);
-        leaving.get();
+        shutdown.get();
         running.get();
-        crowding.get();
-        for (Socket s : crowd) {
+        connecting.get();
+        for (Socket s : idle) {
             s.close();
         }
         pool.shutdownNow();
@@ -108,21 +107,21 @@
         }
     }
 
-    /** Connects as often as the system lets it, and says nothing. */
-    private Void crowd(int port, List<Socket> all) {
-        for (int i = 0; i < CROWD && !stopping.get(); i++) {
+    /** Opens idle connections until the limit or the first refused one. */
+    private Void connectIdle(int port, List<Socket> all) {
+        for (int i = 0; i < IDLE_CONNECTIONS && !stopping.get(); i++) {
             Socket s = new Socket();
             try {
                 s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
                 all.add(s);
             } catch (IOException e) {
-                return null; // it takes no more: that is what a crowd meets at the end
+                return null; // the listener is closed at the end of the restart
             }
         }
         return null;
     }
 
-    /** Asks on a connection of its own, again and again, a new connection every fifth time. */
+    /** Sends requests one by one, five on each connection. */
     private Void client(int port, int number) throws IOException {
         for (int round = 0; !stopping.get(); round++) {
             try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
@@ -132,7 +131,7 @@
                     try {
                         c.frame();
                         answered.incrementAndGet();
-                    } catch (IOException e) { // its connection ended, or nothing came
+                    } catch (IOException e) { // the connection was closed, or no answer came
                         lost.incrementAndGet();
                     }
                 }
--- a/frontend/src/test/java/quincespar/program/StatusServerTest.java
+++ b/frontend/src/test/java/quincespar/program/StatusServerTest.java
@@ -19,7 +19,7 @@
 import quincespar.program.runtime.Timers;
 import quincespar.program.status.StatusServer;
 
-/** The second address over loopback, with nothing behind it: what callers of every kind get. */
+/** The status server over loopback, without a front end. */
 @Timeout(60)
 class StatusServerTest {
     private final AtomicBoolean ready = new AtomicBoolean();
@@ -30,9 +30,9 @@
         start(3_600_000);
     }
 
-    private void start(double longestMs) throws IOException {
+    private void start(double timeoutMs) throws IOException {
         port = ScriptedPeers.freePort();
-        new StatusServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Timers(i -> { }), longestMs,
+        new StatusServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Timers(i -> { }), timeoutMs,
                 ready::get, () -> "gw_current 3\n").start();
     }
 
@@ -42,7 +42,7 @@
         return s;
     }
 
-    /** All that comes back until the end. */
+    /** Sends a text and returns all that is received until the connection is closed. */
     private String call(String text) throws IOException {
         try (Socket s = connect()) {
             s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -64,13 +64,13 @@
     }
 
     @Test
-    void theFiguresComeWithTheirContentType() throws IOException {
+    void theMetricsHaveTheirContentType() throws IOException {
         assertThat(call(get("/status/metrics"))).startsWith("HTTP/1.1 200 ").contains("Content-Length: 13\r\n",
                 "Content-Type: text/plain; version=0.0.4; charset=utf-8\r\n").endsWith("\r\n\r\ngw_current 3\n");
     }
 
     @Test
-    void whatCannotBeAnsweredIsToldSo() throws IOException {
+    void invalidRequestsGetAnErrorStatus() throws IOException {
         assertThat(call("\u0016\u0003\u0001\n\n")).startsWith("HTTP/1.1 400 ");
         assertThat(call(get("/else"))).startsWith("HTTP/1.1 404 ");
         assertThat(call("POST /status HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")).startsWith("HTTP/1.1 405 ")
@@ -80,25 +80,25 @@
         assertThat(call(get("/status") + get("/status"))).containsOnlyOnce("HTTP/1.1 200 ");
     }
 
-    /** Those that connect and say nothing, or half a head, keep no one else out, even where they are many. */
+    /** Many callers with incomplete requests must not keep other callers from being served. */
     @Test
-    void callersThatFinishNoCallHoldUpNobody() throws IOException {
-        List<Socket> dawdling = new ArrayList<>();
+    void incompleteRequestsDoNotBlockOtherCallers() throws IOException {
+        List<Socket> incomplete = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             Socket s = connect();
             s.getOutputStream().write("GET /sta".getBytes(StandardCharsets.ISO_8859_1));
-            dawdling.add(s);
+            incomplete.add(s);
             assertThat(call(get("/status/metrics"))).startsWith("HTTP/1.1 200 ");
         }
         int closed = 0;
-        for (Socket s : dawdling.subList(0, 70)) { // these had to make room
+        for (Socket s : incomplete.subList(0, 70)) { // these were closed for newer ones
             closed += ended(s) ? 1 : 0;
         }
         assertThat(closed).isEqualTo(70);
-        Socket half = dawdling.get(99); // one that is there still may finish its call
-        half.getOutputStream().write("tus/metrics HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-        assertThat(new String(half.getInputStream().readAllBytes(), StandardCharsets.UTF_8)).startsWith("HTTP/1.1 200 ");
-        for (Socket s : dawdling) {
+        Socket remaining = incomplete.get(99); // one that is still connected can finish its request
+        remaining.getOutputStream().write("tus/metrics HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+        assertThat(new String(remaining.getInputStream().readAllBytes(), StandardCharsets.UTF_8)).startsWith("HTTP/1.1 200 ");
+        for (Socket s : incomplete) {
             s.close();
         }
     }
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aCallerThatNeverFinishesIsClosedInTime() throws IOException {
+    void anIncompleteRequestIsClosedAfterTheTimeout() throws IOException {
         start(50);
         try (Socket s = connect()) {
             s.getOutputStream().write('G');
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void anAddressThatCannotBeBoundIsToldInOneLine() throws IOException {
+    void anAddressThatCannotBeBoundIsReportedInOneLine() throws IOException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             assertThatThrownBy(() -> new StatusServer(new InetSocketAddress("127.0.0.1",
                     taken.getLocalPort()), new Timers(i -> { }), 50, ready::get, () -> "")).isInstanceOf(IOException.class)
