--- a/faultbench/src/main/java/quincespar/faultbench/Run.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Run.java
@@ -49,14 +49,18 @@
     private final Map<String, Long> mustNotEnd = Collections.synchronizedMap(new LinkedHashMap<>());
     /** Instances whose load list was damaged: entries after the damage are lost. */
     private final Set<String> damagedLoadLists = Collections.synchronizedSet(new LinkedHashSet<>());
+    /** Amount of {@link Verb#SPOIL} that selects the load list. */
     private static final int LOAD_LIST_FILE = 3;
     private final Map<StandInEngine, Long> drainedAt = Collections.synchronizedMap(new LinkedHashMap<>());
     /** All loads that each instance has listed as in doubt. */
     private final Map<String, Set<String>> doubtfulLoads = Collections.synchronizedMap(new LinkedHashMap<>());
     private static final Set<Verb> ENVIRONMENT_VERBS = Set.of(Verb.DARK, Verb.LIGHT, Verb.SILENT, Verb.HEARD, Verb.DRAIN,
             Verb.FORGET, Verb.RETURNED);
+    /** Instances whose folder was deleted, damaged or taken from another: its identity may change. */
     private final Set<String> replacedFolders = Collections.synchronizedSet(new LinkedHashSet<>());
+    /** Second processes started under the name of another. */
     private final Set<String> duplicates = Collections.synchronizedSet(new LinkedHashSet<>());
+    /** Threads started by steps, joined at the end. */
     private final List<Thread> lateThreads = Collections.synchronizedList(new ArrayList<>());
     private volatile long lastStepAt;
     private volatile boolean registerLoadRunning = true;
@@ -143,8 +147,8 @@
         return until(condition, CONVERGE_TIMEOUT_S);
     }
 
-    private static boolean until(BooleanSupplier condition, int longestS) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(longestS);
+    private static boolean until(BooleanSupplier condition, int timeoutS) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 return false;
--- a/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
@@ -14,7 +14,7 @@
 
 /** HTTP client of an instance's admin interface. */
 public final class AdminClient {
-    private static final int HEAD = 4;
+    private static final int HEADER_SEPARATOR_CHARS = 4;
 
     /** An HTTP response; status 0 means that none arrived. */
     public record Response(int status, String body) {
@@ -66,9 +66,9 @@
             s.getOutputStream().write((method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(
                     StandardCharsets.US_ASCII));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            int head = text.indexOf("\r\n\r\n");
-            return head < 0 || !text.startsWith("HTTP/1.1 ") ? new Response(0, "")
-                    : new Response(Integer.parseInt(text.substring(9, 12)), text.substring(head + HEAD));
+            int headerEnd = text.indexOf("\r\n\r\n");
+            return headerEnd < 0 || !text.startsWith("HTTP/1.1 ") ? new Response(0, "")
+                    : new Response(Integer.parseInt(text.substring(9, 12)), text.substring(headerEnd + HEADER_SEPARATOR_CHARS));
         } catch (IOException e) { // refused, reset or timed out; callers make no difference
             return new Response(0, "");
         }
