--- a/laboratory/src/main/java/quincespar/laboratory/PowerLossSimulation.java
+++ b/laboratory/src/main/java/quincespar/laboratory/PowerLossSimulation.java
@@ -96,6 +96,9 @@
     private static final double MEAN_WORK_MS = CLASSES.stream().mapToDouble(c -> c.workMs() * c.share()).sum();
     private static final double MEAN_WORTH = CLASSES.stream().mapToDouble(c -> c.worth() * c.share()).sum();
     private static final VirtualEngine.Profile ENGINE = new VirtualEngine.Profile(8, 10_000, 0.3, 1000, 1.5, MEAN_WORK_MS);
+    /** The work of a request is the mean of its class times a random factor, uniformly distributed around 1. */
+    private static final double MIN_WORK_FACTOR = 0.8;
+    private static final double WORK_FACTOR_RANGE = 0.4;
     private static final int FIRST_ENGINE_PORT = 1000;
     private static final int VOTERS = 5;
     private static final int MAX_TRIES = 3;
@@ -106,6 +109,8 @@
     private static final double JOURNAL_READ_MS = 20;
     private static final double CHANGE_LOG_REPLY_MS = 5;
     private static final double QUORUM_READ_MS = 30;
+    /** After this long a read of the fleet state fails if there is no leader. */
+    private static final double QUORUM_READ_TIMEOUT_MS = 4000;
     private static final double ELECTION_MS = 1000;
     private static final double RENEW_INTERVAL_MS = 500;
     private static final double LEADER_TICK_INTERVAL_MS = 200;
@@ -225,7 +230,7 @@
         time.schedule(-Math.log(1 - random.nextDouble()) * 1000 / scenario.requestsPerSecond(), this::sendNextRequest);
     }
 
-    /** Plays the load balancer before the front ends: sends a request to a random one of those that report ready. */
+    /** Models the load balancer in front of the front ends: sends a request to a random one of those that report ready. */
     private void sendToReadyFrontEnd(int classIndex, int previousTries) {
         List<FrontEnd> ready = frontEnds.stream().filter(f -> f.reducer != null && f.reducer.canServe()).toList();
         if (ready.isEmpty()) {
@@ -250,7 +255,7 @@
         private long incarnation;
         private long lastTimerSequence;
         private long currentPollId;
-        private int lastCallerSerial;
+        private int lastCall;
 
         FrontEnd(int index) {
             this.index = index;
@@ -274,7 +279,7 @@
             time.schedule(random.nextDouble() * RENEW_INTERVAL_MS, this::joinOnceLed);
         }
 
-        /** Joins the fleet once there is a leader, and renews its lease periodically from then on. */
+        /** Joins the fleet once there is a leader, and renews its session periodically from then on. */
         private void joinOnceLed() {
             if (time.now() < leaderSinceMs) {
                 time.schedule(RENEW_INTERVAL_MS, this::joinOnceLed);
@@ -284,7 +289,7 @@
             renew();
         }
 
-        /** Renews the lease; each renewal also brings the current fleet state. */
+        /** Renews the session, as the heartbeat of the front end; each renewal also brings the current fleet state. */
         private void renew() {
             fleetState.apply(new Command.Renew(name, incarnation, Standing.SERVING, 0, 0));
             FleetView view = new FleetView(Participation.Phase.IN_TOUCH, "", incarnation, fleetState.snapshot(),
@@ -296,7 +301,7 @@
         void requestReceived(int classIndex, int previousTries) {
             RequestClass requestClass = CLASSES.get(classIndex);
             String txn = String.format("%016x", ++requestCount);
-            Caller caller = new Caller(1 + lastCallerSerial % CONNECTIONS_PER_FRONT_END, ++lastCallerSerial);
+            Caller caller = new Caller(1 + lastCall % CONNECTIONS_PER_FRONT_END, ++lastCall);
             openRequests.put(caller, new OpenRequest(txn, classIndex, previousTries, time.now() + requestClass.deadlineMs()));
             count("asked");
             Query query = new Query(txn, classIndex, 0, requestClass.deadlineMs(), previousTries > 0,
@@ -361,7 +366,7 @@
                 deliverAfter(FSYNC_MS, new Input.PersistFinished(e.request(), true));
             } else if (effect instanceof Effect.ReadFleetState) {
                 boolean hasLeader = time.now() >= leaderSinceMs;
-                time.schedule(hasLeader ? QUORUM_READ_MS : GONE_AFTER_MS,
+                time.schedule(hasLeader ? QUORUM_READ_MS : QUORUM_READ_TIMEOUT_MS,
                         () -> deliver(new Input.FleetStateReceived(hasLeader ? fleetState.snapshot() : null)));
             } else if (effect instanceof Effect.Answer e) {
                 answerReceived(e);
@@ -395,7 +400,7 @@
                 if (!engine.isAvailable()) {
                     return;
                 }
-                double workMs = requestClass.workMs() * (0.8 + 0.4 * random.nextDouble());
+                double workMs = requestClass.workMs() * (MIN_WORK_FACTOR + WORK_FACTOR_RANGE * random.nextDouble());
                 if (!engine.submit(new AttemptKey(e.link(), e.txn()), workMs, () -> attemptServed(e, engine))) {
                     engineFailureTimes.add(time.now());
                     frontEnds.forEach(f -> f.engineFailed(engine));
