--- a/frontend/src/main/java/quincespar/program/FrontEnd.java
+++ b/frontend/src/main/java/quincespar/program/FrontEnd.java
@@ -68,7 +68,7 @@
     /** How long a start waits for the change log's first answer. */
     private static final double FIRST_LIST_TIMEOUT_MS = 1500;
     private static final long LIST_CHECK_INTERVAL_MS = 20;
-    /** Share of the descriptors for clients: the protocol grants them a third; the rest covers closing connections and our own. */
+    /** Share of the descriptors for clients: a third by the protocol, the rest for closing connections and our own. */
     private static final double CLIENT_SHARE = 0.45;
     /**
      * The same during an upgrade, while an older process holds part of the front end's descriptors until it ends: what clients
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Reads the configuration and starts the status server, so that errors are reported before anything runs. {@code fleet} is null
-     * without a fleet, and {@code recovery} without recovery from a power loss.
+     * Reads the configuration and starts the status server, so that errors are reported before anything runs. {@code fleet} is
+     * null without a fleet, and {@code recovery} without recovery from a power loss.
      */
     FrontEnd(Map<String, String> environment, Settings settings, FleetSettings fleet, RecoverySettings recovery, Logs logs)
             throws IOException {
@@ -137,7 +137,8 @@
         reducer = new Reducer(c.site(), bounds, capture == null ? new GcMuScheduler(c.site().decision(), c.seed())
                 : capture.module(), recovery == null ? null : new Recovery(recovery.timeouts(), c.name(), fleet != null,
                 Reducer.classTraits(c.site())), recovery != null && recovery.persistLoads());
-        recoveryJournal = recovery == null ? null : new RecoveryJournal(recovery.folder(), c.name(), inputs::add, line -> log.info("{}: {}", c.name(), line));
+        recoveryJournal = recovery == null ? null : new RecoveryJournal(recovery.folder(), c.name(), inputs::add,
+                line -> log.info("{}: {}", c.name(), line));
         if (c.admin() != null) { // first, so that it answers "not ready" while the rest starts
             status = new StatusServer(c.admin(), timers, StatusServer.CALL_TIMEOUT_MS, lifecycle::ready,
                     () -> PrometheusText.text(metrics) + fleetMetrics() + recoveryMetrics());
@@ -146,8 +147,8 @@
             status = null;
         }
         listener = new Listener(clientLoop, c.listen(), true);
-        thriftServer = new ThriftServer(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE), bounds.firstRequestMs(),
-                clock, counters, inputs::addFromPeer, this::allCounters);
+        thriftServer = new ThriftServer(clientLoop, listener, c.site(), (int) (c.sockets() * CLIENT_SHARE),
+                bounds.firstRequestMs(), clock, counters, inputs::addFromPeer, this::allCounters);
         fleetService = fleet == null ? null : new FleetService(fleet, c.name(), c.admin() == null ? "" : c.admin().getHostString()
                 + ":" + c.admin().getPort(), Version.text(), clock::now,
                 line -> log.info("{}: {}", c.name(), line),
@@ -219,13 +220,15 @@
 
     private void start() throws IOException, InterruptedException {
         if (processLocks.othersAlive()) {
-            inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), (int) (configuration.sockets() * UPGRADE_CALLER_SHARE))));
+            int callerLimit = (int) (configuration.sockets() * UPGRADE_CALLER_SHARE);
+            inputs.add(new Input.CallerLimitChanged(Math.min(bounds.maxCallers(), callerLimit)));
             thriftServer.setConnectionLimit((int) (configuration.sockets() * UPGRADE_CLIENT_SHARE));
             raiseLimitsOnceAlone();
         }
         new Warmup(configuration, bounds, thriftServer).run();
         engineLoop.start();
-        perform(reducer.start(clock.now(), configuration.changeLog(), configuration.known().events(), processLocks.othersAlive()));
+        perform(reducer.start(clock.now(), configuration.changeLog(), configuration.known().events(),
+                processLocks.othersAlive()));
         publish();
         awaitEngineList(clock.now() + FIRST_LIST_TIMEOUT_MS);
         if (lifecycle.phase() != Phase.STARTING) {
@@ -243,13 +246,14 @@
         log.info("{}: serving on {}", configuration.name(), configuration.listen());
     }
 
-    /** Waits for the change log: engines of the configured list may be draining. Without an answer the configured list is used. */
+    /** Waits for the change log, as configured engines may be draining. Without an answer the configured list is used. */
     private void awaitEngineList(double deadline) throws InterruptedException {
         while (!reducer.listConfirmed() && clock.now() < deadline && lifecycle.phase() == Phase.STARTING) {
             step(inputs.take(LIST_CHECK_INTERVAL_MS));
         }
         if (!reducer.listConfirmed() && lifecycle.phase() == Phase.STARTING) {
-            log.warn("{}: the change log has not answered yet; serving with the engine list of the configuration", configuration.name());
+            log.warn("{}: the change log has not answered yet; serving with the engine list of the configuration",
+                    configuration.name());
         }
     }
 
@@ -326,13 +330,14 @@
 
     /** The earliest time of SIGKILL. */
     private double killTime(double maxDeadlineMs) {
-        double longestDeadline = configuration.site().decision().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
+        double longestDeadline = configuration.site().decision().classes().stream().mapToDouble(c -> c.deadline()).max()
+                .orElse(0);
         return clock.now() - pauseDetector.maxDelayMs(clock.now()) + Math.min(longestDeadline, maxDeadlineMs) + KILL_DELAY_MS;
     }
 
     /**
-     * Closes, now and repeatedly until {@code until}, each client connection without open, partial or unread requests, so that the
-     * client reconnects for its next request without losing one. Connections that are never idle are left to {@link #stop}.
+     * Closes, now and repeatedly until {@code until}, each client connection without open, partial or unread requests, so that
+     * the client reconnects for its next request without losing one. Connections that are never idle are left to {@link #stop}.
      */
     private void closeIdleConnections(double until) {
         thriftServer.closeIdleConnections();
@@ -456,7 +461,8 @@
 
     /** Reads the fleet's replicated state, null on failure. Delayed, as the reducer may answer the result with another read. */
     private void readFleetState() {
-        timers.schedule(FLEET_READ_DELAY_MS, () -> fleetService.read().whenComplete((state, e) -> inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
+        timers.schedule(FLEET_READ_DELAY_MS, () -> fleetService.read().whenComplete((state, e) ->
+                inputs.add(new Input.FleetStateReceived(e == null ? state : null))));
     }
 
     private Map<String, String> allCounters() {
--- a/frontend/src/main/java/quincespar/program/Main.java
+++ b/frontend/src/main/java/quincespar/program/Main.java
@@ -94,7 +94,8 @@
         boolean ignored = Signal.handle(new Signal("HUP"), s -> reloadSignal.received()) == SignalHandler.SIG_IGN;
         Settings settings = conf == null ? Settings.defaults() : read(conf);
         FleetSettings fleet = FleetSettings.isEnabled(settings) ? FleetSettings.read(settings, conf.toString()) : null;
-        RecoverySettings recovery = RecoverySettings.isEnabled(settings) ? RecoverySettings.read(settings, conf.toString()) : null;
+        RecoverySettings recovery = RecoverySettings.isEnabled(settings) ? RecoverySettings.read(settings, conf.toString())
+                : null;
         Logs logs = Logs.start(settings);
         FrontEnd frontEnd = new FrontEnd(System.getenv(), settings, fleet, recovery, logs);
         long every = reportMs > 0 ? reportMs : (long) settings.number(Keyword.REPORT_INTERVAL);
--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -88,8 +88,8 @@
             } else if (effect instanceof Effect.Send e) {
                 byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
                 new RespDecoder().feed(command, command.length, EngineCodec::readReply);
-                answers.add(new ScheduledInput(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), new EngineMessage.Done(e.txn(), 2,
-                        STATEMENT, List.of()))));
+                EngineMessage done = new EngineMessage.Done(e.txn(), 2, STATEMENT, List.of());
+                answers.add(new ScheduledInput(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), done)));
             } else if (effect instanceof Effect.ReadPage e) {
                 inputs.add(new Input.EngineMessageReceived(e.link(), new EngineMessage.Page(e.txn(), e.page(), STATEMENT)));
             } else if (effect instanceof Effect.Cancel e) {
--- a/frontend/src/test/java/quincespar/program/CaptureReplayTest.java
+++ b/frontend/src/test/java/quincespar/program/CaptureReplayTest.java
@@ -48,7 +48,8 @@
         ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
         port = ScriptedPeers.freePort();
         captures = Files.createDirectory(folder.resolve("captures"));
-        Files.writeString(folder.resolve("config.json"), ScriptedPeers.configuration(port, changes, engine, ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
+        Files.writeString(folder.resolve("config.json"), ScriptedPeers.configuration(port, changes, engine,
+                ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
     }
 
     private record Output(int code, String out) { }
--- a/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
+++ b/frontend/src/test/java/quincespar/program/ConfigurationCheckTest.java
@@ -34,8 +34,8 @@
         assertThat(check(VALID)).isInstanceOf(ConfigurationCheck.Valid.class);
         String more = VALID.replace("\"tick\":5", "\"tick\":5,\"further\":[1]").replace("[{\"name\":\"lookup\"",
                 "[{\"name\":\"new\",\"slo\":1,\"hardLimit\":2,\"effect\":\"keyed\"},{\"name\":\"lookup\"");
-        assertThat(((ConfigurationCheck.Valid) check(more)).configuration().site().classNumbers()).containsOnlyKeys("new", "lookup",
-                "load");
+        assertThat(((ConfigurationCheck.Valid) check(more)).configuration().site().classNumbers())
+                .containsOnlyKeys("new", "lookup", "load");
     }
 
     /** A file that is read while it is being written, or that was truncated, must not be used in part. */
@@ -70,7 +70,8 @@
             assertThat(problems(write(all))).as(key)
                     .anyMatch(f -> f.startsWith("settings.requestClasses.1." + key + " "));
         }
-        assertThat(problems(VALID.replace("\"quotaPerS\":5", "\"share\":5"))).contains("settings.projects.0.quotaPerS is missing");
+        assertThat(problems(VALID.replace("\"quotaPerS\":5", "\"share\":5")))
+                .contains("settings.projects.0.quotaPerS is missing");
     }
 
     @Test
--- a/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -277,7 +277,8 @@
     }
 
     /** Waits until the front end has no engine connection any more, and checks that none carried a request to this engine. */
-    private static void awaitDisconnectedWithoutRequests(ScriptedPeers.Client watch, ScriptedPeers.UnconnectableEngine held) throws IOException {
+    private static void awaitDisconnectedWithoutRequests(ScriptedPeers.Client watch,
+            ScriptedPeers.UnconnectableEngine held) throws IOException {
         while (!watch.counters().get("engines.connected").equals("0")) {
             assertThat(held.received()).doesNotContain("serve");
         }
@@ -379,7 +380,8 @@
     @Test
     void anUnansweredPollIsReplacedAndTheDrainIsLearned() throws Exception {
         ScriptedPeers.Engine old = new ScriptedPeers.Engine();
-        start(NO_IDLE_TIMEOUT + "change-log {\n wait 200ms\n slack 100ms\n}\n", old.server.getLocalPort(), "\"cancelling\":true", LOAD);
+        start(NO_IDLE_TIMEOUT + "change-log {\n wait 200ms\n slack 100ms\n}\n", old.server.getLocalPort(),
+                "\"cancelling\":true", LOAD);
         ScriptedPeers.Client c = client();
         assertThat(changes.polls.take()).startsWith("GET /changes?since=1&");
         assertThat(changes.polls.take()).startsWith("GET /changes?since=1&"); // the first is never answered
@@ -453,7 +455,7 @@
         }
     }
 
-    /** After a partial answer the load may have run, so it is not sent again. A partial answer that stalls is ended by a timeout. */
+    /** After a partial answer the load may have run, so it is not sent again. A partial answer that stalls times out. */
     @Test
     void aLoadWithAPartialAnswerIsFailedWhenItsConnectionEndsOrStalls() throws Exception {
         start(NO_IDLE_TIMEOUT + "links {\n midway 100ms\n}\n", engine.server.getLocalPort(), "\"cancelling\":true", LOAD);
--- a/frontend/src/test/java/quincespar/program/DescriptorLimitIT.java
+++ b/frontend/src/test/java/quincespar/program/DescriptorLimitIT.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The jar, started by the deploy file's command line, with few descriptors that idle clients use up while the change log is down. */
+/** The jar, started by the deploy file's command line, with few descriptors, used up by idle clients; the change log is down. */
 @Timeout(120)
 class DescriptorLimitIT {
     private static final int DESCRIPTORS = 128, IDLE_CONNECTIONS = 300;
@@ -41,8 +41,8 @@
              "settings":{"tick":5,"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":50,"share":1}],"requestClasses":[%s]}}
             """.formatted(port, DESCRIPTORS, changeLog, engine.server.getLocalPort(), ScriptedPeers.LOAD));
-        Process p = ScriptedPeers.startProcess("ulimit -n " + DESCRIPTORS + "; ", file, admin, Files.createDirectory(folder.resolve("tmp")),
-                folder.resolve("log"));
+        Process p = ScriptedPeers.startProcess("ulimit -n " + DESCRIPTORS + "; ", file, admin,
+                Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger connected = new AtomicInteger();
         CompletableFuture<Void> idleClients = null;
--- a/frontend/src/test/java/quincespar/program/FrontEndTest.java
+++ b/frontend/src/test/java/quincespar/program/FrontEndTest.java
@@ -135,7 +135,8 @@
 
     @Test
     void closedConnectionsAreCountedByCause() throws Exception {
-        try (ScriptedPeers.Client silent = new ScriptedPeers.Client(port); ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
+        try (ScriptedPeers.Client silent = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThatThrownBy(silent::frame).isInstanceOf(IOException.class); // closed because it has sent nothing for too long
             try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                 while (!again.counters().containsKey("closed.nothing_open")) { // counted once the socket is closed
@@ -164,7 +165,7 @@
                 try (ScriptedPeers.Client bad = new ScriptedPeers.Client(port)) {
                     bad.call(1, wrong);
                     assertThat(bad.frame()[3]).isEqualTo((byte) 3);
-                    assertThatThrownBy(bad::frame).isInstanceOf(IOException.class); // closed, as such a client would retry forever
+                    assertThatThrownBy(bad::frame).isInstanceOf(IOException.class); // or it would retry forever
                 }
             }
             try (ScriptedPeers.Client malformed = new ScriptedPeers.Client(port)) {
@@ -224,7 +225,7 @@
         }
     }
 
-    /** Bound earlier, it would receive connections that wait for the end of the warm-up while another process could serve them. */
+    /** Bound earlier, it would receive connections that wait for the warm-up while another process could serve them. */
     @Test
     void theClientsAddressIsNotBoundBeforeTheStart(@TempDir Path folder) throws Exception {
         int other = ScriptedPeers.freePort();
--- a/frontend/src/test/java/quincespar/program/MetricsTest.java
+++ b/frontend/src/test/java/quincespar/program/MetricsTest.java
@@ -93,7 +93,7 @@
                 serve.answer(serve.id(), "DONE", "count=1", "row\ta\tb\n");
                 countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // an error: it may have run, and only one attempt is allowed
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // an error of the only attempt: it may have run
                 ScriptedPeers.Engine.Command serve = sendToEngine(c, verb);
                 serve.answer(serve.id(), "BROKE", "-", "");
                 countAnswer(c, verb);
@@ -111,7 +111,7 @@
                 sendToEngine(c, verb).from().close();
                 countAnswer(c, verb);
             }
-            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a client that disconnects: counted in none of the states
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) { // a client that disconnects: not counted
                 sendToEngine(c, verb);
             }
             assertThat(engine.next("cancel")).isNotNull();
--- a/frontend/src/test/java/quincespar/program/ProcessLocksTest.java
+++ b/frontend/src/test/java/quincespar/program/ProcessLocksTest.java
@@ -27,7 +27,7 @@
         return InetSocketAddress.createUnresolved("127.0.0.1", port);
     }
 
-    /** A front end at another address may use the same folder: mistaken for a new process, it would have the clients moved to it. */
+    /** A front end at another address may use the same folder; as a new process it would get the clients moved to it. */
     @Test
     void aProcessAtAnotherAddressIsNotDetected() throws IOException {
         try (ProcessLocks one = acquire(8080); ProcessLocks other = acquire(8081)) {
--- a/frontend/src/test/java/quincespar/program/ReloadSignalTest.java
+++ b/frontend/src/test/java/quincespar/program/ReloadSignalTest.java
@@ -70,7 +70,8 @@
     void aSignalDuringTheShutdownIsHandled() throws Exception {
         CompletableFuture<Void> running = ScriptedPeers.runAsync(frontEnd::run);
         ScriptedPeers.awaitHealthy(port);
-        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port); ScriptedPeers.Client open = new ScriptedPeers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client open = new ScriptedPeers.Client(port)) {
             open.call(1, ScriptedPeers.fields("load", "00000000000000bb"));
             ScriptedPeers.Engine.Command out = engine.next("serve"); // the program can't end before this open request is answered
             CompletableFuture<Void> shutdown = ScriptedPeers.runAsync(frontEnd::shutDown);
--- a/frontend/src/test/java/quincespar/program/RestartUnderIdleConnectionsTest.java
+++ b/frontend/src/test/java/quincespar/program/RestartUnderIdleConnectionsTest.java
@@ -23,8 +23,8 @@
 import quincespar.settings.Settings;
 
 /**
- * A planned restart while many clients connect and send nothing, as in a recorded incident: each request of other clients that was
- * written completely to an accepted connection is answered, and the idle connections do not delay the end.
+ * A planned restart while many clients connect and send nothing, as in a recorded incident: each request of other clients that
+ * was written completely to an accepted connection is answered, and the idle connections do not delay the end.
  */
 @Timeout(60)
 class RestartUnderIdleConnectionsTest {
--- a/frontend/src/test/java/quincespar/program/ScriptedChangeLog.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedChangeLog.java
@@ -52,7 +52,8 @@
 
     private synchronized String answer(long seq, long waitMs) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-        for (long left = waitMs; events.size() <= seq && left > 0; left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
+        for (long left = waitMs; events.size() <= seq && left > 0;
+                left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
             wait(left);
         }
         return since(seq);
--- a/frontend/src/test/java/quincespar/program/SystemCallFaults.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaults.java
@@ -57,7 +57,8 @@
             throw new IOException("the library for failing system calls does not compile; a C compiler (gcc) is needed");
         }
         Path file = folder.resolve("system-call-faults");
-        try (FileChannel c = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel c = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
+                StandardOpenOption.WRITE)) {
             MappedByteBuffer rules = c.map(FileChannel.MapMode.READ_WRITE, 0, (long) RULES * RULE_BYTES);
             rules.order(ByteOrder.nativeOrder());
             return new SystemCallFaults(rules, library, file);
@@ -125,8 +126,8 @@
         while (rules.getInt(at) != Call.NONE.ordinal()) {
             at += RULE_BYTES; // beyond the last rule, with too many faults at a time, this throws
         }
-        rules.putLong(at + STRUCK_AT, 0).putInt(at + ERROR_AT, error).putInt(at + PERMILLE_AT, permille).putInt(at + PORT_AT, port)
-                .putInt(at + MAX_BYTES_AT, maxBytes).putInt(at + RANDOM_AT, seed);
+        rules.putLong(at + STRUCK_AT, 0).putInt(at + ERROR_AT, error).putInt(at + PERMILLE_AT, permille)
+                .putInt(at + PORT_AT, port).putInt(at + MAX_BYTES_AT, maxBytes).putInt(at + RANDOM_AT, seed);
         ByteBuffer text = rules.duplicate();
         text.position(at + NAME_AT);
         text.put((name + "\0").getBytes(StandardCharsets.US_ASCII));
--- a/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
@@ -94,7 +94,8 @@
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,"members":[%s,%s]}}]},
              "settings":{"tick":5,"rules":{"drainGrace":1000},"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":500,"share":1}],"requestClasses":[%s,%s]}}
-            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), ScriptedPeers.LOOKUP, ScriptedPeers.LOAD));
+            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), ScriptedPeers.LOOKUP,
+                ScriptedPeers.LOAD));
     }
 
     private void launch() throws IOException {
@@ -147,7 +148,8 @@
         long ended = System.nanoTime();
         changes.answers.add(drain());
         assertThat(nextPoll()).startsWith("GET /changes?since=1&");
-        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until the next poll").isLessThan(MAX_NEXT_POLL_MS);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until the next poll")
+                .isLessThan(MAX_NEXT_POLL_MS);
         assertThat(nextPoll()).startsWith("GET /changes?since=2&");
         sendSequentially("lookup", 0);
         assertThat(receivedBy).containsOnly("s-2");
--- a/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallSoakIT.java
@@ -100,7 +100,8 @@
             }
             double late = list.msSinceDrain(id, System.nanoTime());
             if (late > GRACE_MS + SLACK_MS) {
-                violations.add("drain: " + c.id() + " came to " + id + " " + Math.round(late) + " ms after the drain was reported");
+                violations.add("drain: " + c.id() + " came to " + id + " " + Math.round(late)
+                        + " ms after the drain was reported");
             }
             if (c.words().get(2).contains("queue=load") && !loads.add(c.id())) {
                 violations.add("duplicate: load " + c.id() + " came twice");
@@ -186,7 +187,8 @@
         }
         Path file = configure(seed, list.changeLog.getLocalPort());
         Fault firstFault = begin(faults, random);
-        Process process = ScriptedPeers.startProcess(faults.prefix(), file, admin, Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
+        Process process = ScriptedPeers.startProcess(faults.prefix(), file, admin,
+                Files.createDirectory(folder.resolve("tmp")), folder.resolve("log"));
         try {
             TimeUnit.MILLISECONDS.sleep(FIRST_FAULT_MS);
             firstFault.end();
@@ -203,7 +205,8 @@
             sending = false;
             clients.forEach(CompletableFuture::join);
             assertThat(process.waitFor(SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS)).as("ends in time").isTrue();
-            assertThat(violations).as("seed " + seed + ", " + answered + " answers; the log:\n" + Files.readString(folder.resolve("log")))
+            assertThat(violations).as("seed " + seed + ", " + answered + " answers; the log:\n"
+                    + Files.readString(folder.resolve("log")))
                     .isEmpty();
             assertThat(answered.get()).isGreaterThan(100);
         } finally {
--- a/frontend/src/test/java/quincespar/program/UpgradeIT.java
+++ b/frontend/src/test/java/quincespar/program/UpgradeIT.java
@@ -191,7 +191,8 @@
         int admin = ScriptedPeers.freePort();
         Process old = start(admin);
         ScriptedPeers.awaitReady(admin);
-        try (ScriptedPeers.Client half = new ScriptedPeers.Client(port); ScriptedPeers.Client load = new ScriptedPeers.Client(port);
+        try (ScriptedPeers.Client half = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client load = new ScriptedPeers.Client(port);
                 ScriptedPeers.Client idle = new ScriptedPeers.Client(port)) {
             load.call(1, fields("load", "00000000000000aa"));
             ScriptedPeers.Engine.Command out = engine.next("serve");
@@ -240,9 +241,9 @@
     private static final int DEADLINE_MS = 1200, KILL_MS = DEADLINE_MS + 700;
 
     /**
-     * Each upgrade pauses the new process once, during its start or just after it is ready, and the old one twice: around SIGTERM,
-     * and about when it must have closed its last connections. SIGKILL follows SIGTERM after the longest deadline and 0.7 s, as
-     * the operators' page specifies.
+     * Each upgrade pauses the new process once, during its start or just after it is ready, and the old one twice: around
+     * SIGTERM, and about when it must have closed its last connections. SIGKILL follows SIGTERM after the longest
+     * deadline and 0.7 s, as the operators' page specifies.
      */
     @Test
     void processesPausedInAnyPhaseOfAnUpgradeLoseNoRequest() throws Exception {
@@ -258,9 +259,11 @@
         Pause[] newProcessPauses = {new Pause("start", 100, 400), new Pause("start", 600, 300), new Pause("ready", 0, 400),
             new Pause("ready", 60, 200), new Pause("start", 900, 20), new Pause("ready", 20, 400), new Pause("ready", 300, 100),
             new Pause("start", 300, 50)};
-        Pause[] oldProcessPauses = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150), new Pause("SIGTERM", 0, 400),
-            new Pause("SIGTERM", 3, 400), new Pause("SIGTERM", 15, 250), new Pause("SIGTERM", 40, 20), new Pause("SIGTERM", 200, 400),
-            new Pause("before SIGTERM", 0, 1100)}; // the last is longer than the operators' page allows, but occurs in practice
+        Pause[] oldProcessPauses = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150),
+            new Pause("SIGTERM", 0, 400), new Pause("SIGTERM", 3, 400),
+            new Pause("SIGTERM", 15, 250), new Pause("SIGTERM", 40, 20),
+            // the last pause is longer than the operators' page allows, but occurs in practice
+            new Pause("SIGTERM", 200, 400), new Pause("before SIGTERM", 0, 1100)};
         int[] latePauseStartsMs = {1650, 1450, 1650, 1650, 1480, 1300, 1000, 1700};
         int[] latePausesMs = {250, 400, 250, 250, 400, 400, 300, 20};
         awaitAnswers(200);
@@ -297,7 +300,8 @@
             if (other != null) {
                 other.get();
             }
-            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, newProcessPauses[i], oldProcessPauses[i], latePauseStartsMs[i]).isEmpty();
+            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, newProcessPauses[i], oldProcessPauses[i],
+                    latePauseStartsMs[i]).isEmpty();
             assertThat(next.isAlive()).isTrue();
             awaitAnswers(200);
             old = next;
