--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -33,13 +33,13 @@
 import quincespar.decision.Gateway;
 import quincespar.routing.EngineNumber;
 
-/** What can be asked of captures; every answer is lines that scripts can read. */
-@Command(name = "capture", description = "Look at captures: all that the module was told and decided.",
+/** Commands that read captures. They print lines that scripts can parse. */
+@Command(name = "capture", description = "Inspect captures: the calls of the decision module and its decisions.",
         mixinStandardHelpOptions = true)
 public final class CaptureCommands {
-    private static final double SECOND = 1000;
+    private static final double MS_PER_SECOND = 1000;
 
-    @Command(name = "list", description = "One line for each segment: name, bytes, calls, times, state, damage.")
+    @Command(name = "list", description = "Print one line per segment: name, bytes, calls, times, state, damage.")
     int list(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         for (SegmentName name : captures.segmentNames()) {
@@ -51,96 +51,98 @@
         return 0;
     }
 
-    @Command(name = "info", description = "Whose captures these are: name, build, module, settings; sums over segments.")
+    @Command(name = "info", description = "Print what made the captures: name, build, module, settings; sums over segments.")
     int info(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Map<String, List<SegmentSummary>> lives = new LinkedHashMap<>();
+        Map<String, List<SegmentSummary>> byProcess = new LinkedHashMap<>();
         for (SegmentName name : captures.segmentNames()) {
-            lives.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()), n -> new ArrayList<>())
-                    .add(captures.summarize(name));
+            byProcess.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()),
+                    n -> new ArrayList<>()).add(captures.summarize(name));
         }
-        String own = ModuleDigest.of(GcMuScheduler.class);
-        lives.forEach((life, all) -> {
-            System.out.println(life + ": segments=" + all.size() + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
-                    + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
-            all.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
+        String ownDigest = ModuleDigest.of(GcMuScheduler.class);
+        byProcess.forEach((process, segments) -> {
+            System.out.println(process + ": segments=" + segments.size()
+                    + " bytes=" + segments.stream().mapToLong(SegmentSummary::bytes).sum()
+                    + " calls=" + segments.stream().mapToLong(SegmentSummary::calls).sum());
+            segments.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
                 System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
-                        + (o.moduleDigest().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
-                        + Long.toHexString(o.seed()));
+                        + (o.moduleDigest().equals(ownDigest) ? " (this build's)" : " (this build's is " + ownDigest + ")")
+                        + " seed=" + Long.toHexString(o.seed()));
                 System.out.println("  classes=" + o.settings().classes().stream().map(Gateway.ClassSpec::name).toList());
             });
         });
         return 0;
     }
 
-    @Command(name = "verify", description = "Read every record: exit code 0 where all is whole, 1 with a line for each"
-            + " thing that is missing.")
+    @Command(name = "verify", description = "Read every record: exit code 0 if nothing is missing, otherwise 1 with a line"
+            + " for each gap.")
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         long[] records = {0};
-        List<String> wrong = new ArrayList<>();
+        List<String> gaps = new ArrayList<>();
         captures.forEachEntry(captures.segmentNames(), (name, e) -> {
             records[0]++;
             if (e instanceof Entry.Gap g) {
-                wrong.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
+                gaps.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
                         + (g.lostCalls() > 0 ? ", calls lost: " + g.lostCalls() : ""));
             }
             return true;
         });
-        wrong.forEach(System.out::println);
-        System.out.println(records[0] + " records, " + wrong.size() + " gaps");
-        return wrong.isEmpty() ? 0 : 1;
+        gaps.forEach(System.out::println);
+        System.out.println(records[0] + " records, " + gaps.size() + " gaps");
+        return gaps.isEmpty() ? 0 : 1;
     }
 
-    @Command(name = "cut", description = "Write the calls of a time, with the state before them, to a segment of its own.")
+    @Command(name = "cut", description = "Write the calls of a period, with the state before them, to a new segment.")
     int cut(@Parameters(paramLabel = "DIR") Path folder,
-            @Option(names = "--from", required = true, paramLabel = "S", description = "Seconds since 1970.") double from,
-            @Option(names = "--to", required = true, paramLabel = "S", description = "Seconds since 1970.") double to,
+            @Option(names = "--from", required = true, paramLabel = "S", description = "Unix time in seconds.") double from,
+            @Option(names = "--to", required = true, paramLabel = "S", description = "Unix time in seconds.") double to,
             @Option(names = "--out", required = true, paramLabel = "DIR") Path out) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames();
         if (names.stream().map(n -> n.instance() + n.processStart()).distinct().count() > 1) {
-            throw new IOException(folder + " holds captures of several processes; cut from a folder with one");
+            throw new IOException(folder + " has captures of several processes; cut needs a folder with captures of one");
         }
-        List<Entry> entries = captures.cut(names, from * SECOND, to * SECOND);
+        List<Entry> entries = captures.cut(names, from * MS_PER_SECOND, to * MS_PER_SECOND);
         if (entries.isEmpty()) {
-            throw new IOException("no call between " + time(from * SECOND) + " and " + time(to * SECOND));
+            throw new IOException("no call between " + time(from * MS_PER_SECOND) + " and " + time(to * MS_PER_SECOND));
         }
         EntryCodec codec = new EntryCodec();
         SegmentName name = new SegmentName(names.get(0).instance(), names.get(0).processStart(), 1);
         Files.createDirectories(out);
         if (Files.exists(out.resolve(name.fileName()))) {
-            throw new IOException(out.resolve(name.fileName()) + " is there already");
+            throw new IOException(out.resolve(name.fileName()) + " exists already");
         }
-        try (SegmentStore.SegmentOutput sink = new CaptureFolder(out).create(name.fileName())) {
-            sink.write(Frames.header(codec.schema()));
+        try (SegmentStore.SegmentOutput output = new CaptureFolder(out).create(name.fileName())) {
+            output.write(Frames.header(codec.schema()));
             for (Entry e : entries) {
-                sink.write(Frames.frame(codec.write(e)));
+                output.write(Frames.frame(codec.write(e)));
             }
         }
         System.out.println(out.resolve(name.fileName()) + ": " + entries.size() + " records");
         return 0;
     }
 
-    /** Tells the story of a request, or what was known of an engine; answers the exit code. */
+    /** Prints the history of a request, or the state of an engine at a time; returns the exit code. */
     public static int explain(Path folder, Long request, String engine, Double at) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Explainer explain = new Explainer(captures, System.out::println);
-        boolean told = request != null ? explain.explainRequest(captures.segmentNames(), request)
-                : explain.explainEngine(captures.segmentNames(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
-        if (!told) {
-            throw new IOException("no segment in " + folder + " tells of " + (request != null ? "request " + request
+        Explainer explainer = new Explainer(captures, System.out::println);
+        boolean found = request != null ? explainer.explainRequest(captures.segmentNames(), request)
+                : explainer.explainEngine(captures.segmentNames(), engineNumber(engine),
+                        at == null ? Double.MAX_VALUE : at * MS_PER_SECOND);
+        if (!found) {
+            throw new IOException("no segment in " + folder + " has " + (request != null ? "request " + request
                     : "engine " + engine));
         }
         return 0;
     }
 
-    /** An engine by its id in the list, or by the number that a story gives it. */
-    private static long number(String engine) {
+    /** The number of an engine, given by its id in the list or by the number that a history prints. */
+    private static long engineNumber(String engine) {
         return engine.matches("[0-9]{1,18}") ? Long.parseLong(engine) : EngineNumber.of(engine);
     }
 
-    /** Plays captures again on this build's module; answers the exit code. */
+    /** Replays captures on this build's decision module; returns the exit code. */
     public static int replay(Path folder, int from, Path decisions) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames().stream().filter(n -> n.number() >= from).toList();
@@ -149,14 +151,14 @@
         }
         Replay replay = new Replay(new CurrentModuleFactory());
         RuleChecker rules = new RuleChecker();
-        double[] span = {Double.NaN, Double.NaN};
-        long began = System.nanoTime();
+        double[] firstAndLast = {Double.NaN, Double.NaN};
+        long startedAtNs = System.nanoTime();
         try (PrintStream out = decisions == null ? null : new PrintStream(Files.newOutputStream(decisions), false,
                 StandardCharsets.UTF_8)) {
             captures.forEachEntry(names, (name, e) -> {
                 if (e instanceof Entry.Call c) {
-                    span[0] = Double.isNaN(span[0]) ? c.time() : span[0];
-                    span[1] = c.time();
+                    firstAndLast[0] = Double.isNaN(firstAndLast[0]) ? c.time() : firstAndLast[0];
+                    firstAndLast[1] = c.time();
                     if (out != null && !c.actions().isEmpty()) {
                         out.println(c.time() + " " + c.actions());
                     }
@@ -170,52 +172,54 @@
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
-        double took = (System.nanoTime() - began) / 1e6;
-        Replay.Result r = replay.result();
-        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", r.calls(), r.events(), r.decisions(),
-                r.digest());
-        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(), r.lostCalls());
-        System.out.printf(Locale.ROOT, "played %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
-                took / SECOND, (span[1] - span[0]) / took);
+        double tookMs = (System.nanoTime() - startedAtNs) / 1e6;
+        Replay.Result result = replay.result();
+        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", result.calls(), result.events(),
+                result.decisions(), result.digest());
+        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", result.matchingStates(),
+                result.differingStates(), result.lostCalls());
+        double spanMs = firstAndLast[1] - firstAndLast[0];
+        System.out.printf(Locale.ROOT, "played %.1f s in %.2f s, %.0f times as fast%n", spanMs / MS_PER_SECOND,
+                tookMs / MS_PER_SECOND, spanMs / tookMs);
         System.out.println("broken-rules=" + rules.violationCount());
-        rules.violations().forEach(b -> System.out.println("  " + b));
-        if (r.divergence() != null) {
-            parted(r.divergence());
+        rules.violations().forEach(violation -> System.out.println("  " + violation));
+        if (result.divergence() != null) {
+            printDivergence(result.divergence());
         }
-        return r.divergence() == null && r.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
+        return result.divergence() == null && result.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
     }
 
     /**
-     * As {@link #replay}, by another build: with its own reader and module, apart from this one's classes. Answers its
-     * exit code; throws where it is no build that can.
+     * Replays captures as {@link #replay} does, with the reader and the decision module of another build, which is loaded
+     * separately from this one's classes. Returns its exit code; throws {@link IOException} if the jar can't replay.
      */
     public static int replayWithJar(Path jar, Path folder, int from, Path decisions) throws IOException {
-        List<String> words = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
+        List<String> arguments = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
         if (decisions != null) {
-            words.addAll(List.of("--decisions", decisions.toString()));
+            arguments.addAll(List.of("--decisions", decisions.toString()));
         }
         try (URLClassLoader other = new URLClassLoader(new URL[] {jar.toUri().toURL()},
                 ClassLoader.getPlatformClassLoader())) {
             return (int) other.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
-                    (Object) words.toArray(String[]::new));
+                    (Object) arguments.toArray(String[]::new));
         } catch (ReflectiveOperationException e) {
-            throw new IOException(jar + " is no build of this program that can replay: " + e, e);
+            throw new IOException(jar + " is not a build of this program that can replay: " + e, e);
         }
     }
 
-    private static void parted(Replay.Divergence p) {
-        System.out.println("parted at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
-        p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
-        System.out.println("  " + time(p.time()) + " " + p.expected().events());
-        System.out.println("expected " + ordered(p.expected().actions()));
-        System.out.println("got      " + ordered(p.got()));
+    private static void printDivergence(Replay.Divergence divergence) {
+        System.out.println("parted at call " + divergence.call() + ", " + time(divergence.time()) + "; the calls before:");
+        divergence.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
+        System.out.println("  " + time(divergence.time()) + " " + divergence.expected().events());
+        System.out.println("expected " + text(divergence.expected().actions()));
+        System.out.println("got      " + text(divergence.got()));
     }
 
-    private static String ordered(List<Gateway.Action> actions) {
+    private static String text(List<Gateway.Action> actions) {
         return actions.stream().map(String::valueOf).reduce((a, b) -> a + " " + b).orElse("nothing");
     }
 
     private static String time(double ms) {
-        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / SECOND);
+        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / MS_PER_SECOND);
     }
 }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
@@ -12,12 +12,13 @@
 import quincespar.capture.SegmentName;
 import quincespar.capture.SegmentStore;
 
-/** Segments as files of one folder; files that are no segments are left alone. */
+/** Stores capture segments as files of one folder; ignores files that are not segments. */
 public final class CaptureFolder implements SegmentStore {
-    private static final int BUFFER = 64 * 1024;
+    private static final int BUFFER_BYTES = 64 * 1024;
 
     private final Path folder;
 
+    /** Uses an existing folder. */
     public CaptureFolder(Path folder) {
         this.folder = folder;
     }
@@ -30,7 +31,7 @@
                 out.add(new StoredSegment(p.getFileName().toString(), Files.size(p)));
             }
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
         return out;
     }
@@ -42,7 +43,7 @@
 
     @Override
     public SegmentOutput create(String name) throws IOException {
-        return new File(new FileOutputStream(folder.resolve(name).toFile()));
+        return new SegmentFile(new FileOutputStream(folder.resolve(name).toFile()));
     }
 
     @Override
@@ -50,43 +51,43 @@
         try {
             Files.deleteIfExists(folder.resolve(name));
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
     }
 
-    /** The library's message is the path alone. */
-    private static IOException plain(FileSystemException e) {
+    /** Adds the reason: the message of the original exception is only the path. */
+    private static IOException withReason(FileSystemException e) {
         return new IOException(e.getFile() + ": " + (e.getReason() == null ? e.getClass().getSimpleName() : e.getReason()), e);
     }
 
-    /** Collects writes until a flush, a close, or its buffer is full. */
-    private static final class File implements SegmentOutput {
-        private final FileOutputStream to;
-        private final byte[] buffer = new byte[BUFFER];
-        private int held;
+    /** Buffers writes until a flush, a close, or a full buffer. */
+    private static final class SegmentFile implements SegmentOutput {
+        private final FileOutputStream file;
+        private final byte[] buffer = new byte[BUFFER_BYTES];
+        private int buffered;
 
-        File(FileOutputStream to) {
-            this.to = to;
+        SegmentFile(FileOutputStream file) {
+            this.file = file;
         }
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            if (bytes.length > BUFFER - held) {
+            if (bytes.length > BUFFER_BYTES - buffered) {
                 flush();
             }
-            if (bytes.length > BUFFER) {
-                to.write(bytes);
+            if (bytes.length > BUFFER_BYTES) {
+                file.write(bytes);
             } else {
-                System.arraycopy(bytes, 0, buffer, held, bytes.length);
-                held += bytes.length;
+                System.arraycopy(bytes, 0, buffer, buffered, bytes.length);
+                buffered += bytes.length;
             }
         }
 
         @Override
         public void flush() throws IOException {
-            int some = held;
-            held = 0; // what could not be written is not tried again: a part of it may have been
-            to.write(buffer, 0, some);
+            int length = buffered;
+            buffered = 0; // a failed write is not retried: a part of it may have been written
+            file.write(buffer, 0, length);
         }
 
         @Override
@@ -94,7 +95,7 @@
             try {
                 flush();
             } finally {
-                to.close();
+                file.close();
             }
         }
     }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureSession.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureSession.java
@@ -23,11 +23,11 @@
 import quincespar.settings.Settings;
 import quincespar.transport.Threads;
 
-/** The capture of one module into a folder, as the operators' file says. */
+/** A running capture: records the calls of one decision module, and writes them to a folder on a thread of its own. */
 public final class CaptureSession {
-    private static final double FIRST_PAUSE_MS = 500, LONGEST_PAUSE_MS = 30_000;
-    /** At the end, what is queued has so long to be written. */
-    private static final long LAST_MS = 2000;
+    private static final double FIRST_RETRY_DELAY_MS = 500, MAX_RETRY_DELAY_MS = 30_000;
+    /** Time to write the queued entries at the end. */
+    private static final long STOP_TIMEOUT_MS = 2000;
 
     private final Recorder recorder;
     private final Thread writer;
@@ -40,48 +40,54 @@
     }
 
     /**
-     * Captures a module that is made here, from {@code now} on its clock; {@code tell} hears of failures and their end.
-     * Throws {@link IOException} where the folder can't be read.
+     * Creates a decision module and its capture; {@link #start} starts to write.
+     *
+     * @param options the operators' file
+     * @param name the instance, part of the file names
+     * @param now the time on the module's clock
+     * @param log receives a line when writing fails and when it works again
+     * @throws IOException if the folder can't be read
      */
-    public static CaptureSession open(Path folder, Settings s, String name, double now, long seed, Gateway.Settings settings,
-            Clock clock, Consumer<String> tell) throws IOException {
+    public static CaptureSession open(Path folder, Settings options, String name, double now, long seed,
+            Gateway.Settings settings, Clock clock, Consumer<String> log) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
-        SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) s.number(Keyword.CAPTURE_SEGMENT_SIZE),
-                s.number(Keyword.CAPTURE_SEGMENT_DURATION), (long) s.number(Keyword.CAPTURE_TOTAL_SIZE),
-                s.number(Keyword.CAPTURE_RETENTION),
-                FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
-        SegmentName before = new SegmentName(name, System.currentTimeMillis(), 0);
-        List<SegmentStore.StoredSegment> own = store.list().stream().filter(h -> SegmentName.parse(h.name()).stream()
-                .anyMatch(n -> n.instance().equals(before.instance()))).toList(); // others may write to the same folder
-        SegmentPolicy segments = new SegmentPolicy(limits, before, own, clock.now());
+        SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) options.number(Keyword.CAPTURE_SEGMENT_SIZE),
+                options.number(Keyword.CAPTURE_SEGMENT_DURATION), (long) options.number(Keyword.CAPTURE_TOTAL_SIZE),
+                options.number(Keyword.CAPTURE_RETENTION),
+                FIRST_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
+        SegmentName previous = new SegmentName(name, System.currentTimeMillis(), 0);
+        List<SegmentStore.StoredSegment> own = store.list().stream().filter(file -> SegmentName.parse(file.name()).stream()
+                .anyMatch(n -> n.instance().equals(previous.instance()))).toList(); // the folder may be shared
+        SegmentPolicy segments = new SegmentPolicy(limits, previous, own, clock.now());
         Entry.Opening opening = new Entry.Opening(name, now, seed, Version.text(),
                 ModuleDigest.of(GcMuScheduler.class), settings);
-        Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, tell), s.count(Keyword.CAPTURE_QUEUE_LENGTH),
-                s.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
+        Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, log),
+                options.count(Keyword.CAPTURE_QUEUE_LENGTH), options.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
         return new CaptureSession(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
                 new StateCodec(GcMuScheduler.class)::write));
     }
 
-    /** The module, captured. */
+    /** The module, wrapped so that its calls are recorded. */
     public Gateway module() {
         return module;
     }
 
+    /** Starts to write. */
     public void start() {
         writer.start();
     }
 
-    /** Writes what was taken, and ends; waits for that, but not for a folder that stands still. */
+    /** Writes the recorded calls and stops; does not wait long for a folder that blocks. */
     public void stop() throws InterruptedException {
         if (writer.isAlive()) {
             if (!recorder.stop()) {
                 writer.interrupt();
             }
-            writer.join(LAST_MS);
+            writer.join(STOP_TIMEOUT_MS);
         }
     }
 
-    /** What has been captured, for the counters. */
+    /** The counters of the capture by key. */
     public Map<String, Long> counts() {
         CaptureWriter.Counts c = recorder.counts();
         Map<String, Long> out = new LinkedHashMap<>();
--- a/frontend/src/main/java/quincespar/program/captures/CapturingSimulatorHost.java
+++ b/frontend/src/main/java/quincespar/program/captures/CapturingSimulatorHost.java
@@ -13,36 +13,36 @@
 import quincespar.settings.Settings;
 import quincespar.simulator.SimulatorHost;
 
-/** The adapter with each instance captured, into one folder. Nothing waits for the folder, also not in the simulator. */
+/** The simulator adapter with a capture of each instance, all in one folder. The instances never wait for the folder. */
 public final class CapturingSimulatorHost {
     private final Path folder;
     private final Clock clock = new Clock();
-    private final List<CaptureSession> all = new ArrayList<>();
+    private final List<CaptureSession> captures = new ArrayList<>();
 
     private CapturingSimulatorHost(Path folder) {
         this.folder = folder;
     }
 
-    /** Answers batches until the input ends; throws where the folder can't be used. */
+    /** Answers the simulator's batches until the input ends; throws {@link IOException} if the folder can't be used. */
     public static void serve(Path folder, InputStream in, OutputStream out) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        CapturingSimulatorHost made = new CapturingSimulatorHost(folder);
+        CapturingSimulatorHost host = new CapturingSimulatorHost(folder);
         try {
-            new SimulatorHost(made::make).serve(in, out);
+            new SimulatorHost(host::createInstance).serve(in, out);
         } finally {
-            for (CaptureSession c : made.all) {
-                c.stop();
+            for (CaptureSession capture : host.captures) {
+                capture.stop();
             }
         }
     }
 
-    private Gateway make(Gateway.Settings settings, long seed) {
+    private Gateway createInstance(Gateway.Settings settings, long seed) {
         try {
-            CaptureSession c = CaptureSession.open(folder, Settings.defaults(), "i" + all.size(), 0, seed, settings, clock,
-                    System.err::println);
-            all.add(c);
-            c.start();
-            return c.module();
+            CaptureSession capture = CaptureSession.open(folder, Settings.defaults(), "i" + captures.size(), 0, seed,
+                    settings, clock, System.err::println);
+            captures.add(capture);
+            capture.start();
+            return capture.module();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/frontend/src/main/java/quincespar/program/captures/package-info.java
+++ b/frontend/src/main/java/quincespar/program/captures/package-info.java
@@ -1,2 +1,5 @@
-/** Captures as files and on the command line; knows {@code runtime} and the module {@code capture}. */
+/**
+ * Captures of the decision module's calls: their files, the running capture of a module, and the commands that read them. It
+ * may use {@code runtime} and the module {@code capture}.
+ */
 package quincespar.program.captures;
--- a/frontend/src/main/java/quincespar/program/clients/HealthClient.java
+++ b/frontend/src/main/java/quincespar/program/clients/HealthClient.java
@@ -7,22 +7,23 @@
 import quincespar.protocol.MalformedException;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** Asks a running front end for its health, as the front layer does. */
+/** A client for the health call of a running front end. */
 public final class HealthClient {
-    private static final int WAIT_MS = 3000;
-    private static final int LONGEST = 1 << 16;
+    private static final int TIMEOUT_MS = 3000;
+    private static final int MAX_FRAME_BYTES = 1 << 16;
 
     private HealthClient() { }
 
+    /** Connects, makes one health call and returns its answer; throws {@link IOException} also for a malformed answer. */
     public static FrontCodec.Answer query(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(address, WAIT_MS);
-            socket.setSoTimeout(WAIT_MS);
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(FrontCodec.healthCall(1));
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length <= 0 || length > LONGEST) {
-                throw new IOException("an answer of " + length + " bytes");
+            if (length <= 0 || length > MAX_FRAME_BYTES) {
+                throw new IOException("health answer of " + length + " bytes");
             }
             byte[] frame = new byte[length];
             in.readFully(frame);
--- a/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -33,121 +33,139 @@
 import quincespar.transport.Listener;
 import quincespar.transport.OutboxLimit;
 
-/** The clients' protocol: Thrift in frames. One session for each connection reads it and words the replies. */
+/**
+ * The server of the clients' framed Thrift protocol. A session per connection decodes the calls, posts them as inputs and
+ * encodes the replies.
+ */
 public final class ThriftServer implements ClientProtocol, Listener.Acceptor {
     private final Logger log = LoggerFactory.getLogger(ThriftServer.class);
-    private static final Pattern TXN = Pattern.compile("[0-9a-f]{16}");
-    /** Up to ten million: more milliseconds or megabytes no request has. */
-    private static final Pattern FIGURE = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,9})?");
-    /** An idempotency key as it fits among an engine's fields, where a comma ends it. */
-    private static final Pattern UNIQUE = Pattern.compile("[^,\\p{Cntrl}]{0,256}");
-    /** Times the class's deadline: usual clients have been seen to wait some milliseconds longer than that. */
-    private static final double LONGEST = 2;
-    private static final int MOST_OPEN = 32;
-    /** What is read and dropped of a client whose connection is to end, until it is closed at once. */
-    private static final int MOST_DROPPED = 64 * 1024;
-    /** All open answers of a connection at their longest: a slow reader may lag, but not hold more than this. */
-    private static final int OUTBOX = MOST_OPEN * 50_000;
-    private static final long OUTBOXES = 16 << 20;
+    private static final Pattern TXN_PATTERN = Pattern.compile("[0-9a-f]{16}");
+    /** Numbers below ten million; no request has more milliseconds or megabytes. */
+    private static final Pattern NUMBER_PATTERN = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,9})?");
+    /** Idempotency keys that can be passed on to an engine, whose protocol ends a field at a comma. */
+    private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[^,\\p{Cntrl}]{0,256}");
+    /** A request's time limit may exceed its class's deadline by this factor: clients wait some milliseconds longer. */
+    private static final double MAX_LIMIT_FACTOR = 2;
+    private static final int MAX_OPEN_REQUESTS = 32;
+    /** Limit on the bytes that are discarded on a connection that is ending; beyond it the connection is closed at once. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
+    /** Outbox limit of a connection: room for an answer of maximum length to each open request. */
+    private static final int OUTBOX_BYTES = MAX_OPEN_REQUESTS * 50_000;
+    /** Limit on all outboxes together. */
+    private static final long TOTAL_OUTBOX_BYTES = 16 << 20;
 
     private final Map<Long, Session> sessions = new ConcurrentHashMap<>();
-    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOXES);
-    private final AtomicLong numbers = new AtomicLong();
-    /** What requests are read by; replaced whole. */
-    private volatile RoutingSettings site;
+    private final OutboxLimit outboxLimit = new OutboxLimit(OUTBOX_BYTES, TOTAL_OUTBOX_BYTES);
+    private final AtomicLong connectionNumbers = new AtomicLong();
+    /** Settings by which requests are decoded; replaced as a whole. */
+    private volatile RoutingSettings settings;
     private final Clock clock;
     private final Counters counters;
-    /** Takes what was found in one look, to be decided on together. */
+    /** Receives the inputs that were read in one pass, to be handled in one batch. */
     private final Consumer<List<Input>> post;
-    private final Supplier<Map<String, String>> report;
+    private final Supplier<Map<String, String>> healthFields;
     private final EventLoop loop;
     private final Listener listener;
-    /** A request that has begun may take so long to come whole. */
-    private final double wholeMs;
-    private volatile int places;
-    private volatile boolean yielding;
+    /** Time after which a partly received request no longer keeps its connection busy. */
+    private final double requestReadTimeoutMs;
+    private volatile int connectionLimit;
+    /** Whether connections are closed as soon as they are idle, because another process takes over the clients. */
+    private volatile boolean closingIdle;
 
-    public ThriftServer(EventLoop loop, Listener listener, RoutingSettings site, int mostConnections, double wholeMs, Clock clock,
-            Counters counters, Consumer<List<Input>> post, Supplier<Map<String, String>> report) {
-        this.wholeMs = wholeMs;
+    /**
+     * Creates a server that does not accept connections before {@link #start}.
+     *
+     * @param connectionLimit how many connections may be open
+     * @param requestReadTimeoutMs time after which a partly received request no longer keeps its connection busy
+     * @param post receives the inputs that were read in one pass of a connection, to be handled in one batch
+     * @param healthFields the fields of an answer to a health call
+     */
+    public ThriftServer(EventLoop loop, Listener listener, RoutingSettings settings, int connectionLimit,
+            double requestReadTimeoutMs, Clock clock, Counters counters, Consumer<List<Input>> post,
+            Supplier<Map<String, String>> healthFields) {
+        this.requestReadTimeoutMs = requestReadTimeoutMs;
         this.loop = loop;
         this.listener = listener;
-        this.site = site;
-        places = mostConnections;
+        this.settings = settings;
+        this.connectionLimit = connectionLimit;
         this.clock = clock;
         this.counters = counters;
         this.post = post;
-        this.report = report;
+        this.healthFields = healthFields;
     }
 
-    /** Requests that come whole from now on are read by these settings. */
-    public void applySettings(RoutingSettings next) {
-        site = next;
+    /** Requests whose last byte arrives from now on are decoded by these settings. */
+    public void applySettings(RoutingSettings newSettings) {
+        settings = newSettings;
     }
 
+    /** Starts to accept connections. */
     public void start() {
         listener.start(this);
     }
 
     /**
-     * Descriptors are kept for engines and the change log: with no place left new clients wait in the system's
-     * queue, until the reducer has closed whom it can spare.
+     * The limit reserves descriptors for engines and the change log. At the limit new clients wait in the accept queue
+     * until the reducer has closed other connections.
      */
     @Override
     public boolean hasCapacity() {
-        return sessions.size() < places;
+        return sessions.size() < connectionLimit;
     }
 
     @Override
     public void accept(SocketChannel channel) {
-        long number = numbers.incrementAndGet();
-        Session s = new Session(number, Connection.accepted(loop, channel, "client-" + number, bound));
-        sessions.put(number, s);
+        long number = connectionNumbers.incrementAndGet();
+        Session session = new Session(number, Connection.accepted(loop, channel, "client-" + number, outboxLimit));
+        sessions.put(number, session);
         post.accept(List.of(new Input.CallerConnected(number)));
-        s.connection.start(s);
+        session.connection.start(session);
     }
 
-    /** So many connections may be held from now on. */
-    public void setConnectionLimit(int most) {
-        places = most;
+    /** Sets how many connections may be open. */
+    public void setConnectionLimit(int limit) {
+        connectionLimit = limit;
         listener.resume();
     }
 
-    /** At the end there is room for those in the system's queue too: what was sent on them would be lost. */
+    /** Makes room for the clients in the accept queue before a shutdown: requests that they have sent would be lost. */
     public void raiseConnectionLimitForShutdown() {
-        places += places / 5;
+        connectionLimit += connectionLimit / 5;
         listener.resume();
     }
 
+    /** Closes a client's connection if it is idle. */
     public void closeCaller(Effect.CloseCaller e) {
-        Session s = sessions.get(e.connection());
-        if (s != null) {
-            s.connection.closeIfIdle(e.cause());
+        Session session = sessions.get(e.connection());
+        if (session != null) {
+            session.connection.closeIfIdle(e.cause());
         }
     }
 
+    /** The number of open connections. */
     public int connectionCount() {
         return sessions.size();
     }
 
     /**
-     * Another process takes the clients: each connection ends at a moment when nothing is open on it, so that its client
-     * moves over with its next request. To be called again until none is left, as some have no such moment for a while.
+     * Closes idle connections, and others when their last open request is answered, so that clients connect to another
+     * process with their next request. Must be called again until no connection is left: a connection can be busy at each
+     * check for a while.
      */
     public void closeIdleConnections() {
-        yielding = true;
-        sessions.values().forEach(Session::move);
+        closingIdle = true;
+        sessions.values().forEach(Session::finishIfIdle);
     }
 
-    /** Closes all connections, each once what is queued on it has been written. */
+    /** Closes all connections gracefully, each once its queued answers are written. */
     public void finishConnections() {
-        sessions.values().forEach(s -> s.connection.finish());
+        sessions.values().forEach(session -> session.connection.finish());
     }
 
     @Override
     public void reply(Caller caller, Reply reply) {
-        Session s = sessions.get(caller.connection());
-        if (s == null) {
+        Session session = sessions.get(caller.connection());
+        if (session == null) {
             return;
         }
         byte[] frame;
@@ -159,32 +177,34 @@
         } else {
             frame = FrontCodec.failed(caller.call(), Map.of());
         }
-        s.send(caller.call(), frame);
+        session.send(caller.call(), frame);
     }
 
     @Override
-    public void health(Caller caller, boolean good) {
-        Session s = sessions.get(caller.connection());
-        if (s != null) {
-            s.send(caller.call(), FrontCodec.answer("health", caller.call(), new byte[0], report.get(), good));
+    public void health(Caller caller, boolean ready) {
+        Session session = sessions.get(caller.connection());
+        if (session != null) {
+            session.send(caller.call(), FrontCodec.answer("health", caller.call(), new byte[0], healthFields.get(), ready));
         }
     }
 
+    /** One client's connection. Its fields belong to the loop's thread, except those that are safe for several threads. */
     private final class Session implements Connection.Handler {
         private final long number;
         private final Connection connection;
         private final FrameDecoder frames = new FrameDecoder();
-        private final Set<Integer> open = ConcurrentHashMap.newKeySet();
-        /** Answers that are being queued. */
-        private final AtomicInteger answering = new AtomicInteger();
-        /** What came in this look: posted at its end, or dropped where its client has gone by then. */
-        private final List<Input> found = new ArrayList<>();
-        private int last;
-        /** When the request that is half here began. */
-        private double begunAt;
-        /** Nothing that still comes is read: the connection ends once what is open on it is answered. */
+        /** Sequence numbers of the requests that are not answered. */
+        private final Set<Integer> openRequests = ConcurrentHashMap.newKeySet();
+        /** Number of answers that are being put into the outbox. */
+        private final AtomicInteger answersInProgress = new AtomicInteger();
+        /** Inputs of the current read pass: posted at its end, or dropped if the client has disconnected by then. */
+        private final List<Input> pending = new ArrayList<>();
+        private int lastSeqid;
+        /** When the first bytes of the partly received request arrived. */
+        private double requestStartedAt;
+        /** Whether further input is discarded, and the connection ends once its open requests are answered. */
         private volatile boolean ending;
-        private int dropped;
+        private int discardedBytes;
 
         Session(long number, Connection connection) {
             this.number = number;
@@ -192,62 +212,63 @@
         }
 
         /**
-         * Its place among the open ones is free before its client can have the answer, and may ask again; but until the
-         * answer is queued the connection is busy, or a close at that moment would take it along.
+         * Sends an answer. The request is removed from the open ones first: once the client has the answer it may send
+         * another request, which must not exceed the limit. Until the answer is in the outbox the connection still counts
+         * as busy, because a close at that moment would drop the answer.
          */
         void send(int seqid, byte[] frame) {
-            answering.incrementAndGet();
-            open.remove(seqid);
+            answersInProgress.incrementAndGet();
+            openRequests.remove(seqid);
             boolean sent = connection.send(frame);
-            answering.decrementAndGet();
+            answersInProgress.decrementAndGet();
             if (!sent) {
                 connection.close("the client does not read");
-            } else if (open.isEmpty() && ending) {
+            } else if (openRequests.isEmpty() && ending) {
                 connection.finish();
-            } else if (open.isEmpty() && yielding) {
-                move();
+            } else if (openRequests.isEmpty() && closingIdle) {
+                finishIfIdle();
             }
         }
 
-        /** Ends the connection if this is a moment at which nothing is open on it and no request is half there. */
-        void move() {
+        /** Closes the connection gracefully if no request is open, unread or partly received. */
+        void finishIfIdle() {
             connection.finishIfIdle();
         }
 
         @Override
         public void received(byte[] bytes, int count) {
             if (ending) {
-                dropped += count;
-                if (dropped > MOST_DROPPED) {
+                discardedBytes += count;
+                if (discardedBytes > MAX_DISCARDED_BYTES) {
                     connection.close("goes on after its end");
                 }
                 return;
             }
-            double at = clock.now();
-            boolean began = !frames.hasPartialMessage();
+            double receivedAt = clock.now();
+            boolean startsMessage = !frames.hasPartialMessage();
             try {
-                frames.feed(bytes, count, f -> {
-                    begunAt = at;
-                    message(FrontCodec.read(f), at);
+                frames.feed(bytes, count, frame -> {
+                    requestStartedAt = receivedAt;
+                    handleMessage(FrontCodec.read(frame), receivedAt);
                 });
             } catch (MalformedException e) {
-                end(0, FrontCodec.INVALID_MESSAGE_TYPE, e.getMessage());
+                reject(0, FrontCodec.INVALID_MESSAGE_TYPE, e.getMessage());
             }
-            begunAt = began ? at : begunAt;
+            requestStartedAt = startsMessage ? receivedAt : requestStartedAt;
         }
 
         @Override
         public void readComplete() {
-            if (!found.isEmpty()) {
-                post.accept(List.copyOf(found));
-                found.clear();
+            if (!pending.isEmpty()) {
+                post.accept(List.copyOf(pending));
+                pending.clear();
             }
         }
 
         @Override
         public boolean busy() {
-            return !open.isEmpty() || answering.get() > 0
-                    || frames.hasPartialMessage() && !ending && clock.now() - begunAt < wholeMs;
+            return !openRequests.isEmpty() || answersInProgress.get() > 0
+                    || frames.hasPartialMessage() && !ending && clock.now() - requestStartedAt < requestReadTimeoutMs;
         }
 
         @Override
@@ -259,8 +280,8 @@
         public void closed(String cause) {
             counters.countClose(cause);
             counters.countSystemCallFailure("clients", cause);
-            if (!open.isEmpty() && !ending && !connection.closedByPeer()) { // each is a request lost
-                log.atWarn().addKeyValue("connection", number).addKeyValue("open", open.size())
+            if (!openRequests.isEmpty() && !ending && !connection.closedByPeer()) { // the answers to these requests are lost
+                log.atWarn().addKeyValue("connection", number).addKeyValue("open", openRequests.size())
                         .log("a client's connection was closed with requests open: {}", cause);
             }
             sessions.remove(number);
@@ -269,105 +290,106 @@
         }
 
         /**
-         * The last word to a client that sent what can't be used: it is told, and its connection ends once what is open
-         * there is answered. Guards against one that sends the same again as soon as it is turned away, at full speed
-         * and for good. A number that may be open or answered is not named: the word could pass for its second answer.
+         * Answers an invalid message with an exception, and ends the connection once its open requests are answered: a
+         * client may send the same message again at once, at full speed and without end. The exception does not name a
+         * sequence number that may be open or answered, because it could be taken for that request's second answer.
          */
-        private void end(int seqid, int type, String why) {
+        private void reject(int seqid, int type, String reason) {
             ending = true;
             counters.count(Counters.Count.REQUESTS_UNUSABLE);
-            connection.send(FrontCodec.exception(seqid > last ? seqid : 0, type, why));
-            if (open.isEmpty()) {
+            connection.send(FrontCodec.exception(seqid > lastSeqid ? seqid : 0, type, reason));
+            if (openRequests.isEmpty()) {
                 connection.finish();
             }
         }
 
-        private void message(Message m, double at) {
+        private void handleMessage(Message message, double receivedAt) {
             if (ending) {
                 return;
             }
-            Caller caller = new Caller(number, m.seqid());
-            if (m instanceof Message.Call c) {
-                call(caller, c, at);
-            } else if (m instanceof Message.Cancel c) {
-                open.remove(c.cancelled());
-                found.add(new Input.RequestCancelled(new Caller(number, c.cancelled())));
-            } else if (m instanceof Message.Health) {
-                found.add(new Input.HealthRequested(caller));
-            } else if (m instanceof Message.Invalid w) {
-                end(w.seqid(), w.type(), w.reason());
+            Caller caller = new Caller(number, message.seqid());
+            if (message instanceof Message.Call c) {
+                handleCall(caller, c, receivedAt);
+            } else if (message instanceof Message.Cancel c) {
+                openRequests.remove(c.cancelled());
+                pending.add(new Input.RequestCancelled(new Caller(number, c.cancelled())));
+            } else if (message instanceof Message.Health) {
+                pending.add(new Input.HealthRequested(caller));
+            } else if (message instanceof Message.Invalid i) {
+                reject(i.seqid(), i.type(), i.reason());
             }
         }
 
-        private void call(Caller caller, Message.Call c, double at) {
-            if (c.seqid() <= last) { // numbers count up
-                end(c.seqid(), FrontCodec.INVALID_MESSAGE_TYPE, "number " + c.seqid() + " was used before");
+        private void handleCall(Caller caller, Message.Call call, double receivedAt) {
+            if (call.seqid() <= lastSeqid) { // clients count up
+                reject(call.seqid(), FrontCodec.INVALID_MESSAGE_TYPE, "number " + call.seqid() + " was used before");
                 return;
             }
             Query query;
             try {
-                query = parseQuery(c);
+                query = parseQuery(call);
             } catch (MalformedException e) {
-                end(c.seqid(), FrontCodec.INTERNAL_ERROR, e.getMessage());
+                reject(call.seqid(), FrontCodec.INTERNAL_ERROR, e.getMessage());
                 return;
             }
-            last = c.seqid();
-            if (open.size() >= MOST_OPEN) {
-                send(c.seqid(), FrontCodec.exception(c.seqid(), FrontCodec.INTERNAL_ERROR, "too many open requests"));
+            lastSeqid = call.seqid();
+            if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+                send(call.seqid(), FrontCodec.exception(call.seqid(), FrontCodec.INTERNAL_ERROR, "too many open requests"));
                 return;
             }
-            open.add(c.seqid());
-            found.add(new Input.RequestReceived(caller, query, at));
+            openRequests.add(call.seqid());
+            pending.add(new Input.RequestReceived(caller, query, receivedAt));
         }
     }
 
-    /** A call's fields as a query, as a session makes it. */
+    /** Decodes a frame with a call into a query, as a session does. */
     public Query parseQuery(byte[] frame) {
         return parseQuery((Message.Call) FrontCodec.read(frame));
     }
 
-    /** A call's fields as a query; throws {@link MalformedException} by the name of a field that can't be used. */
-    private Query parseQuery(Message.Call c) {
-        RoutingSettings by = site; // one and the same to the end of this request
-        Map<String, String> f = c.fields();
-        String txn = f.getOrDefault("txn", "");
-        if (!TXN.matcher(txn).matches()) {
+    /** Builds a query from a call's fields; throws {@link MalformedException} that names the first invalid field. */
+    private Query parseQuery(Message.Call call) {
+        RoutingSettings current = settings; // read once, as another thread may replace it
+        Map<String, String> fields = call.fields();
+        String txn = fields.getOrDefault("txn", "");
+        if (!TXN_PATTERN.matcher(txn).matches()) {
             throw new MalformedException("field txn is not 16 hex digits");
         }
-        Integer cls = by.classNumbers().get(f.getOrDefault("verb", ""));
-        if (cls == null) {
-            throw new MalformedException("no class '" + f.get("verb") + "'");
+        Integer classNumber = current.classNumbers().get(fields.getOrDefault("verb", ""));
+        if (classNumber == null) {
+            throw new MalformedException("no class '" + fields.get("verb") + "'");
         }
-        Integer tenant = by.tenantNumbers().isEmpty() ? Integer.valueOf(0) : by.tenantNumbers().get(f.getOrDefault("team", ""));
-        if (tenant == null) {
-            throw new MalformedException("no tenant '" + f.get("team") + "'");
+        Integer tenantNumber = current.tenantNumbers().isEmpty() ? Integer.valueOf(0)
+                : current.tenantNumbers().get(fields.getOrDefault("team", ""));
+        if (tenantNumber == null) {
+            throw new MalformedException("no tenant '" + fields.get("team") + "'");
         }
-        double limit = number(f, "limit");
-        if (limit <= 0 || limit > LONGEST * by.decision().classes().get(cls).deadline()) {
+        double limitMs = number(fields, "limit");
+        if (limitMs <= 0 || limitMs > MAX_LIMIT_FACTOR * current.decision().classes().get(classNumber).deadline()) {
             throw new MalformedException("field limit is out of bounds");
         }
-        String second = f.get("second");
-        if (second != null && !second.equals("1") && !second.equals("0")) {
+        String retry = fields.get("second");
+        if (retry != null && !retry.equals("1") && !retry.equals("0")) {
             throw new MalformedException("field second is not 1");
         }
-        if (c.body().length == 0) {
+        if (call.body().length == 0) {
             throw new MalformedException("no statement");
         }
-        Utf8.text(c.body()); // a statement that is no text can't be used
-        String unique = f.getOrDefault("unique", "");
-        if (!UNIQUE.matcher(unique).matches()) {
+        Utf8.text(call.body()); // throws if the statement is not valid UTF-8
+        String idempotencyKey = fields.getOrDefault("unique", "");
+        if (!IDEMPOTENCY_KEY_PATTERN.matcher(idempotencyKey).matches()) {
             throw new MalformedException("field unique can't be passed on");
         }
-        return new Query(txn, cls, tenant, limit, "1".equals(second), number(f, "cpu"), number(f, "heap_mb"),
-                StatementScanner.tableGroup(c.body()), c.body(), unique);
+        return new Query(txn, classNumber, tenantNumber, limitMs, "1".equals(retry), number(fields, "cpu"),
+                number(fields, "heap_mb"), StatementScanner.tableGroup(call.body()), call.body(), idempotencyKey);
     }
 
-    /** A figure that must be there: engines can't use a request without. Plain digits, as nothing else is sent. */
+    /** Reads a required number in plain decimal digits; engines reject a request without it. */
     private static double number(Map<String, String> fields, String name) {
-        String v = fields.get(name);
-        if (v == null || !FIGURE.matcher(v).matches()) {
+        String value = fields.get(name);
+        if (value == null || !NUMBER_PATTERN.matcher(value).matches()) {
             throw new MalformedException("field " + name + " is missing or no number");
         }
-        return Double.parseDouble(v);
+        return Double.parseDouble(value);
     }
 }
--- a/frontend/src/main/java/quincespar/program/clients/package-info.java
+++ b/frontend/src/main/java/quincespar/program/clients/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The clients' side: their protocol on connections, and the question for health;
- * knows {@code runtime}, not the engines' side.
+ * The clients' side: the server of their Thrift protocol, and a client for its health call. It may use {@code runtime}, and
+ * not {@code engines}.
  */
 package quincespar.program.clients;
--- a/frontend/src/main/java/quincespar/program/engines/ChangeLogClient.java
+++ b/frontend/src/main/java/quincespar/program/engines/ChangeLogClient.java
@@ -16,28 +16,34 @@
 import quincespar.transport.EventLoop;
 import quincespar.transport.OutboxLimit;
 
-/** Asks the change log over HTTP/1.1, on one connection for as long as that lasts. Used by one thread. */
+/**
+ * Polls the change log over HTTP/1.1. It reuses its connection until that is closed, and posts the answers and failures as
+ * inputs. Its methods must be called from one thread.
+ */
 public final class ChangeLogClient {
-    private static final int OUTBOX = 64 * 1024;
-    private static final int OK = 200;
+    private static final int OUTBOX_BYTES = 64 * 1024;
+    private static final int HTTP_OK = 200;
 
-    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOX);
+    private final OutboxLimit outboxLimit = new OutboxLimit(OUTBOX_BYTES, OUTBOX_BYTES);
     private final EventLoop loop;
     private final Consumer<Input> post;
-    private Exchange current;
+    private Session current;
 
+    /** Creates a client without a connection; {@code post} receives the inputs. */
     public ChangeLogClient(EventLoop loop, Consumer<Input> post) {
         this.loop = loop;
         this.post = post;
     }
 
+    /** Sends a poll, on a new connection if there is none that takes it. */
     public void poll(Effect.PollChangeLog e) {
-        if (current == null || !current.ask(e)) {
-            current = new Exchange(Addresses.parse(e.address()), e.pollId(), e.connectTimeoutMs());
-            current.ask(e);
+        if (current == null || !current.poll(e)) {
+            current = new Session(Addresses.parse(e.address()), e.pollId(), e.connectTimeoutMs());
+            current.poll(e);
         }
     }
 
+    /** Closes the connection, which fails an open poll. */
     public void disconnect() {
         if (current != null) {
             current.connection.close("given up");
@@ -45,27 +51,28 @@
         }
     }
 
-    private final class Exchange implements Connection.Handler {
+    /** One connection to the change log. */
+    private final class Session implements Connection.Handler {
         private final ResponseDecoder decoder = new ResponseDecoder();
         private final InetSocketAddress address;
         private final Connection connection;
-        /** The questions that are open here, oldest first: answers come in the order of the questions. */
-        private final Queue<Long> asked = new ConcurrentLinkedQueue<>();
-        /** The last question, which a failure of the connection fails. */
-        private volatile long last;
-        private volatile boolean up;
+        /** Ids of the open polls, oldest first: HTTP answers come in the order of the requests. */
+        private final Queue<Long> openPolls = new ConcurrentLinkedQueue<>();
+        /** Id of the last poll; it is reported as failed when the connection is closed. */
+        private volatile long lastPollId;
+        private volatile boolean established;
 
-        /** The number is set before the dial: a port that is closed may say so before anything is asked. */
-        Exchange(InetSocketAddress address, long first, double connectMs) {
+        /** Sets the poll id before connecting: the connection may be refused before the poll is sent. */
+        Session(InetSocketAddress address, long firstPollId, double connectTimeoutMs) {
             this.address = address;
-            last = first;
-            connection = Connection.outbound(loop, "changes", bound);
-            connection.connect(address, this, Math.round(connectMs));
+            lastPollId = firstPollId;
+            connection = Connection.outbound(loop, "changes", outboxLimit);
+            connection.connect(address, this, Math.round(connectTimeoutMs));
         }
 
-        boolean ask(Effect.PollChangeLog e) {
-            last = e.pollId();
-            asked.add(last);
+        boolean poll(Effect.PollChangeLog e) {
+            lastPollId = e.pollId();
+            openPolls.add(lastPollId);
             String request = "GET /changes?since=" + e.afterEvent() + "&timeout=" + e.waitMs() + " HTTP/1.1\r\nHost: "
                     + address.getHostString() + ":" + address.getPort() + "\r\nAccept: application/json\r\n\r\n";
             return connection.send(request.getBytes(StandardCharsets.US_ASCII));
@@ -73,38 +80,38 @@
 
         @Override
         public void opened() {
-            up = true;
+            established = true;
         }
 
         @Override
         public void received(byte[] bytes, int count) {
             try {
-                decoder.feed(bytes, count, this::answered);
-            } catch (MalformedException e) { // asked again after a pause; the list that we have is kept
-                post.accept(new Input.PollFailed(last, PollFailure.NO_ANSWER, e.getMessage()));
+                decoder.feed(bytes, count, this::handleResponse);
+            } catch (MalformedException e) { // the reducer polls again after a delay and keeps the current list
+                post.accept(new Input.PollFailed(lastPollId, PollFailure.NO_ANSWER, e.getMessage()));
                 connection.close("malformed");
             }
         }
 
-        private void answered(ResponseDecoder.Response r) {
-            if (r.status() != OK) {
-                throw new MalformedException("status " + r.status());
+        private void handleResponse(ResponseDecoder.Response response) {
+            if (response.status() != HTTP_OK) {
+                throw new MalformedException("status " + response.status());
             }
-            ChangeLogCodec.Changes c = ChangeLogCodec.read(r.body());
-            Long question = asked.poll();
-            if (question == null) {
-                throw new MalformedException("an answer to no question");
+            ChangeLogCodec.Changes changes = ChangeLogCodec.read(response.body());
+            Long pollId = openPolls.poll();
+            if (pollId == null) {
+                throw new MalformedException("response without a request");
             }
-            post.accept(new Input.ChangesReceived(question, c.seq(), c.events()));
+            post.accept(new Input.ChangesReceived(pollId, changes.seq(), changes.events()));
         }
 
         @Override
         public void closed(String cause) {
-            post.accept(new Input.PollFailed(last, how(cause), cause));
+            post.accept(new Input.PollFailed(lastPollId, failureOf(cause), cause));
         }
 
-        private PollFailure how(String cause) {
-            if (up) {
+        private PollFailure failureOf(String cause) {
+            if (established) {
                 return PollFailure.NO_ANSWER;
             }
             if (connection.failedLocally()) {
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -2,6 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -23,43 +24,48 @@
 import quincespar.transport.OutboxLimit;
 import quincespar.transport.WithdrawableWrite;
 
-/** The connections to engines, which speak RESP. */
+/** The connections to engines. It encodes effects as RESP commands, and posts the engines' replies as inputs. */
 public final class EngineLinks {
     private final Logger log = LoggerFactory.getLogger(EngineLinks.class);
-    private static final int OUTBOX = 4 << 20;
-    private static final long OUTBOXES = 12 << 20;
-    private static final int MOST_PAGES = 64;
-    /** What the settings call a report's value, and what engines may call it. */
-    private static final Map<String, String> SHORT = Map.of("outstanding", "inflight", "backlog", "queue",
+    private static final int OUTBOX_BYTES = 4 << 20;
+    private static final long TOTAL_OUTBOX_BYTES = 12 << 20;
+    private static final int MAX_PAGES = 64;
+    /** Other names that engines use for the fields of a load report, by their names in the settings. */
+    private static final Map<String, String> FIELD_ALIASES = Map.of("outstanding", "inflight", "backlog", "queue",
             "utilization", "util", "recent_ms", "latency_ms", "throughput", "qps", "errors_per_s", "eps");
 
     private final Map<Long, Connection> connections = new ConcurrentHashMap<>();
-    private final OutboxLimit bound = new OutboxLimit(OUTBOX, OUTBOXES);
+    private final OutboxLimit outboxLimit = new OutboxLimit(OUTBOX_BYTES, TOTAL_OUTBOX_BYTES);
     private final EventLoop loop;
+    /** Names and order of the fields of a load report. */
     private volatile List<String> reportFields;
     private final Consumer<Input> post;
 
-    public EngineLinks(EventLoop loop, RoutingSettings site, Consumer<Input> post) {
+    /** Creates it without links; {@code post} receives the inputs. */
+    public EngineLinks(EventLoop loop, RoutingSettings settings, Consumer<Input> post) {
         this.loop = loop;
         this.post = post;
-        applySettings(site);
+        applySettings(settings);
     }
 
-    public void applySettings(RoutingSettings site) {
-        reportFields = site.decision().fleet().reportFields();
+    /** Load reports are read by these settings from now on. */
+    public void applySettings(RoutingSettings settings) {
+        reportFields = settings.decision().fleet().reportFields();
     }
 
+    /** Connects to an engine. */
     public void open(Effect.OpenLink e) {
         try {
             InetSocketAddress address = Addresses.parse(e.address());
-            Connection c = Connection.outbound(loop, "engine-" + e.link(), bound);
-            connections.put(e.link(), c); // before its end can be told, or it would be kept for good
-            c.connect(address, new Receiver(e.link()));
-        } catch (IllegalArgumentException x) { // listed at no address: as good as refused
+            Connection c = Connection.outbound(loop, "engine-" + e.link(), outboxLimit);
+            connections.put(e.link(), c); // before connecting: closed() removes it, and would otherwise run first
+            c.connect(address, new LinkHandler(e.link()));
+        } catch (IllegalArgumentException x) { // the listed address is invalid: as if the connection had been refused
             post.accept(new Input.LinkDown(e.link(), x.getMessage()));
         }
     }
 
+    /** Closes a link. */
     public void close(Effect.CloseLink e) {
         Connection c = connections.remove(e.link());
         if (c != null) {
@@ -67,27 +73,33 @@
         }
     }
 
+    /** Sends an attempt. */
     public void send(Effect.Send e) {
         send(e.link(), EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement()), e.write(),
                 () -> post.accept(new Input.SendWritten(e.key())));
     }
 
+    /** Cancels an attempt. */
     public void cancel(Effect.Cancel e) {
         send(e.link(), EngineCodec.cancel(e.txn()), null, () -> post.accept(new Input.CancelWritten(e.key())));
     }
 
+    /** Requests a further page of a result. */
     public void readPage(Effect.ReadPage e) {
         send(e.link(), EngineCodec.read(e.txn(), e.page()), null, null);
     }
 
+    /** Tells an engine that no more pages of a result are needed. */
     public void release(Effect.Release e) {
         send(e.link(), EngineCodec.release(e.txn()), null, null);
     }
 
+    /** Sends a health check. */
     public void probe(Effect.Probe e) {
         send(e.link(), EngineCodec.gauges(e.tag()), null, null);
     }
 
+    /** The number of links, including those that are connecting. */
     public int size() {
         return connections.size();
     }
@@ -95,17 +107,19 @@
     private void send(long link, byte[] bytes, WithdrawableWrite write, Runnable written) {
         Connection c = connections.get(link);
         if (c != null && !c.send(bytes, write, written)) {
-            c.close("the engine does not read"); // or it is over, and then its end is on its way
+            c.close("the engine does not read"); // no effect if the link is closed already; LinkDown follows then
         }
     }
 
-    private final class Receiver implements Connection.Handler {
+    private final class LinkHandler implements Connection.Handler {
         private final long link;
         private final RespDecoder decoder = new RespDecoder();
-        private boolean midway;
-        private boolean whole;
+        /** Whether a message is partly received. */
+        private boolean partialMessage;
+        /** Whether the current read has completed a message. */
+        private boolean completedMessage;
 
-        Receiver(long link) {
+        LinkHandler(long link) {
             this.link = link;
         }
 
@@ -117,22 +131,22 @@
         @Override
         public void received(byte[] bytes, int count) {
             try {
-                whole = false;
+                completedMessage = false;
                 decoder.feed(bytes, count, items -> {
-                    whole = true;
-                    EngineMessage news = said(items);
-                    if (news != null) {
-                        post.accept(new Input.EngineMessageReceived(link, news));
+                    completedMessage = true;
+                    EngineMessage message = decode(items);
+                    if (message != null) {
+                        post.accept(new Input.EngineMessageReceived(link, message));
                     }
                 });
-                if (decoder.hasPartialMessage() != midway || midway && whole) { // each message has its own time to come whole
-                    midway = decoder.hasPartialMessage();
-                    post.accept(new Input.PartialMessage(link, midway));
+                if (decoder.hasPartialMessage() != partialMessage || partialMessage && completedMessage) { // each has its timeout
+                    partialMessage = decoder.hasPartialMessage();
+                    post.accept(new Input.PartialMessage(link, partialMessage));
                 }
             } catch (MalformedException e) {
                 Connection c = connections.get(link);
                 if (c != null) {
-                    log.atWarn().addKeyValue("link", link).log("an engine's message is malformed: {}", e.getMessage());
+                    log.atWarn().addKeyValue("link", link).log("closing the link after a malformed message: {}", e.getMessage());
                     c.close("malformed: " + e.getMessage());
                 }
             }
@@ -146,81 +160,82 @@
     }
 
     /**
-     * Its frame is right, so what follows it can be read whatever it holds. Whether it matters that it makes no
-     * sense depends on its id: one that nothing is open under may come ahead of a good answer.
+     * Decodes a complete RESP message; null for a note of an unknown kind. The framing is intact, so an invalid message does
+     * not affect the ones after it. It is passed on as malformed with its id: the reducer ignores it if nothing is open under
+     * that id.
      */
-    private EngineMessage said(List<byte[]> items) {
+    private EngineMessage decode(List<byte[]> items) {
         String id = Utf8.text(items.get(0));
         try {
-            return news(EngineCodec.readReply(items));
+            return toMessage(EngineCodec.readReply(items));
         } catch (MalformedException e) {
             return new EngineMessage.Malformed(id, e.getMessage());
         }
     }
 
-    private EngineMessage news(EngineCodec.Reply a) {
-        return switch (a.type()) {
+    private EngineMessage toMessage(EngineCodec.Reply reply) {
+        return switch (reply.type()) {
             case "DONE" -> {
-                int pages = a.number("count");
-                if (pages < 1 || pages > MOST_PAGES) {
-                    throw new MalformedException("a result of " + pages + " pages");
+                int pages = reply.number("count");
+                if (pages < 1 || pages > MAX_PAGES) {
+                    throw new MalformedException("result of " + pages + " pages");
                 }
-                EngineCodec.requirePage(a.body());
-                yield new EngineMessage.Done(a.id(), pages, a.body(), load(a));
+                EngineCodec.requirePage(reply.body());
+                yield new EngineMessage.Done(reply.id(), pages, reply.body(), loadReport(reply));
             }
             case "MORE" -> {
-                EngineCodec.requirePage(a.body());
-                yield new EngineMessage.Page(a.id(), a.number("pos"), a.body());
+                EngineCodec.requirePage(reply.body());
+                yield new EngineMessage.Page(reply.id(), reply.number("pos"), reply.body());
             }
-            case "WAIT" -> new EngineMessage.Full(a.id(), load(a));
-            case "BROKE" -> new EngineMessage.Failed(a.id(), load(a));
-            case "PAST" -> new EngineMessage.Expired(a.id(), load(a));
-            case "FIT", "UNFIT" -> new EngineMessage.Health(a.id(), a.type().equals("FIT"), load(a));
-            case "TELL" -> note(a);
-            default -> throw new MalformedException("no answer '" + a.type() + "'");
+            case "WAIT" -> new EngineMessage.Full(reply.id(), loadReport(reply));
+            case "BROKE" -> new EngineMessage.Failed(reply.id(), loadReport(reply));
+            case "PAST" -> new EngineMessage.Expired(reply.id(), loadReport(reply));
+            case "FIT", "UNFIT" -> new EngineMessage.Health(reply.id(), reply.type().equals("FIT"), loadReport(reply));
+            case "TELL" -> noteOf(reply);
+            default -> throw new MalformedException("unknown reply type '" + reply.type() + "'");
         };
     }
 
-    private static EngineMessage note(EngineCodec.Reply a) {
-        NoteKind kind = switch (a.fields().getOrDefault("detail", "")) {
+    private static EngineMessage noteOf(EngineCodec.Reply reply) {
+        NoteKind kind = switch (reply.fields().getOrDefault("detail", "")) {
             case "share" -> NoteKind.PROGRESS;
             case "short" -> NoteKind.SPILL;
             case "held" -> NoteKind.WAIT;
             default -> null;
         };
-        return kind == null ? null : new EngineMessage.Note(a.id(), kind, number(a.fields().get("reading")));
+        return kind == null ? null : new EngineMessage.Note(reply.id(), kind, number(reply.fields().get("reading")));
     }
 
-    /** The load report in the settings' order; none where a field is missing, as a wrong place would mislead. */
-    private List<Double> load(EngineCodec.Reply a) {
-        String use = a.fields().get("use");
-        if (use == null || use.isEmpty()) {
+    /** The values of a load report in the order of the settings; empty if a field is missing, as the values go by position. */
+    private List<Double> loadReport(EngineCodec.Reply reply) {
+        String report = reply.fields().get("use");
+        if (report == null || report.isEmpty()) {
             return List.of();
         }
-        Map<String, String> told = new java.util.HashMap<>();
-        for (String pair : use.split(";")) {
+        Map<String, String> values = new HashMap<>();
+        for (String pair : report.split(";")) {
             int colon = pair.indexOf(':');
             if (colon <= 0) {
-                throw new MalformedException("no report: '" + use + "'");
+                throw new MalformedException("invalid load report: '" + report + "'");
             }
-            told.put(pair.substring(0, colon), pair.substring(colon + 1));
+            values.put(pair.substring(0, colon), pair.substring(colon + 1));
         }
         List<Double> out = new ArrayList<>();
         for (String field : reportFields) {
-            String v = told.getOrDefault(field, told.get(SHORT.getOrDefault(field, field)));
-            if (v == null) {
+            String value = values.getOrDefault(field, values.get(FIELD_ALIASES.getOrDefault(field, field)));
+            if (value == null) {
                 return List.of();
             }
-            out.add(number(v));
+            out.add(number(value));
         }
         return out;
     }
 
-    private static double number(String v) {
+    private static double number(String text) {
         try {
-            return Double.parseDouble(v == null ? "" : v);
+            return Double.parseDouble(text == null ? "" : text);
         } catch (NumberFormatException e) {
-            throw new MalformedException("no number: '" + v + "'");
+            throw new MalformedException("invalid number: '" + text + "'");
         }
     }
 }
--- a/frontend/src/main/java/quincespar/program/engines/package-info.java
+++ b/frontend/src/main/java/quincespar/program/engines/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The engines' side: links to engines and calls to the change log;
- * knows {@code runtime}, not the clients' side.
+ * The engines' side: links to engines, and the client of the change log. It may use {@code runtime}, and not {@code clients}.
  */
 package quincespar.program.engines;
--- a/frontend/src/main/java/quincespar/program/runtime/Addresses.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Addresses.java
@@ -2,11 +2,15 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as they are written in configurations. */
+/** Parses the addresses of configurations. */
 public final class Addresses {
     private Addresses() { }
 
-    /** An address with numbers only, as names are not looked up; throws {@link IllegalArgumentException} in one line. */
+    /**
+     * Parses {@code host:port}. The host should be an IP address: a host name would block on a name lookup.
+     *
+     * @throws IllegalArgumentException with a one-line message if the text is not an address
+     */
     public static InetSocketAddress parse(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         try {
--- a/frontend/src/main/java/quincespar/program/runtime/Counters.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Counters.java
@@ -12,9 +12,12 @@
 import quincespar.routing.Input;
 import quincespar.routing.Reply;
 
-/** Counts what is taken in, sent and answered, by looking at what passes the reducer. */
+/**
+ * Counts the reducer's inputs and effects, closed connections and failed system calls. The keys are read by operators' tools;
+ * some are derived from the texts of close causes, which are therefore fixed. Safe for use by several threads.
+ */
 public final class Counters {
-    /** What is counted; the names are printed in lower case with a point for the underscore. */
+    /** The fixed counters. Their keys are the names in lower case, with a dot for each underscore. */
     public enum Count {
         CALLERS_TAKEN, CALLERS_CLOSED, REQUESTS_TAKEN, REQUESTS_CANCELLED, REQUESTS_UNUSABLE, ANSWERS_SERVED,
         ANSWERS_REFUSED, ANSWERS_FAILED, ATTEMPTS_SENT, ATTEMPTS_CANCELLED, ENGINES_DONE, ENGINES_PAGE, ENGINES_FULL,
@@ -23,97 +26,106 @@
         CONFIGURATIONS_REFUSED, ERRORS_UNCAUGHT
     }
 
-    /** What the causes of connections' ends begin with where a system call has failed. */
-    private static final Set<String> CALLS = Set.of("connect", "start", "read", "write", "finishing");
-    /** Causes of closes are our own words and few; beyond this many they are counted together. */
-    private static final int MOST_CAUSES = 40;
+    /** First words of close causes that report a failed system call. */
+    private static final Set<String> SYSTEM_CALLS = Set.of("connect", "start", "read", "write", "finishing");
+    /** Limit on the keys of a group; there are few causes, and any beyond the limit are counted together as "other". */
+    private static final int MAX_KEYS_PER_GROUP = 40;
 
     private final Map<String, AtomicLong> closes = new ConcurrentHashMap<>();
     private final Map<String, AtomicLong> failures = new ConcurrentHashMap<>();
     private final AtomicLongArray counts = new AtomicLongArray(Count.values().length);
 
-    public void count(Count c) {
-        counts.incrementAndGet(c.ordinal());
+    /** Increments a counter. */
+    public void count(Count counter) {
+        counts.incrementAndGet(counter.ordinal());
     }
 
-    /** Counts the end of a client's connection under its cause, up to a colon and without numbers. */
+    /** Counts the close of a client's connection as {@code closed.CAUSE}; CAUSE is the cause up to its colon, without numbers. */
     public void countClose(String cause) {
         String name = cause.split(":")[0].replaceAll("[0-9]+", "").strip().replaceAll(" +", "_").toLowerCase(Locale.ROOT);
         countBounded(closes, "closed.", name);
     }
 
-    /** Counts one by a name that comes from outside; beyond so many names they are counted together. */
-    private static void countBounded(Map<String, AtomicLong> counted, String group, String name) {
-        String key = group + (counted.size() < MOST_CAUSES || counted.containsKey(group + name) ? name : "other");
-        counted.computeIfAbsent(key, k -> new AtomicLong()).incrementAndGet();
+    private static void countBounded(Map<String, AtomicLong> counters, String group, String name) {
+        String key = group + (counters.size() < MAX_KEYS_PER_GROUP || counters.containsKey(group + name) ? name : "other");
+        counters.computeIfAbsent(key, k -> new AtomicLong()).incrementAndGet();
     }
 
-    /** Counts a system call that failed, as {@code failures.side.call.error}; {@code cause} is 'call: error'. */
+    /**
+     * Counts a failed system call as {@code failures.SIDE.CALL.ERROR}.
+     *
+     * @param side whose connection it was: "clients", "servers" or "changelog"
+     * @param cause the close cause, "CALL: ERROR"; any other cause is not counted
+     */
     public void countSystemCallFailure(String side, String cause) {
         int colon = cause.indexOf(": ");
-        if (colon > 0 && CALLS.contains(cause.substring(0, colon))) {
-            String error = cause.substring(colon + 2).split("[:(]")[0].strip().replaceAll("[^A-Za-z]+", "_").toLowerCase(Locale.ROOT);
+        if (colon > 0 && SYSTEM_CALLS.contains(cause.substring(0, colon))) {
+            String error = cause.substring(colon + 2).split("[:(]")[0].strip()
+                    .replaceAll("[^A-Za-z]+", "_").toLowerCase(Locale.ROOT);
             countBounded(failures, "failures.", side + "." + cause.substring(0, colon) + "." + error);
         }
     }
 
-    public void countInput(Input i) {
-        if (i instanceof Input.RequestReceived) {
+    /** Counts an input that the reducer takes. */
+    public void countInput(Input input) {
+        if (input instanceof Input.RequestReceived) {
             count(Count.REQUESTS_TAKEN);
-        } else if (i instanceof Input.CallerConnected) {
+        } else if (input instanceof Input.CallerConnected) {
             count(Count.CALLERS_TAKEN);
-        } else if (i instanceof Input.RequestCancelled) {
+        } else if (input instanceof Input.RequestCancelled) {
             count(Count.REQUESTS_CANCELLED);
-        } else if (i instanceof Input.EngineMessageReceived s) {
-            count(said(s.message()));
-        } else if (i instanceof Input.LinkDown d) {
+        } else if (input instanceof Input.EngineMessageReceived i) {
+            count(counterOf(i.message()));
+        } else if (input instanceof Input.LinkDown i) {
             count(Count.LINKS_CLOSED);
-            countSystemCallFailure("servers", d.cause());
-        } else if (i instanceof Input.LinkUp) {
+            countSystemCallFailure("servers", i.cause());
+        } else if (input instanceof Input.LinkUp) {
             count(Count.LINKS_OPENED);
-        } else if (i instanceof Input.ChangesReceived c) {
-            count(c.events().isEmpty() ? Count.CHANGES_QUIET : Count.CHANGES_NEWS);
-        } else if (i instanceof Input.PollFailed f) {
+        } else if (input instanceof Input.ChangesReceived i) {
+            count(i.events().isEmpty() ? Count.CHANGES_QUIET : Count.CHANGES_NEWS);
+        } else if (input instanceof Input.PollFailed i) {
             count(Count.CHANGES_FAILED);
-            countSystemCallFailure("changelog", f.cause());
-        } else if (i instanceof Input.ConfigurationLoaded) {
+            countSystemCallFailure("changelog", i.cause());
+        } else if (input instanceof Input.ConfigurationLoaded) {
             count(Count.CONFIGURATIONS_TAKEN);
-        } else if (i instanceof Input.ConfigurationRejected) {
+        } else if (input instanceof Input.ConfigurationRejected) {
             count(Count.CONFIGURATIONS_REFUSED);
         }
     }
 
-    private static Count said(EngineMessage news) {
-        return news instanceof EngineMessage.Done ? Count.ENGINES_DONE
-                : news instanceof EngineMessage.Page ? Count.ENGINES_PAGE
-                : news instanceof EngineMessage.Note ? Count.ENGINES_NOTE
-                : news instanceof EngineMessage.Full ? Count.ENGINES_FULL
-                : news instanceof EngineMessage.Failed ? Count.ENGINES_BROKE
-                : news instanceof EngineMessage.Malformed ? Count.ENGINES_UNREADABLE
-                : news instanceof EngineMessage.Expired ? Count.ENGINES_PAST : Count.PROBES_ANSWERED;
+    private static Count counterOf(EngineMessage message) {
+        return message instanceof EngineMessage.Done ? Count.ENGINES_DONE
+                : message instanceof EngineMessage.Page ? Count.ENGINES_PAGE
+                : message instanceof EngineMessage.Note ? Count.ENGINES_NOTE
+                : message instanceof EngineMessage.Full ? Count.ENGINES_FULL
+                : message instanceof EngineMessage.Failed ? Count.ENGINES_BROKE
+                : message instanceof EngineMessage.Malformed ? Count.ENGINES_UNREADABLE
+                : message instanceof EngineMessage.Expired ? Count.ENGINES_PAST : Count.PROBES_ANSWERED;
     }
 
-    public void countEffect(Effect e) {
-        if (e instanceof Effect.Send) {
+    /** Counts an effect of the reducer. */
+    public void countEffect(Effect effect) {
+        if (effect instanceof Effect.Send) {
             count(Count.ATTEMPTS_SENT);
-        } else if (e instanceof Effect.Cancel) {
+        } else if (effect instanceof Effect.Cancel) {
             count(Count.ATTEMPTS_CANCELLED);
-        } else if (e instanceof Effect.ReadPage) {
+        } else if (effect instanceof Effect.ReadPage) {
             count(Count.PAGES_ASKED);
-        } else if (e instanceof Effect.CloseCaller) {
+        } else if (effect instanceof Effect.CloseCaller) {
             count(Count.CALLERS_CLOSED);
-        } else if (e instanceof Effect.Probe) {
+        } else if (effect instanceof Effect.Probe) {
             count(Count.PROBES_SENT);
-        } else if (e instanceof Effect.Answer a) {
-            count(a.reply() instanceof Reply.Served ? Count.ANSWERS_SERVED
-                    : a.reply() instanceof Reply.Refused ? Count.ANSWERS_REFUSED : Count.ANSWERS_FAILED);
+        } else if (effect instanceof Effect.Answer e) {
+            count(e.reply() instanceof Reply.Served ? Count.ANSWERS_SERVED
+                    : e.reply() instanceof Reply.Refused ? Count.ANSWERS_REFUSED : Count.ANSWERS_FAILED);
         }
     }
 
+    /** All counters by key, in the order of the keys. */
     public Map<String, String> snapshot() {
         Map<String, String> out = new TreeMap<>();
-        for (Count c : Count.values()) {
-            out.put(c.name().toLowerCase(Locale.ROOT).replace('_', '.'), Long.toString(counts.get(c.ordinal())));
+        for (Count counter : Count.values()) {
+            out.put(counter.name().toLowerCase(Locale.ROOT).replace('_', '.'), Long.toString(counts.get(counter.ordinal())));
         }
         closes.forEach((name, n) -> out.put(name, n.toString()));
         failures.forEach((name, n) -> out.put(name, n.toString()));
--- a/frontend/src/main/java/quincespar/program/runtime/InputQueue.java
+++ b/frontend/src/main/java/quincespar/program/runtime/InputQueue.java
@@ -9,62 +9,66 @@
 import quincespar.routing.Input;
 
 /**
- * The queue to the reducer. What peers send waits for room in it: guards against clients that send faster than the
- * reducer takes, whose inputs would fill the heap. Their readers wait, and so do they. Timers and the program's own
- * words are few and never wait, nor does the taking thread itself.
+ * The queue of inputs to the reducer's thread. Inputs from peers are bounded: a thread that adds one blocks while the
+ * queue is full, so that it stops reading from its peers, and clients that send faster than the reducer works can't fill
+ * the heap. Inputs from timers and from the program itself are few and never block, and neither does the reducer's thread.
  */
 public final class InputQueue {
-    private static final int MOST_FROM_PEERS = 2048;
-    private static final int BATCH = 256;
+    private static final int MAX_PEER_INPUTS = 2048;
+    private static final int MAX_BATCH_ENTRIES = 256;
 
-    private record Posted(List<Input> inputs, int permits) { }
+    /** Inputs that are taken together, and the permits that they hold while they are queued. */
+    private record QueuedInputs(List<Input> inputs, int permits) { }
 
-    private final BlockingQueue<Posted> queue = new LinkedBlockingQueue<>();
-    private final Semaphore room = new Semaphore(MOST_FROM_PEERS);
-    private volatile Thread taker;
+    private final BlockingQueue<QueuedInputs> queue = new LinkedBlockingQueue<>();
+    private final Semaphore peerPermits = new Semaphore(MAX_PEER_INPUTS);
+    private volatile Thread consumer;
 
-    public void add(Input i) {
-        queue.add(new Posted(List.of(i), 0));
+    /** Adds an input of the program itself; never blocks. */
+    public void add(Input input) {
+        queue.add(new QueuedInputs(List.of(input), 0));
     }
 
-    public void addFromPeer(Input i) {
-        addFromPeer(List.of(i));
+    /** Adds an input from a peer; blocks while the queue is full. */
+    public void addFromPeer(Input input) {
+        addFromPeer(List.of(input));
     }
 
-    /** Inputs that are taken in one batch: what was found in one look must not be decided on by halves. */
+    /** Adds inputs from a peer that must be taken in one batch, as they were read together; blocks while the queue is full. */
     public void addFromPeer(List<Input> together) {
-        int permits = Thread.currentThread() == taker ? 0 : Math.min(together.size(), BATCH);
-        room.acquireUninterruptibly(permits);
-        queue.add(new Posted(List.copyOf(together), permits));
+        int permits = Thread.currentThread() == consumer ? 0 : Math.min(together.size(), MAX_BATCH_ENTRIES);
+        peerPermits.acquireUninterruptibly(permits);
+        queue.add(new QueuedInputs(List.copyOf(together), permits));
     }
 
-    /** What has come, in order; waits for the first. Always called by the same thread. */
+    /** Waits for an input and takes a batch, in order. All calls must come from the same thread. */
     public List<Input> take() throws InterruptedException {
-        taker = Thread.currentThread();
-        return batch(queue.take());
+        consumer = Thread.currentThread();
+        return takeBatch(queue.take());
     }
 
-    /** As {@link #take()}, but waits for so long only. */
-    public List<Input> take(long waitMs) throws InterruptedException {
-        Posted first = queue.poll(waitMs, TimeUnit.MILLISECONDS);
-        return first == null ? List.of() : batch(first);
+    /** As {@link #take()}, but returns an empty list if there is no input within {@code timeoutMs}. */
+    public List<Input> take(long timeoutMs) throws InterruptedException {
+        QueuedInputs first = queue.poll(timeoutMs, TimeUnit.MILLISECONDS);
+        return first == null ? List.of() : takeBatch(first);
     }
 
+    /** The number of queued entries. */
     public int size() {
         return queue.size();
     }
 
-    private List<Input> batch(Posted first) {
-        List<Posted> some = new ArrayList<>();
-        some.add(first);
-        queue.drainTo(some, BATCH);
-        List<Input> out = new ArrayList<>(some.size());
+    private List<Input> takeBatch(QueuedInputs first) {
+        List<QueuedInputs> entries = new ArrayList<>();
+        entries.add(first);
+        queue.drainTo(entries, MAX_BATCH_ENTRIES);
+        List<Input> batch = new ArrayList<>(entries.size());
         int permits = 0;
-        for (Posted p : some) {
-            out.addAll(p.inputs());
-            permits += p.permits();
+        for (QueuedInputs entry : entries) {
+            batch.addAll(entry.inputs());
+            permits += entry.permits();
         }
-        room.release(permits);
-        return out;
+        peerPermits.release(permits);
+        return batch;
     }
 }
--- a/frontend/src/main/java/quincespar/program/runtime/Timers.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Timers.java
@@ -10,44 +10,47 @@
 import quincespar.routing.TimerKey;
 import quincespar.transport.Threads;
 
-/** The library's timers, one for each wait; firing posts an input and does nothing else. */
+/** The reducer's timers, at most one per key: a timer that fires posts an input. */
 public final class Timers {
     private final ScheduledThreadPoolExecutor executor;
     private final Map<TimerKey, Future<?>> running = new HashMap<>();
     private final Consumer<Input> post;
 
+    /** Creates timers that post {@link Input.TimerFired} to {@code post}. */
     public Timers(Consumer<Input> post) {
         this.post = post;
         executor = new ScheduledThreadPoolExecutor(1, r -> Threads.daemon("timers", r));
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Starts a timer; one that runs under the same key is stopped. */
+    /** Starts a timer, and stops one that runs under the same key. */
     public synchronized void start(TimerKey key, double delayMs) {
         stop(key);
         running.put(key, executor.schedule(() -> fire(key), (long) (delayMs * 1000), TimeUnit.MICROSECONDS));
     }
 
     private void fire(TimerKey key) {
-        synchronized (this) { // a timer of no delay may fire before it is noted, and would be noted for good
+        synchronized (this) { // a timer without delay may fire before start() has put it into the map, and would stay there
             running.remove(key);
         }
         post.accept(new Input.TimerFired(key));
     }
 
+    /** Stops a timer, if it is running. */
     public synchronized void stop(TimerKey key) {
-        Future<?> old = running.remove(key);
-        if (old != null) {
-            old.cancel(false);
+        Future<?> timer = running.remove(key);
+        if (timer != null) {
+            timer.cancel(false);
         }
     }
 
+    /** The number of running timers. */
     public synchronized int size() {
         return running.size();
     }
 
-    /** Runs a step of the program's own after a delay; it may be cancelled until then. */
-    public Future<?> schedule(double delayMs, Runnable step) {
-        return executor.schedule(step, (long) delayMs, TimeUnit.MILLISECONDS);
+    /** Runs a task of the program once after a delay; the result can cancel it until then. */
+    public Future<?> schedule(double delayMs, Runnable task) {
+        return executor.schedule(task, (long) delayMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/frontend/src/main/java/quincespar/program/runtime/Version.java
+++ b/frontend/src/main/java/quincespar/program/runtime/Version.java
@@ -1,12 +1,12 @@
 package quincespar.program.runtime;
 
-/** The program's version, as the jar has it. */
+/** The program's version, from the manifest of its jar. */
 public final class Version {
     private Version() { }
 
-    /** In words; without a jar that is said. */
+    /** The program's name and version; "(unpackaged)" in place of the version if it does not run from a jar. */
     public static String text() {
-        String v = Version.class.getPackage().getImplementationVersion();
-        return "quincespar " + (v == null ? "(unpackaged)" : v);
+        String version = Version.class.getPackage().getImplementationVersion();
+        return "quincespar " + (version == null ? "(unpackaged)" : version);
     }
 }
--- a/frontend/src/main/java/quincespar/program/status/StatusServer.java
+++ b/frontend/src/main/java/quincespar/program/status/StatusServer.java
@@ -22,39 +22,46 @@
 import quincespar.transport.OutboxLimit;
 
 /**
- * The second address, for operators: HTTP/1.1 with one call to a connection, on a loop of its own. It reads what has
- * been published and waits for neither the reducer nor the other loops, so that a caller has its answer within a
- * second however busy those are. Callers that finish no call, or do not read, hold up nobody: each has a
- * while, and the one that has waited longest makes room.
+ * The HTTP/1.1 server of the second address ({@code admin_addr}), for operators. It serves one call per connection, on an event
+ * loop of its own. It reads published values and waits neither for the reducer nor for the other loops, so that it answers
+ * within a second however busy those are. A caller that does not complete its call or does not read the answer can't block
+ * others: calls have a time limit, and at the limit of connections the oldest one is closed.
  */
 public final class StatusServer implements Listener.Acceptor {
-    /** A page that may take its time; a stage that ends with an exception is answered as not to be had. */
+    /** Further pages, which may be answered later. A stage that completes exceptionally is answered with status 503. */
     public interface Pages {
-        /** Null where there is no such page. */
+        /** The page of a request; null if there is no such page. */
         CompletionStage<FleetPages.Page> page(String method, String path);
     }
 
-    /** Callers at a time; so many descriptors at the most. */
-    private static final int MOST = 24;
-    /** How long a call may take, from the connect to its last byte, in milliseconds. */
+    /** Limit on open connections, and so on their descriptors. */
+    private static final int MAX_CONNECTIONS = 24;
+    /** Time limit of a call, from the connect to the last byte of the answer. */
     public static final double CALL_TIMEOUT_MS = 5000;
-    private static final int OUTBOX = 256 * 1024;
+    private static final int OUTBOX_BYTES = 256 * 1024;
 
-    private final Set<Call> calls = new LinkedHashSet<>(); // the longest there first
-    private final OutboxLimit bound = new OutboxLimit(OUTBOX, (long) MOST * OUTBOX);
+    private final Set<Call> calls = new LinkedHashSet<>(); // oldest first
+    private final OutboxLimit outboxLimit = new OutboxLimit(OUTBOX_BYTES, (long) MAX_CONNECTIONS * OUTBOX_BYTES);
     private final EventLoop loop;
     private final Listener listener;
     private final Timers timers;
-    private final double longestMs;
+    private final double callTimeoutMs;
     private final BooleanSupplier ready;
     private final Supplier<String> metrics;
     private volatile Pages pages = (method, path) -> null;
 
-    /** Binds the address; throws {@link IOException} where it can't be. */
-    public StatusServer(InetSocketAddress address, Timers timers, double longestMs, BooleanSupplier ready,
+    /**
+     * Binds the address.
+     *
+     * @param callTimeoutMs time limit of a call
+     * @param ready whether the front end serves requests
+     * @param metrics the metrics in the Prometheus text format
+     * @throws IOException if the address can't be bound
+     */
+    public StatusServer(InetSocketAddress address, Timers timers, double callTimeoutMs, BooleanSupplier ready,
             Supplier<String> metrics) throws IOException {
         this.timers = timers;
-        this.longestMs = longestMs;
+        this.callTimeoutMs = callTimeoutMs;
         this.ready = ready;
         this.metrics = metrics;
         loop = new EventLoop("status");
@@ -67,11 +74,12 @@
         }
     }
 
-    /** Serves these pages too, from now on. */
+    /** Serves further pages from now on, before the status pages. */
     public void addPages(Pages more) {
         pages = more;
     }
 
+    /** Starts to accept connections. */
     public void start() {
         listener.start(this);
         loop.start();
@@ -84,15 +92,15 @@
 
     @Override
     public void accept(SocketChannel channel) {
-        if (calls.size() >= MOST) {
+        if (calls.size() >= MAX_CONNECTIONS) {
             calls.iterator().next().connection.close("its place is needed");
         }
-        Call call = new Call(Connection.accepted(loop, channel, "status", bound));
+        Call call = new Call(Connection.accepted(loop, channel, "status", outboxLimit));
         calls.add(call);
         call.connection.start(call);
     }
 
-    private static String words(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
@@ -104,78 +112,79 @@
         };
     }
 
-    /** An answer as it goes out; {@code body} is left out for HEAD, which is told its length all the same. */
-    private static byte[] answer(int status, String type, String body, boolean head) {
+    /** Encodes a response; for HEAD it has the length of the body without the body. */
+    private static byte[] response(int status, String type, String body, boolean head) {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
-        return ("HTTP/1.1 " + status + " " + words(status) + "\r\nContent-Type: " + type + "\r\nContent-Length: "
+        return ("HTTP/1.1 " + status + " " + reasonPhrase(status) + "\r\nContent-Type: " + type + "\r\nContent-Length: "
                 + text.length + "\r\nCache-Control: no-store\r\n" + (status == 405 ? "Allow: GET, HEAD\r\n" : "")
                 + "Connection: close\r\n\r\n" + (head ? "" : body)).getBytes(StandardCharsets.UTF_8);
     }
 
-    private byte[] answer(Request r) {
-        boolean head = r.method().equals("HEAD");
-        boolean known = r.path().equals("/status") || r.path().equals("/status/metrics");
-        if (!known) {
-            return plain(404, head);
+    private byte[] statusPage(Request request) {
+        boolean head = request.method().equals("HEAD");
+        boolean pageExists = request.path().equals("/status") || request.path().equals("/status/metrics");
+        if (!pageExists) {
+            return plainText(404, head);
         }
-        if (!head && !r.method().equals("GET")) {
-            return plain(405, false);
+        if (!head && !request.method().equals("GET")) {
+            return plainText(405, false);
         }
-        if (r.path().equals("/status/metrics")) {
-            return answer(200, PrometheusText.CONTENT_TYPE, metrics.get(), head);
+        if (request.path().equals("/status/metrics")) {
+            return response(200, PrometheusText.CONTENT_TYPE, metrics.get(), head);
         }
-        boolean yes = ready.getAsBoolean();
-        return answer(yes ? 200 : 503, "text/plain; charset=utf-8", yes ? "ready\n" : "not ready\n", head);
+        boolean isReady = ready.getAsBoolean();
+        return response(isReady ? 200 : 503, "text/plain; charset=utf-8", isReady ? "ready\n" : "not ready\n", head);
     }
 
-    private static byte[] plain(int status, boolean head) {
-        return answer(status, "text/plain; charset=utf-8", words(status) + "\n", head);
+    private static byte[] plainText(int status, boolean head) {
+        return response(status, "text/plain; charset=utf-8", reasonPhrase(status) + "\n", head);
     }
 
+    /** One connection and its call. */
     private final class Call implements Connection.Handler {
         private final Connection connection;
         private final RequestDecoder decoder = new RequestDecoder();
-        private final Future<?> end;
+        private final Future<?> timeout;
         private boolean answered;
 
         Call(Connection connection) {
             this.connection = connection;
-            end = timers.schedule(longestMs, () -> connection.close("no call in time"));
+            timeout = timers.schedule(callTimeoutMs, () -> connection.close("no call in time"));
         }
 
         @Override
         public void received(byte[] bytes, int count) {
             if (answered) {
-                return; // a body, or a further call: there is one to a connection
+                return; // a body or a further call, which is ignored
             }
             try {
                 Optional<Request> request = decoder.feed(bytes, count);
                 request.ifPresent(this::answer);
             } catch (RequestDecoder.RejectedException e) {
-                end(plain(e.status(), false));
+                send(plainText(e.status(), false));
             }
         }
 
-        private void answer(Request r) {
+        private void answer(Request request) {
             answered = true;
-            CompletionStage<FleetPages.Page> page = pages.page(r.method(), r.path());
+            CompletionStage<FleetPages.Page> page = pages.page(request.method(), request.path());
             if (page == null) {
-                end(StatusServer.this.answer(r));
+                send(statusPage(request));
             } else {
-                page.whenComplete((p, e) -> end(e == null ? StatusServer.answer(p.status(), p.type(), p.body(), false)
-                        : StatusServer.answer(503, "text/plain; charset=utf-8", "the fleet gave no answer: " + e + "\n", false)));
+                page.whenComplete((p, e) -> send(e == null ? response(p.status(), p.type(), p.body(), false)
+                        : response(503, "text/plain; charset=utf-8", "the fleet gave no answer: " + e + "\n", false)));
             }
         }
 
-        private void end(byte[] answer) {
+        private void send(byte[] response) {
             answered = true;
-            connection.send(answer);
+            connection.send(response);
             connection.finish();
         }
 
         @Override
         public void closed(String cause) {
-            end.cancel(false);
+            timeout.cancel(false);
             calls.remove(this);
         }
     }
--- a/frontend/src/main/java/quincespar/program/status/package-info.java
+++ b/frontend/src/main/java/quincespar/program/status/package-info.java
@@ -1,2 +1,5 @@
-/** The second address; knows {@code runtime} and the pages of {@code program.fleet}. */
+/**
+ * The HTTP server of the second address with readiness and metrics. It may use {@code runtime} and the pages of
+ * {@code program.fleet}.
+ */
 package quincespar.program.status;
