--- a/capture/src/main/java/quincespar/capture/Replay.java
+++ b/capture/src/main/java/quincespar/capture/Replay.java
@@ -8,7 +8,7 @@
 import java.util.Deque;
 import java.util.HexFormat;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 
 /**
  * Feeds the captured events to another instance of the module and compares its actions with the captured ones. Stops at the
@@ -18,13 +18,13 @@
     /** Creates the module instances for a replay. */
     public interface ModuleFactory {
         /** Creates a new module. */
-        Gateway create(Entry.Opening opening);
+        Scheduler create(Entry.Opening opening);
 
         /** Creates a module in a captured state; throws {@link MalformedCaptureException} if its code differs. */
-        Gateway restore(Entry.State state) throws IOException;
+        Scheduler restore(Entry.State state) throws IOException;
 
         /** Encodes a module's state; equal states give equal bytes. */
-        byte[] stateOf(Gateway module);
+        byte[] stateOf(Scheduler module);
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param call its number, from 1
      * @param before the calls before it, oldest first
      */
-    public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Gateway.Action> got) { }
+    public record Divergence(long call, double time, List<Entry.Call> before, Entry.Call expected, List<Scheduler.Action> got) { }
 
     /** Calls kept to be shown before a divergence. */
     private static final int CALLS_BEFORE = 10;
@@ -57,7 +57,7 @@
     private final ModuleFactory modules;
     /** The opening of a segment until the next entry tells whether a state follows it; null otherwise. */
     private Entry.Opening opening;
-    private Gateway module;
+    private Scheduler module;
     private long matchingStates;
     private long differingStates;
     private long lostCalls;
@@ -107,7 +107,7 @@
     }
 
     private boolean playCall(Entry.Call expected) {
-        List<Gateway.Action> got = List.copyOf(module.decide(expected.time(), expected.events()));
+        List<Scheduler.Action> got = List.copyOf(module.decide(expected.time(), expected.events()));
         calls++;
         events += expected.events().size();
         decisions += got.size();
@@ -125,7 +125,7 @@
     }
 
     /** The module in its current state; null if nothing can be replayed before the next state. */
-    Gateway module() {
+    Scheduler module() {
         return module;
     }
 
--- a/faultbench/src/main/java/quincespar/faultbench/world/Operator.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/AdminClient.java
@@ -12,25 +12,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** Calls at an instance's second address. */
-public final class Operator {
-    private static final int HEAD = 4;
+/** HTTP client of an instance's admin interface. */
+public final class AdminClient {
+    private static final int HEADER_SEPARATOR_CHARS = 4;
 
-    /** An answer: its status, 0 where there was none, and its text. */
-    public record Answer(int status, String body) {
-        /** Single values, by name; those of the objects of a list are in {@link #rows}. */
+    /** An HTTP response; status 0 means that none arrived. */
+    public record Response(int status, String body) {
+        /** The top-level JSON values by name; the objects of a list are in {@link #rows}. */
         public Map<String, String> values() {
             Map<String, String> out = new LinkedHashMap<>();
             read(out, new ArrayList<>());
             return out;
         }
 
-        /** Status and first line, as a report has it. */
-        public String inShort() {
+        /** Status and first line of the body, for reports. */
+        public String summary() {
             return status + " " + body.lines().findFirst().orElse("");
         }
 
-        /** The objects of its one list. */
+        /** The objects of the list in the JSON body. */
         public List<Map<String, String>> rows() {
             List<Map<String, String>> out = new ArrayList<>();
             read(new LinkedHashMap<>(), out);
@@ -51,26 +51,26 @@
                     }
                 }
             } catch (IOException e) {
-                throw new IllegalStateException("no JSON: " + body, e);
+                throw new IllegalStateException("response is not valid JSON: " + body, e);
             }
         }
     }
 
-    private Operator() { }
+    private AdminClient() { }
 
-    /** One call, which takes so long at the most. */
-    public static Answer call(InetSocketAddress at, String method, String path, int waitMs) {
+    /** Sends one request; {@code waitMs} bounds connecting and each read. */
+    public static Response call(InetSocketAddress at, String method, String path, int waitMs) {
         try (Socket s = new Socket()) {
             s.connect(at, waitMs);
             s.setSoTimeout(waitMs);
             s.getOutputStream().write((method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(
                     StandardCharsets.US_ASCII));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            int head = text.indexOf("\r\n\r\n");
-            return head < 0 || !text.startsWith("HTTP/1.1 ") ? new Answer(0, "")
-                    : new Answer(Integer.parseInt(text.substring(9, 12)), text.substring(head + HEAD));
-        } catch (IOException e) { // not there, cut off or late: all the same to a caller
-            return new Answer(0, "");
+            int headerEnd = text.indexOf("\r\n\r\n");
+            return headerEnd < 0 || !text.startsWith("HTTP/1.1 ") ? new Response(0, "")
+                    : new Response(Integer.parseInt(text.substring(9, 12)), text.substring(headerEnd + HEADER_SEPARATOR_CHARS));
+        } catch (IOException e) { // refused, reset or timed out; callers make no difference
+            return new Response(0, "");
         }
     }
 }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Client.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Client.java
@@ -11,13 +11,13 @@
 import quincespar.faultbench.check.History;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** A client of one instance: asks at a steady pace on one connection, and on a new one where that ends. */
+/** A client of one instance: sends requests at a fixed rate on one connection, and reconnects when that closes. */
 public final class Client {
-    /** Where the number of a call stands in an answer, behind version, length and name. */
-    private static final int NUMBER_AT = 12, TYPE_AT = 3, REPLY = 2, LIMIT_MS = 3000;
+    /** Offset of the call id in a reply frame, after version, length and name. */
+    private static final int CALL_ID_OFFSET = 12, TYPE_OFFSET = 3, REPLY_TYPE = 2, REQUEST_LIMIT_MS = 3000;
     private static final byte[] STATEMENT = "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8);
 
-    private record Open(String txn, long from, boolean load) { }
+    private record OpenRequest(String txn, long from, boolean load) { }
 
     private final String node;
     private final InetSocketAddress at;
@@ -27,7 +27,7 @@
     private volatile boolean stopping;
     private int asked;
 
-    /** Begins to ask when {@link #start}ed. */
+    /** A client that sends nothing until {@link #start}. */
     public Client(String node, InetSocketAddress at, int number, int everyMs, History history) {
         this.node = node;
         this.at = at;
@@ -36,13 +36,13 @@
         this.history = history;
     }
 
-    /** Starts; the thread ends once it was told to stop and all is answered. */
+    /** Starts sending; the thread ends after {@link #stop}, once all requests are answered. */
     public Thread start() {
-        return Sockets.thread("client-" + node, () -> {
+        return Sockets.startDaemon("client-" + node, () -> {
             while (!stopping) {
                 try {
-                    connection();
-                } catch (IOException e) { // nobody is there now
+                    runConnection();
+                } catch (IOException e) { // the instance is not reachable
                     pause(everyMs);
                 } catch (InterruptedException e) {
                     return;
@@ -51,7 +51,7 @@
         });
     }
 
-    /** No new requests. */
+    /** Stops sending new requests. */
     public void stop() {
         stopping = true;
     }
@@ -64,18 +64,19 @@
         }
     }
 
-    private void connection() throws IOException, InterruptedException {
-        Map<Integer, Open> open = new ConcurrentHashMap<>();
+    private void runConnection() throws IOException, InterruptedException {
+        Map<Integer, OpenRequest> open = new ConcurrentHashMap<>();
         try (Socket s = new Socket(at.getAddress(), at.getPort())) {
             s.setTcpNoDelay(true);
-            s.setSoTimeout(LIMIT_MS + 1000);
-            Thread reader = Sockets.thread("client-reader", () -> read(s, open));
+            s.setSoTimeout(REQUEST_LIMIT_MS + 1000);
+            Thread reader = Sockets.startDaemon("client-reader", () -> read(s, open));
             for (int call = 1; !stopping && reader.isAlive(); call++) {
                 boolean load = call % 10 == 0;
                 String txn = String.format("%08x%08x", number, ++asked);
-                open.put(call, new Open(txn, System.nanoTime(), load));
+                open.put(call, new OpenRequest(txn, System.nanoTime(), load));
                 s.getOutputStream().write(FrontCodec.call(call, Map.of("verb", load ? "load" : "lookup", "txn", txn, "limit",
-                        Integer.toString(LIMIT_MS), "team", "acme", "cpu", Integer.toString(World.WORK_MS), "heap_mb", "1"), STATEMENT));
+                        Integer.toString(REQUEST_LIMIT_MS), "team", "acme", "cpu", Integer.toString(Cluster.WORK_MS), "heap_mb",
+                        "1"), STATEMENT));
                 Thread.sleep(everyMs);
             }
             while (!open.isEmpty() && reader.isAlive()) {
@@ -89,22 +90,22 @@
         }
     }
 
-    private void read(Socket s, Map<Integer, Open> open) {
+    private void read(Socket s, Map<Integer, OpenRequest> open) {
         try {
             DataInputStream in = new DataInputStream(s.getInputStream());
             while (true) {
                 byte[] frame = new byte[in.readInt()];
                 in.readFully(frame);
-                Open o = open.remove(ByteBuffer.wrap(frame).getInt(NUMBER_AT));
+                OpenRequest o = open.remove(ByteBuffer.wrap(frame).getInt(CALL_ID_OFFSET));
                 if (o != null) {
                     String text = new String(frame, StandardCharsets.ISO_8859_1);
-                    history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_AT] != REPLY
+                    history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_OFFSET] != REPLY_TYPE
                             ? "exception" : text.contains(o.txn() + "\ta\tb\n") ? "served" : "refused or failed", o.load()));
                 } else {
-                    history.add(node, "unasked", "an answer to no open request");
+                    history.add(node, "unasked", "a reply to no open request");
                 }
             }
-        } catch (IOException e) { // the end of this connection
+        } catch (IOException e) { // the connection was closed
             return;
         }
     }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Relay.java
@@ -9,63 +9,63 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The link from one instance to another: passes bytes on, or does to them what it is told. */
+/** TCP proxy for the link from one instance to another; forwards bytes and injects network faults. */
 public final class Relay implements AutoCloseable {
-    private static final int CHUNK = 8192;
+    private static final int BUFFER_BYTES = 8192;
 
-    /** What is done to the bytes of one direction. */
+    /** The fault of one direction. */
     public enum Mode {
-        /** Passed on. */
+        /** No fault. */
         PASS,
-        /** Held back without a word, until it passes again. */
+        /** Bytes are held back until the mode changes; connections stay open. */
         HOLD,
-        /** Held back from the middle of a chunk on: what has begun does not end. */
+        /** Bytes are held back from the middle of a chunk on, which leaves a frame incomplete. */
         STALL,
-        /** Passed on late by the amount, in milliseconds. */
+        /** Each chunk is delayed by the amount, in milliseconds. */
         SLOW,
-        /** Passed on late by up to the amount, by turns. */
+        /** Each chunk is delayed by a varying time up to the amount, in milliseconds. */
         JITTER,
-        /** At most the amount in bytes a second. */
+        /** Throughput is limited to the amount, in bytes per second. */
         THROTTLE,
-        /** One bit of the next chunk is turned, and then it passes. */
+        /** One bit of the next chunk is flipped; the mode then returns to {@link #PASS}. */
         FLIP
     }
 
-    private record Way(Mode mode, int amount) { }
+    private record DirectionFault(Mode mode, int amount) { }
 
     private final ServerSocket server = Sockets.listen();
     private final InetSocketAddress to;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final Object changed = new Object();
     private volatile boolean cut;
-    private Way out = new Way(Mode.PASS, 0);
-    private Way back = new Way(Mode.PASS, 0);
+    private DirectionFault forwardFault = new DirectionFault(Mode.PASS, 0);
+    private DirectionFault backwardFault = new DirectionFault(Mode.PASS, 0);
 
-    /** From an address of its own to this one. */
+    /** A relay from a new loopback port to this address. */
     public Relay(InetSocketAddress to) throws IOException {
         this.to = to;
-        Sockets.serve(server, "relay", this::play);
+        Sockets.serve(server, "relay", this::serveConnection);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Sets what is done to bytes on their way there ({@code forth}) or back, from now on. */
-    public void set(boolean forth, Mode mode, int amount) {
+    /** Sets the fault of the forward or backward direction. */
+    public void setMode(boolean forward, Mode mode, int amount) {
         synchronized (changed) {
-            if (forth) {
-                out = new Way(mode, amount);
+            if (forward) {
+                forwardFault = new DirectionFault(mode, amount);
             } else {
-                back = new Way(mode, amount);
+                backwardFault = new DirectionFault(mode, amount);
             }
             changed.notifyAll();
         }
     }
 
-    /** Resets all connections, and refuses new ones for as long as it is cut. */
-    public void cut(boolean now) {
+    /** Resets all connections and rejects new ones while the link is cut. */
+    public void setCut(boolean now) {
         cut = now;
         if (now) {
             open.forEach(Relay::reset);
@@ -76,12 +76,12 @@
         try {
             s.setSoLinger(true, 0);
             s.close();
-        } catch (IOException e) { // closed already
+        } catch (IOException e) { // already closed
             return;
         }
     }
 
-    private void play(Socket from) throws IOException {
+    private void serveConnection(Socket from) throws IOException {
         if (cut) {
             reset(from);
             return;
@@ -90,7 +90,7 @@
             there.setTcpNoDelay(true);
             open.add(from);
             open.add(there);
-            Thread other = Sockets.thread("relay-back", () -> pump(there, from, false));
+            Thread other = Sockets.startDaemon("relay-back", () -> pump(there, from, false));
             pump(from, there, true);
             other.join();
         } catch (InterruptedException e) {
@@ -100,14 +100,14 @@
         }
     }
 
-    private void pump(Socket from, Socket into, boolean forth) {
-        byte[] bytes = new byte[CHUNK];
+    private void pump(Socket from, Socket into, boolean forward) {
+        byte[] bytes = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream to = into.getOutputStream();
-            int turn = 0;
+            int chunkNumber = 0;
             for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                int sent = pass(bytes, n, to, forth, turn++);
+                int sent = applyFault(bytes, n, to, forward, chunkNumber++);
                 to.write(bytes, sent, n - sent);
             }
             into.shutdownOutput();
@@ -121,32 +121,33 @@
         }
     }
 
-    /** Does what is asked for, and returns how much of the chunk has gone out with that. */
-    private int pass(byte[] bytes, int n, OutputStream to, boolean forth, int turn) throws InterruptedException, IOException {
+    /** Applies the current fault to a chunk and returns how many of its bytes have been written already. */
+    private int applyFault(byte[] bytes, int n, OutputStream to, boolean forward, int chunkNumber)
+            throws InterruptedException, IOException {
         int sent = 0;
         while (true) {
-            Way way;
+            DirectionFault fault;
             synchronized (changed) {
-                way = forth ? out : back;
-                if (way.mode() == Mode.HOLD || way.mode() == Mode.STALL && sent > 0) {
+                fault = forward ? forwardFault : backwardFault;
+                if (fault.mode() == Mode.HOLD || fault.mode() == Mode.STALL && sent > 0) {
                     changed.wait();
                     continue;
                 }
             }
-            if (way.mode() == Mode.STALL) {
+            if (fault.mode() == Mode.STALL) {
                 sent = n / 2;
                 to.write(bytes, 0, sent);
                 continue;
             }
-            if (way.mode() == Mode.SLOW) {
-                Thread.sleep(way.amount());
-            } else if (way.mode() == Mode.JITTER) {
-                Thread.sleep((long) way.amount() * (turn * 7919L % 10) / 10);
-            } else if (way.mode() == Mode.THROTTLE) {
-                Thread.sleep(1000L * n / Math.max(1, way.amount()));
-            } else if (way.mode() == Mode.FLIP) {
+            if (fault.mode() == Mode.SLOW) {
+                Thread.sleep(fault.amount());
+            } else if (fault.mode() == Mode.JITTER) {
+                Thread.sleep((long) fault.amount() * (chunkNumber * 7919L % 10) / 10);
+            } else if (fault.mode() == Mode.THROTTLE) {
+                Thread.sleep(1000L * n / Math.max(1, fault.amount()));
+            } else if (fault.mode() == Mode.FLIP) {
                 bytes[sent + (n - sent) / 2] ^= 0x10;
-                set(forth, Mode.PASS, 0);
+                setMode(forward, Mode.PASS, 0);
             }
             return sent;
         }
--- a/faultbench/src/main/java/quincespar/faultbench/world/Engine.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/StandInEngine.java
@@ -22,32 +22,32 @@
 import quincespar.protocol.resp.RespDecoder;
 
 /**
- * A stand-in engine: answers each query with one row after a while, and remembers the loads that reached it. One that has lost its power
- * returns cold, and falls over for good where it gets more than a cold one bears.
+ * A stand-in for an engine: answers each query with one row after a delay and records the loads that reach it. After a power
+ * loss it restarts cold, and fails permanently if it gets more queries than a cold engine sustains.
  */
-public final class Engine implements AutoCloseable {
-    private static final int CHUNK = 65_536;
+public final class StandInEngine implements AutoCloseable {
+    private static final int READ_BUFFER_BYTES = 65_536;
 
     /**
-     * What a cold engine bears.
+     * The load that a cold engine sustains.
      *
-     * @param coldMs how long it is cold after its power is back
-     * @param spanMs within any span of that length, milliseconds
-     * @param most it bears so many queries
+     * @param coldMs how long it is cold after a restart, in milliseconds
+     * @param windowMs length of the sliding window, in milliseconds
+     * @param maxQueries queries that it sustains within a window
      */
-    public record Cold(int coldMs, int spanMs, int most) { }
+    public record ColdLimits(int coldMs, int windowMs, int maxQueries) { }
 
-    private final Cold cold;
+    private final ColdLimits cold;
     private final History history;
     private final Set<Socket> links = ConcurrentHashMap.newKeySet();
     private final Deque<Long> recent = new ArrayDeque<>();
     private final AtomicLong lastAt = new AtomicLong();
     private final int port;
     private volatile ServerSocket server = Sockets.listen();
-    private volatile long backAt = Long.MIN_VALUE;
-    private volatile boolean fallen;
+    private volatile long powerBackAt = Long.MIN_VALUE;
+    private volatile boolean failed;
     private volatile boolean powered = true;
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(1, r -> {
+    private final ScheduledExecutorService delayed = Executors.newScheduledThreadPool(1, r -> {
         Thread t = new Thread(r, "engine-later");
         t.setDaemon(true);
         return t;
@@ -56,100 +56,100 @@
     private final int lookupMs;
     private final int loadMs;
 
-    /** One that takes so long for a lookup and a load; {@code cold} is null where it never falls. */
-    public Engine(int lookupMs, int loadMs, Cold cold, History history) throws IOException {
+    /** An engine with these query durations; {@code cold} is null if it never fails. */
+    public StandInEngine(int lookupMs, int loadMs, ColdLimits cold, History history) throws IOException {
         this.lookupMs = lookupMs;
         this.loadMs = loadMs;
         this.cold = cold;
         this.history = history;
         port = server.getLocalPort();
-        Sockets.serve(server, "engine", this::play);
+        Sockets.serve(server, "engine", this::serveConnection);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return port;
     }
 
-    /** Its name in the list. */
+    /** Its id in the engine list. */
     public String id() {
         return "s-" + port;
     }
 
-    /** When a query last reached it, on the machine's monotonic clock. */
-    public long lastAt() {
+    /** When a query last reached it, as {@link System#nanoTime()}. */
+    public long lastQueryAt() {
         return lastAt.get();
     }
 
-    /** Its power is lost, with all that it does and knows, or is back: then it is cold. */
-    public synchronized void power(boolean on) throws IOException {
-        if (on == powered || fallen) {
+    /** Cuts its power, which closes all connections, or restores it, after which it is cold. */
+    public synchronized void setPowered(boolean on) throws IOException {
+        if (on == powered || failed) {
             return;
         }
         powered = on;
         history.add(id(), on ? "power back" : "power lost", "");
         if (on) {
-            backAt = System.nanoTime();
+            powerBackAt = System.nanoTime();
             server = new ServerSocket();
             server.setReuseAddress(true);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            Sockets.serve(server, "engine", this::play);
+            Sockets.serve(server, "engine", this::serveConnection);
         } else {
-            end();
+            closeSockets();
         }
     }
 
-    private void end() throws IOException {
+    private void closeSockets() throws IOException {
         server.close();
         for (Socket s : links) {
             s.close();
         }
     }
 
-    /** A query has come; false where it was one too many. */
-    private synchronized boolean bears() {
+    /** Counts a query; false if it exceeds what the cold engine sustains. */
+    private synchronized boolean acceptsQuery() {
         long now = System.nanoTime();
         lastAt.set(now);
-        if (cold == null || backAt == Long.MIN_VALUE || now - backAt > TimeUnit.MILLISECONDS.toNanos(cold.coldMs())) {
+        if (cold == null || powerBackAt == Long.MIN_VALUE || now - powerBackAt > TimeUnit.MILLISECONDS.toNanos(cold.coldMs())) {
             return true;
         }
         recent.add(now);
-        while (recent.peek() < now - TimeUnit.MILLISECONDS.toNanos(cold.spanMs())) {
+        while (recent.peek() < now - TimeUnit.MILLISECONDS.toNanos(cold.windowMs())) {
             recent.poll();
         }
-        if (recent.size() > cold.most() && !fallen) {
-            fallen = true;
-            history.add(id(), "fell", recent.size() + " queries within " + cold.spanMs() + " ms");
+        if (recent.size() > cold.maxQueries() && !failed) {
+            failed = true;
+            history.add(id(), "fell", recent.size() + " queries within " + cold.windowMs() + " ms");
         }
-        return !fallen;
+        return !failed;
     }
 
-    /** The ids of all loads that came, each as often as it came. */
-    public List<String> loads() {
+    /** Ids of all loads received, with repetitions. */
+    public List<String> receivedLoads() {
         return List.copyOf(loads);
     }
 
-    private void play(Socket s) throws IOException {
+    private void serveConnection(Socket s) throws IOException {
         links.add(s);
-        if (!powered) { // it came between
+        if (!powered) { // connected during the power cut
             s.close();
         }
         RespDecoder decoder = new RespDecoder();
         InputStream in = s.getInputStream();
-        byte[] bytes = new byte[CHUNK];
+        byte[] bytes = new byte[READ_BUFFER_BYTES];
         for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-            decoder.feed(bytes, n, words -> command(s, words));
+            decoder.feed(bytes, n, words -> handleCommand(s, words));
         }
         links.remove(s);
     }
 
-    private void command(Socket s, List<byte[]> words) {
+    private void handleCommand(Socket s, List<byte[]> words) {
         String word = text(words.get(0));
         String id = words.size() > 1 ? text(words.get(1)) : "";
-        if (word.equals("serve") && !bears()) {
+        if (word.equals("serve") && !acceptsQuery()) {
             try {
-                end();
-            } catch (IOException e) { // it is over either way
+                closeSockets();
+            } catch (IOException e) { // the engine is down in any case
                 return;
             }
         } else if (word.equals("serve")) {
@@ -157,7 +157,7 @@
             if (load) {
                 loads.add(id);
             }
-            later.schedule(() -> send(s, id, "DONE", "count=1", id + "\ta\tb\n"), load ? loadMs : lookupMs,
+            delayed.schedule(() -> send(s, id, "DONE", "count=1", id + "\ta\tb\n"), load ? loadMs : lookupMs,
                     TimeUnit.MILLISECONDS);
         } else if (word.equals("health") || word.equals("gauges")) {
             send(s, id, "FIT", "-");
@@ -178,14 +178,14 @@
             synchronized (s) {
                 to.write(out.toString().getBytes(StandardCharsets.ISO_8859_1));
             }
-        } catch (IOException e) { // whoever asked has gone
+        } catch (IOException e) { // the requester has disconnected
             return;
         }
     }
 
     @Override
     public void close() throws IOException {
-        later.shutdownNow();
+        delayed.shutdownNow();
         server.close();
     }
 }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -30,16 +30,16 @@
 import quincespar.capture.SegmentName;
 import quincespar.capture.SegmentStore;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.routing.EngineNumber;
 
-/** Commands that read captures. They print lines that scripts can parse. */
-@Command(name = "capture", description = "Inspect captures: the calls of the decision module and its decisions.",
+/** What can be asked of captures; every answer is lines that scripts can read. */
+@Command(name = "capture", description = "Inspect captures: the events and decisions of the decision module.",
         mixinStandardHelpOptions = true)
 public final class CaptureCommands {
-    private static final double MS_PER_SECOND = 1000;
+    private static final double SECOND = 1000;
 
-    @Command(name = "list", description = "Print one line per segment: name, bytes, calls, times, state, damage.")
+    @Command(name = "list", description = "One line for each segment: name, bytes, calls, times, state, damage.")
     int list(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         for (SegmentName name : captures.segmentNames()) {
@@ -51,116 +51,116 @@
         return 0;
     }
 
-    @Command(name = "info", description = "Print what made the captures: name, build, module, settings; sums over segments.")
+    @Command(name = "info", description = "Instance, build, module and classes of each process; totals over segments.")
     int info(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Map<String, List<SegmentSummary>> byProcess = new LinkedHashMap<>();
+        Map<String, List<SegmentSummary>> segmentsByProcess = new LinkedHashMap<>();
         for (SegmentName name : captures.segmentNames()) {
-            byProcess.computeIfAbsent(name.instance() + " started " + Instant.ofEpochMilli(name.processStart()),
-                    n -> new ArrayList<>()).add(captures.summarize(name));
+            String process = name.instance() + " started " + Instant.ofEpochMilli(name.processStart());
+            segmentsByProcess.computeIfAbsent(process, n -> new ArrayList<>()).add(captures.summarize(name));
         }
-        String ownDigest = ModuleDigest.of(GcMuScheduler.class);
-        byProcess.forEach((process, segments) -> {
-            System.out.println(process + ": segments=" + segments.size()
-                    + " bytes=" + segments.stream().mapToLong(SegmentSummary::bytes).sum()
-                    + " calls=" + segments.stream().mapToLong(SegmentSummary::calls).sum());
-            segments.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
+        String own = ModuleDigest.of(GcMuScheduler.class);
+        segmentsByProcess.forEach((process, all) -> {
+            System.out.println(process + ": segments=" + all.size()
+                    + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
+                    + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
+            all.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
                 System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
-                        + (o.moduleDigest().equals(ownDigest) ? " (this build's)" : " (this build's is " + ownDigest + ")")
-                        + " seed=" + Long.toHexString(o.seed()));
-                System.out.println("  classes=" + o.settings().classes().stream().map(Gateway.ClassSpec::name).toList());
+                        + (o.moduleDigest().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
+                        + Long.toHexString(o.seed()));
+                System.out.println("  classes=" + o.settings().classes().stream().map(Scheduler.ClassSpec::name).toList());
             });
         });
         return 0;
     }
 
-    @Command(name = "verify", description = "Read every record: exit code 0 if nothing is missing, otherwise 1 with a line"
+    @Command(name = "verify", description = "Read every record: exit code 0 if nothing is missing, else 1 and a line"
             + " for each gap.")
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         long[] records = {0};
-        List<String> gaps = new ArrayList<>();
+        List<String> wrong = new ArrayList<>();
         captures.forEachEntry(captures.segmentNames(), (name, e) -> {
             records[0]++;
             if (e instanceof Entry.Gap g) {
-                gaps.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
+                wrong.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
                         + (g.lostCalls() > 0 ? ", calls lost: " + g.lostCalls() : ""));
             }
             return true;
         });
-        gaps.forEach(System.out::println);
-        System.out.println(records[0] + " records, " + gaps.size() + " gaps");
-        return gaps.isEmpty() ? 0 : 1;
+        wrong.forEach(System.out::println);
+        System.out.println(records[0] + " records, " + wrong.size() + " gaps");
+        return wrong.isEmpty() ? 0 : 1;
     }
 
-    @Command(name = "cut", description = "Write the calls of a period, with the state before them, to a new segment.")
+    @Command(name = "cut", description = "Write the calls between two times, with the state before them, to a new segment.")
     int cut(@Parameters(paramLabel = "DIR") Path folder,
-            @Option(names = "--from", required = true, paramLabel = "S", description = "Unix time in seconds.") double from,
-            @Option(names = "--to", required = true, paramLabel = "S", description = "Unix time in seconds.") double to,
+            @Option(names = "--from", required = true, paramLabel = "S", description = "Seconds since 1970.") double from,
+            @Option(names = "--to", required = true, paramLabel = "S", description = "Seconds since 1970.") double to,
             @Option(names = "--out", required = true, paramLabel = "DIR") Path out) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames();
         if (names.stream().map(n -> n.instance() + n.processStart()).distinct().count() > 1) {
-            throw new IOException(folder + " has captures of several processes; cut needs a folder with captures of one");
+            throw new IOException(folder + " holds captures of several processes; use a folder with one");
         }
-        List<Entry> entries = captures.cut(names, from * MS_PER_SECOND, to * MS_PER_SECOND);
+        List<Entry> entries = captures.cut(names, from * SECOND, to * SECOND);
         if (entries.isEmpty()) {
-            throw new IOException("no call between " + time(from * MS_PER_SECOND) + " and " + time(to * MS_PER_SECOND));
+            throw new IOException("no call between " + time(from * SECOND) + " and " + time(to * SECOND));
         }
         EntryCodec codec = new EntryCodec();
         SegmentName name = new SegmentName(names.get(0).instance(), names.get(0).processStart(), 1);
         Files.createDirectories(out);
         if (Files.exists(out.resolve(name.fileName()))) {
-            throw new IOException(out.resolve(name.fileName()) + " exists already");
+            throw new IOException(out.resolve(name.fileName()) + " already exists");
         }
-        try (SegmentStore.SegmentOutput output = new CaptureFolder(out).create(name.fileName())) {
-            output.write(Frames.header(codec.schema()));
+        try (SegmentStore.SegmentOutput sink = new CaptureFolder(out).create(name.fileName())) {
+            sink.write(Frames.header(codec.schema()));
             for (Entry e : entries) {
-                output.write(Frames.frame(codec.write(e)));
+                sink.write(Frames.frame(codec.write(e)));
             }
         }
         System.out.println(out.resolve(name.fileName()) + ": " + entries.size() + " records");
         return 0;
     }
 
-    /** Prints the history of a request, or the state of an engine at a time; returns the exit code. */
+    /** Tells the story of a request, or what was known of an engine; answers the exit code. */
     public static int explain(Path folder, Long request, String engine, Double at) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Explainer explainer = new Explainer(captures, System.out::println);
-        boolean found = request != null ? explainer.explainRequest(captures.segmentNames(), request)
-                : explainer.explainEngine(captures.segmentNames(), engineNumber(engine),
-                        at == null ? Double.MAX_VALUE : at * MS_PER_SECOND);
-        if (!found) {
-            throw new IOException("no segment in " + folder + " has " + (request != null ? "request " + request
+        Explainer explain = new Explainer(captures, System.out::println);
+        boolean told = request != null ? explain.explainRequest(captures.segmentNames(), request)
+                : explain.explainEngine(captures.segmentNames(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
+        if (!told) {
+            throw new IOException("no segment in " + folder + " contains " + (request != null ? "request " + request
                     : "engine " + engine));
         }
         return 0;
     }
 
-    /** The number of an engine, given by its id in the list or by the number that a history prints. */
-    private static long engineNumber(String engine) {
+    /** An engine by its id in the list, or by the number that a story gives it. */
+    private static long number(String engine) {
         return engine.matches("[0-9]{1,18}") ? Long.parseLong(engine) : EngineNumber.of(engine);
     }
 
-    /** Replays captures on this build's decision module; returns the exit code. */
+    /** Plays captures again on this build's module; answers the exit code. */
     public static int replay(Path folder, int from, Path decisions) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames().stream().filter(n -> n.number() >= from).toList();
         if (names.isEmpty()) {
             throw new IOException("no segments in " + folder + (from > 1 ? " from number " + from + " on" : ""));
         }
+        EntryCodec codec = new EntryCodec(); // prints records by their stored names, so that builds can be compared
         Replay replay = new Replay(new CurrentModuleFactory());
         RuleChecker rules = new RuleChecker();
-        double[] firstAndLast = {Double.NaN, Double.NaN};
-        long startedAtNs = System.nanoTime();
+        double[] span = {Double.NaN, Double.NaN};
+        long began = System.nanoTime();
         try (PrintStream out = decisions == null ? null : new PrintStream(Files.newOutputStream(decisions), false,
                 StandardCharsets.UTF_8)) {
             captures.forEachEntry(names, (name, e) -> {
                 if (e instanceof Entry.Call c) {
-                    firstAndLast[0] = Double.isNaN(firstAndLast[0]) ? c.time() : firstAndLast[0];
-                    firstAndLast[1] = c.time();
+                    span[0] = Double.isNaN(span[0]) ? c.time() : span[0];
+                    span[1] = c.time();
                     if (out != null && !c.actions().isEmpty()) {
-                        out.println(c.time() + " " + c.actions());
+                        out.println(c.time() + " " + codec.toText(c.actions()));
                     }
                 }
                 rules.check(e);
@@ -172,54 +172,54 @@
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
-        double tookMs = (System.nanoTime() - startedAtNs) / 1e6;
-        Replay.Result result = replay.result();
-        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", result.calls(), result.events(),
-                result.decisions(), result.digest());
-        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", result.matchingStates(),
-                result.differingStates(), result.lostCalls());
-        double spanMs = firstAndLast[1] - firstAndLast[0];
-        System.out.printf(Locale.ROOT, "played %.1f s in %.2f s, %.0f times as fast%n", spanMs / MS_PER_SECOND,
-                tookMs / MS_PER_SECOND, spanMs / tookMs);
+        double took = (System.nanoTime() - began) / 1e6;
+        Replay.Result r = replay.result();
+        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", r.calls(), r.events(), r.decisions(),
+                r.digest());
+        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(),
+                r.lostCalls());
+        System.out.printf(Locale.ROOT, "replayed %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
+                took / SECOND, (span[1] - span[0]) / took);
         System.out.println("broken-rules=" + rules.violationCount());
-        rules.violations().forEach(violation -> System.out.println("  " + violation));
-        if (result.divergence() != null) {
-            printDivergence(result.divergence());
+        rules.violations().forEach(b -> System.out.println("  " + b));
+        if (r.divergence() != null) {
+            parted(codec, r.divergence());
         }
-        return result.divergence() == null && result.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
+        return r.divergence() == null && r.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
     }
 
     /**
-     * Replays captures as {@link #replay} does, with the reader and the decision module of another build, which is loaded
-     * separately from this one's classes. Returns its exit code; throws {@link IOException} if the jar can't replay.
+     * As {@link #replay}, by another build: with its own reader and module, apart from this one's classes. Answers its
+     * exit code; throws where it is no build that can.
      */
     public static int replayWithJar(Path jar, Path folder, int from, Path decisions) throws IOException {
-        List<String> arguments = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
+        List<String> words = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
         if (decisions != null) {
-            arguments.addAll(List.of("--decisions", decisions.toString()));
+            words.addAll(List.of("--decisions", decisions.toString()));
         }
         try (URLClassLoader other = new URLClassLoader(new URL[] {jar.toUri().toURL()},
                 ClassLoader.getPlatformClassLoader())) {
             return (int) other.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
-                    (Object) arguments.toArray(String[]::new));
+                    (Object) words.toArray(String[]::new));
         } catch (ReflectiveOperationException e) {
-            throw new IOException(jar + " is not a build of this program that can replay: " + e, e);
+            throw new IOException(jar + " cannot replay captures: " + e, e);
         }
     }
 
-    private static void printDivergence(Replay.Divergence divergence) {
-        System.out.println("parted at call " + divergence.call() + ", " + time(divergence.time()) + "; the calls before:");
-        divergence.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + c.events() + " -> " + c.actions()));
-        System.out.println("  " + time(divergence.time()) + " " + divergence.expected().events());
-        System.out.println("expected " + text(divergence.expected().actions()));
-        System.out.println("got      " + text(divergence.got()));
+    private static void parted(EntryCodec codec, Replay.Divergence p) {
+        System.out.println("decisions differ at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
+        p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + codec.toText(c.events()) + " -> "
+                + codec.toText(c.actions())));
+        System.out.println("  " + time(p.time()) + " " + codec.toText(p.expected().events()));
+        System.out.println("expected " + ordered(codec, p.expected().actions()));
+        System.out.println("got      " + ordered(codec, p.got()));
     }
 
-    private static String text(List<Gateway.Action> actions) {
-        return actions.stream().map(String::valueOf).reduce((a, b) -> a + " " + b).orElse("nothing");
+    private static String ordered(EntryCodec codec, List<Scheduler.Action> actions) {
+        return actions.stream().map(codec::toText).reduce((a, b) -> a + " " + b).orElse("nothing");
     }
 
     private static String time(double ms) {
-        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / MS_PER_SECOND);
+        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / SECOND);
     }
 }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureSession.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureSession.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import quincespar.capture.CapturedGateway;
+import quincespar.capture.CapturedScheduler;
 import quincespar.capture.Entry;
 import quincespar.capture.ModuleDigest;
 import quincespar.capture.Recorder;
@@ -16,7 +16,7 @@
 import quincespar.capture.StateCodec;
 import quincespar.capture.SegmentStore;
 import quincespar.decision.GcMuScheduler;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Version;
 import quincespar.settings.Keyword;
@@ -31,9 +31,9 @@
 
     private final Recorder recorder;
     private final Thread writer;
-    private final Gateway module;
+    private final Scheduler module;
 
-    private CaptureSession(Recorder recorder, Gateway module) {
+    private CaptureSession(Recorder recorder, Scheduler module) {
         this.recorder = recorder;
         this.module = module;
         writer = Threads.daemon("capture", recorder);
@@ -49,7 +49,7 @@
      * @throws IOException if the folder can't be read
      */
     public static CaptureSession open(Path folder, Settings options, String name, double now, long seed,
-            Gateway.Settings settings, Clock clock, Consumer<String> log) throws IOException {
+            Scheduler.Settings settings, Clock clock, Consumer<String> log) throws IOException {
         CaptureFolder store = new CaptureFolder(folder);
         SegmentPolicy.Limits limits = new SegmentPolicy.Limits((long) options.number(Keyword.CAPTURE_SEGMENT_SIZE),
                 options.number(Keyword.CAPTURE_SEGMENT_DURATION), (long) options.number(Keyword.CAPTURE_TOTAL_SIZE),
@@ -63,12 +63,12 @@
                 ModuleDigest.of(GcMuScheduler.class), settings);
         Recorder recorder = new Recorder(new CaptureWriter(opening, segments, store, log),
                 options.count(Keyword.CAPTURE_QUEUE_LENGTH), options.number(Keyword.CAPTURE_FLUSH_INTERVAL), clock::now);
-        return new CaptureSession(recorder, new CapturedGateway(new GcMuScheduler(settings, seed), recorder,
+        return new CaptureSession(recorder, new CapturedScheduler(new GcMuScheduler(settings, seed), recorder,
                 new StateCodec(GcMuScheduler.class)::write));
     }
 
     /** The module, wrapped so that its calls are recorded. */
-    public Gateway module() {
+    public Scheduler module() {
         return module;
     }
 
--- a/frontend/src/main/java/quincespar/program/captures/CapturingSimulatorHost.java
+++ b/frontend/src/main/java/quincespar/program/captures/CapturingSimulatorHost.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import quincespar.program.runtime.Clock;
 import quincespar.settings.Settings;
 import quincespar.simulator.SimulatorHost;
@@ -36,7 +36,7 @@
         }
     }
 
-    private Gateway createInstance(Gateway.Settings settings, long seed) {
+    private Scheduler createInstance(Scheduler.Settings settings, long seed) {
         try {
             CaptureSession capture = CaptureSession.open(folder, Settings.defaults(), "i" + captures.size(), 0, seed,
                     settings, clock, System.err::println);
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import quincespar.decision.Gateway.NoteKind;
+import quincespar.decision.Scheduler.NoteKind;
 import quincespar.program.runtime.Addresses;
 import quincespar.protocol.MalformedException;
 import quincespar.protocol.Utf8;
@@ -50,7 +50,7 @@
 
     /** Load reports are read by these settings from now on. */
     public void applySettings(RoutingSettings settings) {
-        reportFields = settings.decision().fleet().reportFields();
+        reportFields = settings.decision().engineTraits().reportFields();
     }
 
     /** Connects to an engine. */
--- a/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
+++ b/frontend/src/test/java/quincespar/program/SystemCallFaultsIT.java
@@ -25,49 +25,49 @@
 import quincespar.program.SystemCallFaults.Errno;
 import quincespar.program.SystemCallFaults.Fault;
 
-/** The jar as {@code run} starts it, before two servers and a change log, while its system calls fail for a moment. */
+/** The jar, started by the deploy file's command line, with two engines and a change log, while its system calls fail briefly. */
 @Timeout(60)
 class SystemCallFaultsIT {
-    private static final long NEXT_QUESTION_MS = 500;
+    private static final long MAX_NEXT_POLL_MS = 500;
     private static final int CLIENTS = 8, ROUNDS = 10;
-    /** Where the number of a call stands in an answer's frame, behind version, length and name. */
-    private static final int NUMBER_AT = 12;
+    /** Offset of the call's number in the frame of an answer, after version, length and name. */
+    private static final int SEQUENCE_ID_OFFSET = 12;
 
     @TempDir
     private Path folder;
-    private Peers.Engine draining;
-    private Peers.Engine other;
-    private Peers.Changes changes;
+    private ScriptedPeers.Engine draining;
+    private ScriptedPeers.Engine other;
+    private ScriptedPeers.ChangeLog changes;
     private SystemCallFaults faults;
     private int port;
     private int admin;
     private Process process;
-    private final ConcurrentLinkedQueue<String> reached = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> receivedBy = new ConcurrentLinkedQueue<>();
 
     @BeforeEach
-    void peers() throws IOException, InterruptedException {
-        draining = new Peers.Engine();
-        other = new Peers.Engine();
-        changes = new Peers.Changes();
+    void createPeers() throws IOException, InterruptedException {
+        draining = new ScriptedPeers.Engine();
+        other = new ScriptedPeers.Engine();
+        changes = new ScriptedPeers.ChangeLog();
         faults = SystemCallFaults.in(folder);
-        port = Peers.freePort();
-        admin = Peers.freePort();
+        port = ScriptedPeers.freePort();
+        admin = ScriptedPeers.freePort();
         serveAll("s-1", draining);
         serveAll("s-2", other);
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void killProcess() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    private void serveAll(String id, Peers.Engine engine) {
+    private void serveAll(String id, ScriptedPeers.Engine engine) {
         Thread t = new Thread(() -> {
             try {
                 while (true) {
-                    Peers.Engine.Command c = engine.commands.take();
+                    ScriptedPeers.Engine.Command c = engine.commands.take();
                     if (c.words().get(0).equals("serve")) {
-                        reached.add(id);
+                        receivedBy.add(id);
                         c.answer(c.id(), "DONE", "count=1", "row\ta\tb\n");
                     }
                 }
@@ -79,8 +79,8 @@
         t.start();
     }
 
-    private static String member(String id, Peers.Engine engine, String phase) {
-        return ListedServers.member(id, engine.server.getLocalPort(), phase);
+    private static String member(String id, ScriptedPeers.Engine engine, String phase) {
+        return ScriptedChangeLog.member(id, engine.server.getLocalPort(), phase);
     }
 
     private String drain() {
@@ -94,213 +94,215 @@
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,"members":[%s,%s]}}]},
              "settings":{"tick":5,"rules":{"drainGrace":1000},"limits":{"cancelling":true,"maxAttempts":3,"maxStreams":100},
              "projects":[{"name":"acme","quotaPerS":500,"share":1}],"requestClasses":[%s,%s]}}
-            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), Peers.LOOKUP, Peers.LOAD));
+            """.formatted(port, changeLog, member("s-1", draining, "up"), member("s-2", other, "up"), ScriptedPeers.LOOKUP,
+                ScriptedPeers.LOAD));
     }
 
     private void launch() throws IOException {
-        process = Peers.run(faults.prefix(), configuration(changes.server.getLocalPort()), admin,
+        process = ScriptedPeers.startProcess(faults.prefix(), configuration(changes.server.getLocalPort()), admin,
                 Files.createDirectories(folder.resolve("tmp")), folder.resolve("log"));
     }
 
     private void start() throws IOException {
         launch();
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
     }
 
-    private String nextQuestion() throws InterruptedException {
-        return changes.questions.poll(20, TimeUnit.SECONDS);
+    private String nextPoll() throws InterruptedException {
+        return changes.polls.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Asks until both servers would have had their turn. */
-    private void askAll(String verb, int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+    /** Sends enough requests one by one that both engines would get some. */
+    private void sendSequentially(String verb, int from) throws IOException {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields(verb, String.format("%016x", from + i)));
-                assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+                c.call(i, ScriptedPeers.fields(verb, String.format("%016x", from + i)));
+                assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
             }
         }
     }
 
-    /** Asks on one connection without waiting, so that both servers have work. */
-    private void askAtOnce(int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+    /** Sends requests on one connection without waiting for answers, so that both engines get some. */
+    private void sendConcurrently(int from) throws IOException {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields("lookup", String.format("%016x", from + i)));
+                c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", from + i)));
             }
             for (int i = 1; i <= 20; i++) {
-                assertThat(c.answer()).isEqualTo(Peers.Kind.SERVED);
+                assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
             }
         }
     }
 
     @Test
-    void aDrainIsHeardAsSoonAsFailingCallsWorkAgain() throws Exception {
+    void aDrainIsLearnedAsSoonAsFailingCallsWorkAgain() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         int changeLog = changes.server.getLocalPort();
         Fault connects = faults.fail(Call.CONNECT, Errno.EADDRNOTAVAIL, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
         changes.answers.add(drain());
-        connects.untilStruck(4);
+        connects.awaitStruck(4);
         reads.end();
         connects.end();
         long ended = System.nanoTime();
         changes.answers.add(drain());
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
-        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until it asks again").isLessThan(NEXT_QUESTION_MS);
-        assertThat(nextQuestion()).startsWith("GET /changes?since=2&");
-        askAll("lookup", 0);
-        assertThat(reached).containsOnly("s-2");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - ended)).as("ms until the next poll")
+                .isLessThan(MAX_NEXT_POLL_MS);
+        assertThat(nextPoll()).startsWith("GET /changes?since=2&");
+        sendSequentially("lookup", 0);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void nothingGoesToADrainingServerPastItsGraceWhileConnectsFail() throws Exception {
+    void noRequestIsSentToADrainingEngineAfterTheGracePeriodWhileConnectsFail() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         int changeLog = changes.server.getLocalPort();
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changeLog);
         Fault reads = faults.fail(Call.READ, Errno.ETIMEDOUT, changeLog);
         changes.answers.add(drain());
-        reads.untilStruck(1);
+        reads.awaitStruck(1);
         reads.end();
         while (!Files.readString(folder.resolve("log")).contains("nothing new is sent")) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
-        reached.clear();
-        try (Peers.Client c = new Peers.Client(port)) {
+        receivedBy.clear();
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields("lookup", String.format("%016x", i)));
+                c.call(i, ScriptedPeers.fields("lookup", String.format("%016x", i)));
             }
-            Peers.status(admin); // a round trip: the requests are in by now
-            assertThat(reached).isEmpty();
+            ScriptedPeers.status(admin); // a round trip: the requests have been received by now
+            assertThat(receivedBy).isEmpty();
             connects.end();
             changes.answers.add(drain());
             for (int i = 1; i <= 20; i++) {
-                assertThat(c.answer()).isIn(Peers.Kind.SERVED, Peers.Kind.REFUSED);
+                assertThat(c.answer()).isIn(ScriptedPeers.Kind.SERVED, ScriptedPeers.Kind.REFUSED);
             }
         }
-        askAll("lookup", 100);
-        assertThat(reached).containsOnly("s-2");
+        sendSequentially("lookup", 100);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void aStartDoesNotServeByAListThatItCouldNotAskForYet() throws Exception {
+    void aStartWaitsForTheEngineListWhileConnectsToTheChangeLogFail() throws Exception {
         Fault connects = faults.fail(Call.CONNECT, Errno.ENETUNREACH, changes.server.getLocalPort());
         changes.answers.add(drain());
         launch();
-        connects.untilStruck(3);
-        assertThat(Peers.status(admin)).isNotEqualTo(200);
+        connects.awaitStruck(3);
+        assertThat(ScriptedPeers.status(admin)).isNotEqualTo(200);
         connects.end();
-        Peers.untilReady(admin);
-        askAll("lookup", 0);
-        assertThat(reached).containsOnly("s-2");
+        ScriptedPeers.awaitReady(admin);
+        sendSequentially("lookup", 0);
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @Test
-    void aStartGoesOnThoughItsFirstCallsFailForAMoment() throws Exception {
+    void aStartRetriesFirstCallsThatFailBriefly() throws Exception {
         Fault opens = faults.failOpen(Errno.EIO, "config.json");
         Fault sockets = faults.fail(Call.SOCKET, Errno.ENFILE, 0);
         launch();
-        opens.untilStruck(2);
+        opens.awaitStruck(2);
         opens.end();
-        sockets.untilStruck(2);
+        sockets.awaitStruck(2);
         sockets.end();
-        Peers.untilReady(admin);
-        askAll("lookup", 0);
+        ScriptedPeers.awaitReady(admin);
+        sendSequentially("lookup", 0);
     }
 
     @Test
-    void anInterruptedReadIsNotTakenForTheEndOfAConnection() throws Exception {
+    void anInterruptedReadDoesNotCloseAConnection() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
         Fault reads = faults.failSome(Call.READ, Errno.EINTR, 0, 300, 7);
-        askAll("load", 0);
-        reads.untilStruck(1);
+        sendSequentially("load", 0);
+        reads.awaitStruck(1);
         reads.end();
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.counters()).containsEntry("links.closed", "0").containsEntry("changes.failed", "0");
         }
     }
 
     @Test
-    void anInterruptedLookAtAConnectIsNotTakenForItsEnd() throws Exception {
+    void anInterruptedPollDoesNotFailAConnect() throws Exception {
         start();
         Fault polls = faults.failSome(Call.POLL, Errno.EINTR, 0, 700, 3);
-        askAll("load", 0);
-        polls.untilStruck(1);
+        sendSequentially("load", 0);
+        polls.awaitStruck(1);
         polls.end();
-        try (Peers.Client c = new Peers.Client(port)) {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(c.counters()).containsEntry("links.closed", "0").containsEntry("errors.uncaught", "0");
         }
     }
 
     @Test
-    void aRequestOfWhichNothingWasWrittenDoesNotGoToAServerThatDrains() throws Exception {
+    void anUnwrittenRequestIsNotSentToAnEngineThatStartsToDrain() throws Exception {
         start();
-        assertThat(nextQuestion()).startsWith("GET /changes?since=1&");
-        askAll("lookup", 0); // connections to both are up
-        reached.clear();
+        assertThat(nextPoll()).startsWith("GET /changes?since=1&");
+        sendSequentially("lookup", 0); // connections to both are up
+        receivedBy.clear();
         Fault writes = faults.fail(Call.WRITE, Errno.EAGAIN, draining.server.getLocalPort());
-        CompletableFuture<Void> asking = Peers.beside(() -> {
-            for (int round = 1; writes.struck() == 0; round++) { // until one was meant for the server that drains
-                askAtOnce(100 * round);
+        CompletableFuture<Void> asking = ScriptedPeers.runAsync(() -> {
+            for (int round = 1; writes.struck() == 0; round++) { // until one is assigned to the engine that will drain
+                sendConcurrently(100 * round);
             }
         });
-        writes.untilStruck(1);
+        writes.awaitStruck(1);
         changes.answers.add(drain());
-        assertThat(nextQuestion()).startsWith("GET /changes?since=2&");
+        assertThat(nextPoll()).startsWith("GET /changes?since=2&");
         writes.end();
         asking.join();
-        assertThat(reached).containsOnly("s-2");
+        assertThat(receivedBy).containsOnly("s-2");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EINTR"})
-    void whatWaitsToBeAcceptedAtTheStopIsTakenThoughAcceptFailsForAMoment(Errno error) throws Exception {
+    void pendingConnectionsAtTheStopAreAcceptedThoughAcceptFailsBriefly(Errno error) throws Exception {
         start();
         Fault accepts = faults.fail(Call.ACCEPT, error, port);
-        try (Peers.Client c = new Peers.Client(port)) {
-            c.call(1, Peers.fields("lookup", "00000000000000aa"));
-            accepts.untilStruck(1);
-            Peers.term(process);
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
+            c.call(1, ScriptedPeers.fields("lookup", "00000000000000aa"));
+            accepts.awaitStruck(1);
+            ScriptedPeers.terminate(process);
             while (!Files.readString(folder.resolve("log")).contains("closing the listener")) {
-                Peers.goOnWaiting();
+                ScriptedPeers.spin();
             }
             long before = accepts.struck();
-            while (accepts.struck() < before + 1 && !c.ended()) { // it tries on, or has given the client up
-                Peers.goOnWaiting();
+            while (accepts.struck() < before + 1 && !c.ended()) { // it retries, or has closed the client's connection
+                ScriptedPeers.spin();
             }
             accepts.end();
-            assertThat(c.answer()).isIn(Peers.Kind.SERVED, Peers.Kind.REFUSED);
+            assertThat(c.answer()).isIn(ScriptedPeers.Kind.SERVED, ScriptedPeers.Kind.REFUSED);
         }
     }
 
     @Test
-    void aConfigurationThatCanNotBeOpenedForAMomentIsReadAgain() throws Exception {
+    void aConfigurationThatCanNotBeOpenedBrieflyIsReadAgain() throws Exception {
         start();
-        Peers.Changes moved = new Peers.Changes();
+        ScriptedPeers.ChangeLog moved = new ScriptedPeers.ChangeLog();
         configuration(moved.server.getLocalPort());
         Fault opens = faults.failOpen(Errno.ENFILE, "config.json");
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).inheritIO().start().waitFor();
-        opens.untilStruck(2);
+        opens.awaitStruck(2);
         opens.end();
-        assertThat(moved.questions.poll(10, TimeUnit.SECONDS)).startsWith("GET /changes?since=1&");
+        assertThat(moved.polls.poll(10, TimeUnit.SECONDS)).startsWith("GET /changes?since=1&");
     }
 
     @Test
-    void aFailedWaitForEventsEndsNothing() throws Exception {
+    void aFailedEpollWaitDoesNotEndTheProgram() throws Exception {
         start();
         Fault waits = faults.fail(Call.EPOLL_WAIT, Errno.EIO, 0);
-        askUnheard();
-        waits.untilStruck(10);
+        sendWithoutReading();
+        waits.awaitStruck(10);
         waits.end();
-        askAll("lookup", 0);
+        sendSequentially("lookup", 0);
         assertThat(process.isAlive()).isTrue();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void everyRequestIsAnsweredOnceWhileCallsFailByChance(int seed) throws Exception {
+    void everyRequestIsAnsweredOnceWhileCallsFailRandomly(int seed) throws Exception {
         start();
         faults.failSome(Call.READ, Errno.EINTR, 0, 100, seed);
         faults.failSome(Call.WRITE, Errno.EAGAIN, 0, 100, seed + 1);
@@ -314,9 +316,9 @@
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int first = i * ROUNDS * 100;
-            clients.add(Peers.beside(() -> {
+            clients.add(ScriptedPeers.runAsync(() -> {
                 for (int round = 0; round < ROUNDS; round++) {
-                    askForAnyAnswer(first + 100 * round);
+                    checkOneAnswerEach(first + 100 * round);
                 }
             }));
         }
@@ -325,23 +327,23 @@
         assertThat(process.isAlive()).isTrue();
     }
 
-    /** Each request has one answer of any kind, and none comes beside them. */
-    private void askForAnyAnswer(int from) throws IOException {
-        try (Peers.Client c = new Peers.Client(port)) {
+    /** Checks that each request gets exactly one answer, of any kind. */
+    private void checkOneAnswerEach(int from) throws IOException {
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             for (int i = 1; i <= 20; i++) {
-                c.call(i, Peers.fields(i % 5 == 0 ? "load" : "lookup", String.format("%016x", from + i)));
+                c.call(i, ScriptedPeers.fields(i % 5 == 0 ? "load" : "lookup", String.format("%016x", from + i)));
             }
             Set<Integer> answered = new HashSet<>();
             for (int i = 1; i <= 20; i++) {
-                assertThat(answered.add(ByteBuffer.wrap(c.frame()).getInt(NUMBER_AT))).isTrue();
+                assertThat(answered.add(ByteBuffer.wrap(c.frame()).getInt(SEQUENCE_ID_OFFSET))).isTrue();
             }
             assertThat(c.ended()).isFalse();
         }
     }
 
-    /** Has the loops wake up; nothing may come back yet. */
-    private void askUnheard() throws IOException {
-        Peers.Client c = new Peers.Client(port);
-        c.call(1, Peers.fields("lookup", "00000000000000bb"));
+    /** Sends a request, which wakes up the event loops; an answer is not awaited. */
+    private void sendWithoutReading() throws IOException {
+        ScriptedPeers.Client c = new ScriptedPeers.Client(port);
+        c.call(1, ScriptedPeers.fields("lookup", "00000000000000bb"));
     }
 }
