--- a/frontend/src/main/java/quincespar/program/fleet/AgreementLibrary.java
+++ b/frontend/src/main/java/quincespar/program/fleet/AgreementLibrary.java
@@ -11,17 +11,17 @@
 import quincespar.fleet.Agreement;
 
 /**
- * The jar with the agreement's library, opened only where there is a fleet: a front end without one has none of its classes
- * on its path, and is as small and as quick to start as before there was such a jar.
+ * Loads the jar with the agreement library. It is opened only if there is a fleet, so that a front end without one loads none
+ * of its classes and stays small and quick to start.
  */
 final class AgreementLibrary {
-    private static final String NAME = "quincespar-agreement.jar";
+    private static final String JAR_NAME = "quincespar-agreement.jar";
 
     private AgreementLibrary() { }
 
-    /** Opens it; throws {@link IOException} in one plain line where it can't be had. */
-    static Agreement.Provider open(Path given) throws IOException {
-        Path jar = given == null ? beside() : given;
+    /** Opens the library; throws {@link IOException} with a one-line message if it can't be loaded. */
+    static Agreement.Provider open(Path configuredJar) throws IOException {
+        Path jar = configuredJar == null ? defaultJar() : configuredJar;
         if (!Files.isReadable(jar)) {
             throw new IOException("no agreement library at " + jar + "; 'fleet library' names another place");
         }
@@ -35,10 +35,10 @@
         }
     }
 
-    private static Path beside() throws IOException {
+    private static Path defaultJar() throws IOException {
         try {
             return Path.of(AgreementLibrary.class.getProtectionDomain().getCodeSource().getLocation().toURI())
-                    .resolveSibling(NAME);
+                    .resolveSibling(JAR_NAME);
         } catch (URISyntaxException e) {
             throw new IOException("the program's own place is not known: " + e.getMessage(), e);
         }
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -9,21 +9,21 @@
 import quincespar.settings.Settings;
 
 /**
- * What the operators' file says of the fleet.
+ * The fleet's settings from the operators' file.
  *
- * @param folder where this instance keeps its facts; null where it keeps none
- * @param sizeLimitBytes bytes that the folder should hold at the most
- * @param library the jar that holds the agreement; null for the one beside the program's own
- * @param registerWritesAllowed whether registers may be written through the second address
+ * @param folder the folder of this instance's durable state; null if it has none
+ * @param sizeLimitBytes size above which the log in the folder is compacted
+ * @param library the jar with the agreement library; null for the one next to the program's jar
+ * @param registerWritesAllowed whether registers can be written through the second address
  */
 public record FleetSettings(FleetConfig config, Path folder, long sizeLimitBytes, Path library, boolean registerWritesAllowed) {
 
-    /** Whether the file has a fleet. */
+    /** Whether the file configures a fleet. */
     public static boolean isEnabled(Settings s) {
         return !s.text(Keyword.FLEET_VOTERS).isBlank();
     }
 
-    /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
+    /** Reads and validates the settings; throws with one line per problem, each prefixed with the name {@code file}. */
     public static FleetSettings read(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
         FleetConfig plan = new FleetConfig(s.text(Keyword.FLEET_GROUP),
--- a/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoverySettings.java
@@ -9,20 +9,20 @@
 import quincespar.settings.Settings;
 
 /**
- * What the operators' file says of the return from a loss of power.
+ * The settings of the recovery from a power loss, from the operators' file.
  *
- * @param folder where what must be known after it is kept
- * @param persistLoads whether a load goes out only once it is on disk that it may run
+ * @param folder the folder of the recovery journal
+ * @param persistLoads whether a load is sent only after a journal entry for it has been forced to disk
  */
 public record RecoverySettings(RecoveryTimeouts timeouts, Path folder, boolean persistLoads) {
     private static final String SUBFOLDER = "recovery";
 
-    /** Whether the file asks for it. */
+    /** Whether the file enables recovery. */
     public static boolean isEnabled(Settings s) {
         return s.text(Keyword.RECOVERY_ENABLED).equals("on");
     }
 
-    /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
+    /** Reads and validates the settings; throws with one line per problem, each prefixed with the name {@code file}. */
     public static RecoverySettings read(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
         String folder = s.text(Keyword.STATE_FOLDER);
--- a/frontend/src/main/java/quincespar/program/recovery/package-info.java
+++ b/frontend/src/main/java/quincespar/program/recovery/package-info.java
@@ -1,2 +1,5 @@
-/** The rim of a return from a loss of power: the file that is kept, questions to the fleet, pages; knows {@code program.runtime} and {@code .fleet}. */
+/**
+ * The I/O of the recovery from a power loss: its journal on disk, its settings and its pages. It may use
+ * {@code program.runtime} and {@code program.fleet}.
+ */
 package quincespar.program.recovery;
