--- a/frontend/src/main/java/quincespar/program/fleet/FleetService.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetService.java
@@ -32,146 +32,161 @@
 import quincespar.store.StateFolder;
 import quincespar.transport.Threads;
 
-/** This instance's part in its fleet: one thread that feeds {@link Participation} and carries out what it wants. */
+/**
+ * Runs this instance's {@link Participation} in its fleet: one thread delivers the events and carries out the actions. Blocking
+ * calls run on a second thread.
+ */
 public final class FleetService {
-    private static final String VOTES = "votes";
-    private static final double WRITE_AGAIN_MS = 100, SIZE_MS = 10_000;
-    private static final int IDENTITY = 8;
-    /** More than a segment of the log of votes and a snapshot. */
-    private static final long ROOM = 8L << 20;
-
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, r -> Threads.daemon("fleet", r));
-    /** What waits for the disk, in order: a disk that takes seconds must not end a session. */
-    private final ScheduledThreadPoolExecutor files = new ScheduledThreadPoolExecutor(1, r -> Threads.daemon("fleet-disk", r));
+    private static final String LOG_FOLDER = "votes";
+    private static final double WRITE_RETRY_DELAY_MS = 100;
+    private static final double SIZE_CHECK_INTERVAL_MS = 10_000;
+    private static final int IDENTITY_BYTES = 8;
+    /** More than a segment of the replicated log and a snapshot take. */
+    private static final long MIN_FREE_BYTES = 8L << 20;
+
+    private final ScheduledThreadPoolExecutor eventThread = new ScheduledThreadPoolExecutor(1, r -> Threads.daemon("fleet", r));
+    /** Runs calls that wait for the disk, in order: a slow write must not delay the renewals until the session expires. */
+    private final ScheduledThreadPoolExecutor diskThread = new ScheduledThreadPoolExecutor(1,
+            r -> Threads.daemon("fleet-disk", r));
     private final FleetCodec codec = new FleetCodec();
     private final FleetSettings settings;
     private final String name;
     private final DoubleSupplier clock;
-    private final Consumer<String> say;
+    private final Consumer<String> log;
     private final Consumer<FleetView> publish;
     private final Participation participation;
-    private final RegisterWriteQueue writes;
+    private final RegisterWriteQueue registerWrites;
     private final Agreement agreement;
-    private final AtomicLong failures = new AtomicLong(), lost = new AtomicLong(), leaders = new AtomicLong();
+    private final AtomicLong failures = new AtomicLong();
+    private final AtomicLong unanswered = new AtomicLong();
+    private final AtomicLong leaderChanges = new AtomicLong();
     private final CountDownLatch left = new CountDownLatch(1);
-    /** Of the disk's thread. */
+
+    // used by the disk thread only
     private FolderDisk disk;
     private StateFolder folder;
-    private boolean overTotal;
-    /** Votes that were asked for and not yet begun or ended. */
-    private int turning;
-    private boolean writing;
-    private double sizedAt = Double.NEGATIVE_INFINITY;
+    private boolean overSizeLimit;
+
+    // used by the event thread only
+    /** Starts and stops of voting that are queued on the disk thread or running there. */
+    private int pendingVotingChanges;
+    private boolean writeInFlight;
+    private double lastSizeCheckAt = Double.NEGATIVE_INFINITY;
     private String leader = "";
-    private volatile long bytes;
+
+    private volatile long folderBytes;
     private volatile FleetView view = FleetView.NONE;
 
     /**
-     * Opens the library; throws {@link IOException} where it can't be had.
+     * Opens the agreement library; throws {@link IOException} if that is not possible.
      *
-     * @param address the second address, empty where there is none
-     * @param clock milliseconds on a clock that can't be set
-     * @param say takes a line for operators
-     * @param publish takes each new view, on this link's thread
+     * @param address the second address; empty if there is none
+     * @param clock monotonic clock, in milliseconds
+     * @param log receives log lines for operators
+     * @param publish receives each changed view, on this service's event thread
      */
     public FleetService(FleetSettings settings, String name, String address, String build, DoubleSupplier clock,
-            Consumer<String> say, Consumer<FleetView> publish) throws IOException {
+            Consumer<String> log, Consumer<FleetView> publish) throws IOException {
         this.settings = settings;
         this.name = name;
         this.clock = clock;
-        this.say = say;
+        this.log = log;
         this.publish = publish;
         participation = new Participation(settings.config(), name, address, build, new SecureRandom().nextLong() | 1);
-        writes = new RegisterWriteQueue(name);
+        registerWrites = new RegisterWriteQueue(name);
         agreement = AgreementLibrary.open(settings.library()).open(settings.config(), name,
-                s -> run(() -> perform(participation.stateReceived(now(), s))));
-        thread.setRemoveOnCancelPolicy(true);
+                state -> execute(() -> perform(participation.stateReceived(now(), state))));
+        eventThread.setRemoveOnCancelPolicy(true);
     }
 
     private double now() {
         return clock.getAsDouble();
     }
 
-    private void run(Runnable step) {
-        on(thread, step);
+    private void execute(Runnable task) {
+        executeOn(eventThread, task);
     }
 
-    private void on(ScheduledThreadPoolExecutor which, Runnable step) {
+    private void executeOn(ScheduledThreadPoolExecutor executor, Runnable task) {
         try {
-            which.execute(guarded(step));
-        } catch (RejectedExecutionException e) { // closed: nothing is of interest any more
+            executor.execute(logFailures(task));
+        } catch (RejectedExecutionException e) { // the service is closed: the task is dropped
             Thread.onSpinWait();
         }
     }
 
-    /** The executor would keep what a step throws to itself. */
-    private Runnable guarded(Runnable step) {
+    /** Wraps a task so that its exception is counted and logged; the executor alone would discard it. */
+    private Runnable logFailures(Runnable task) {
         return () -> {
             try {
-                step.run();
+                task.run();
             } catch (RuntimeException e) {
                 failures.incrementAndGet();
-                say.accept("fleet: a step failed, which is a fault of this program: " + e);
+                log.accept("fleet: internal error in a task: " + e);
             }
         };
     }
 
-    private void after(double ms, Runnable step) {
+    private void schedule(double delayMs, Runnable task) {
         try {
-            thread.schedule(guarded(step), Math.round(ms), TimeUnit.MILLISECONDS);
-        } catch (RejectedExecutionException e) { // closed meanwhile
+            eventThread.schedule(logFailures(task), Math.round(delayMs), TimeUnit.MILLISECONDS);
+        } catch (RejectedExecutionException e) { // the service is closed: the task is dropped
             Thread.onSpinWait();
         }
     }
 
-    /** Begins. */
+    /** Starts the participation and the periodic checks. */
     public void start() {
-        run(() -> perform(participation.start(now())));
-        run(this::look);
+        execute(() -> perform(participation.start(now())));
+        execute(this::checkStatus);
     }
 
-    /** This instance stands so from now on. */
-    public void setStanding(Standing s) {
-        run(() -> perform(participation.setStanding(now(), s)));
-        if (s == Standing.LEAVING) {
+    /** Sets this instance's standing; gives up leadership if it is {@link Standing#LEAVING}. */
+    public void setStanding(Standing standing) {
+        execute(() -> perform(participation.setStanding(now(), standing)));
+        if (standing == Standing.LEAVING) {
             agreement.transferLeadership();
         }
     }
 
-    /** Tells the fleet that this instance leaves, waits for its word for so long at the most, and ends. */
-    public void close(long longestMs) throws InterruptedException {
-        run(() -> perform(participation.leave(now())));
-        left.await(longestMs, TimeUnit.MILLISECONDS);
-        thread.shutdownNow();
-        end(); // the library and the disk may take their time, and the process need not wait
-        files.awaitTermination(longestMs, TimeUnit.MILLISECONDS);
+    /**
+     * Leaves the fleet and closes the service.
+     *
+     * @param timeoutMs how long to wait for the fleet's confirmation, and again for the library and the disk to close
+     */
+    public void close(long timeoutMs) throws InterruptedException {
+        execute(() -> perform(participation.leave(now())));
+        left.await(timeoutMs, TimeUnit.MILLISECONDS);
+        eventThread.shutdownNow();
+        closeResources(); // may take longer than the timeout; the process does not wait for it to complete
+        diskThread.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    private void end() {
-        on(files, () -> {
+    private void closeResources() {
+        executeOn(diskThread, () -> {
             agreement.close();
             try {
                 if (folder != null) {
                     folder.close();
                 }
             } catch (IOException e) {
-                say.accept("fleet: closing its folder: " + e.getMessage());
+                log.accept("fleet: closing the state folder failed: " + e.getMessage());
             }
         });
-        files.shutdown();
+        diskThread.shutdown();
     }
 
-    /** What is known now. */
+    /** The view published last. */
     public FleetView view() {
         return view;
     }
 
-    /** Milliseconds since a majority last answered; infinite before the first time. */
+    /** Milliseconds since a majority last answered; infinite if none has yet. */
     public double age() {
         return view.millisSinceContact(now());
     }
 
-    /** What the library knows now. */
+    /** The library's current status. */
     public Agreement.Status status() {
         return agreement.status();
     }
@@ -181,122 +196,133 @@
         return name;
     }
 
-    /** The settings that it was made with. */
+    /** The settings of this service. */
     public FleetSettings settings() {
         return settings;
     }
 
-    /** What is counted: failed writes to the folder, commands without an answer, changes of leader, and the folder's bytes. */
+    /**
+     * Counters since the start, and the size of the state folder.
+     *
+     * @param failures failed operations on the state folder and the log in it, and internal errors
+     * @param lost commands without a readable answer
+     * @param leaders changes of leader
+     * @param bytes size of the state folder
+     */
     public record Counts(long failures, long lost, long leaders, long bytes) { }
 
-    /** Counts since the start. */
+    /** The current counts. */
     public Counts counts() {
-        return new Counts(failures.get(), lost.get(), leaders.get(), bytes);
+        return new Counts(failures.get(), unanswered.get(), leaderChanges.get(), folderBytes);
     }
 
-    /** The agreed state, with all that was agreed before this call. */
+    /** Reads the replicated state linearizably: it includes everything that was committed before this call. */
     public CompletionStage<Snapshot> read() {
-        CompletableFuture<Snapshot> out = new CompletableFuture<>();
-        agreement.readLinearizable().whenComplete((got, e) -> run(() -> {
+        CompletableFuture<Snapshot> snapshot = new CompletableFuture<>();
+        agreement.readLinearizable().whenComplete((encoded, e) -> execute(() -> {
             try {
                 if (e != null) {
-                    out.completeExceptionally(e);
+                    snapshot.completeExceptionally(e);
                 } else {
-                    out.complete(codec.readSnapshot(got));
+                    snapshot.complete(codec.readSnapshot(encoded));
                 }
-            } catch (MalformedRecordException x) {
-                out.completeExceptionally(x);
+            } catch (MalformedRecordException malformed) {
+                snapshot.completeExceptionally(malformed);
             }
         }));
-        return out;
+        return snapshot;
     }
 
-    /** Writes a register; a stage that ends with an exception leaves open whether it was written. */
+    /**
+     * Writes a register. A stage that completes exceptionally leaves open whether it was written.
+     *
+     * @param ifVersion the version that the register must have; 0 if it must not exist, -1 for any
+     */
     public CompletionStage<Result> write(String register, long ifVersion, String value) {
-        CompletableFuture<Result> out = new CompletableFuture<>();
-        run(() -> {
-            writes.add(register, ifVersion, value).whenComplete((r, e) -> {
+        CompletableFuture<Result> result = new CompletableFuture<>();
+        execute(() -> {
+            registerWrites.add(register, ifVersion, value).whenComplete((outcome, e) -> {
                 if (e != null) {
-                    out.completeExceptionally(e);
+                    result.completeExceptionally(e);
                 } else {
-                    out.complete(r);
+                    result.complete(outcome);
                 }
             });
-            writeNext();
+            submitNextWrite();
         });
-        return out;
+        return result;
     }
 
-    private void writeNext() {
-        writes.setIncarnation(participation.incarnation());
-        Command.Write w = writing ? null : writes.next();
-        if (w == null) {
+    private void submitNextWrite() {
+        registerWrites.setIncarnation(participation.incarnation());
+        Command.Write command = writeInFlight ? null : registerWrites.next();
+        if (command == null) {
             return;
         }
-        writing = true;
-        agreement.submit(codec.write(w)).whenComplete((got, e) -> run(() -> {
-            writing = false;
-            Result r = e == null ? result(got) : null;
-            if (r == null) {
-                lost.incrementAndGet();
-                after(WRITE_AGAIN_MS, this::writeNext);
+        writeInFlight = true;
+        agreement.submit(codec.write(command)).whenComplete((encoded, e) -> execute(() -> {
+            writeInFlight = false;
+            Result result = e == null ? readResult(encoded) : null;
+            if (result == null) {
+                unanswered.incrementAndGet();
+                schedule(WRITE_RETRY_DELAY_MS, this::submitNextWrite);
             } else {
-                writes.complete(w, r);
-                writeNext();
+                registerWrites.complete(command, result);
+                submitNextWrite();
             }
         }));
     }
 
-    /** Null where it can't be read. */
-    private Result result(byte[] got) {
+    /** Decodes a result; returns null if it is malformed. */
+    private Result readResult(byte[] encoded) {
         try {
-            return codec.readResult(got);
+            return codec.readResult(encoded);
         } catch (MalformedRecordException e) {
-            say.accept("fleet: an answer that can't be read: " + e.getMessage());
+            log.accept("fleet: malformed answer: " + e.getMessage());
             return null;
         }
     }
 
-    private void perform(List<Action> acts) {
-        acts.forEach(this::perform);
+    private void perform(List<Action> actions) {
+        actions.forEach(this::perform);
     }
 
-    private void perform(Action act) {
-        if (act instanceof Action.OpenFolder) {
-            on(files, () -> {
-                FolderResult found = open();
-                run(() -> perform(participation.folderOpened(now(), found)));
+    private void perform(Action action) {
+        if (action instanceof Action.OpenFolder) {
+            executeOn(diskThread, () -> {
+                FolderResult result = openFolder();
+                execute(() -> perform(participation.folderOpened(now(), result)));
             });
-        } else if (act instanceof Action.QueryVoters a) {
-            askOthers(a);
-        } else if (act instanceof Action.StartVoting) {
-            turn(this::vote);
-        } else if (act instanceof Action.StopVoting) {
-            turn(() -> {
+        } else if (action instanceof Action.QueryVoters query) {
+            queryOtherVoters(query);
+        } else if (action instanceof Action.StartVoting) {
+            changeVoting(this::startVoting);
+        } else if (action instanceof Action.StopVoting) {
+            changeVoting(() -> {
                 agreement.stopVoting();
                 return null;
             });
-        } else if (act instanceof Action.RetryDisk a) {
-            after(a.delayMs(), () -> perform(participation.diskRetryDue(now())));
-        } else if (act instanceof Action.Submit a) {
-            submit(a);
-        } else if (act instanceof Action.Persist a) {
-            on(files, () -> {
-                String why = tried(() -> folder.persist(a.incarnation(), a.nonce()));
-                run(() -> perform(participation.persisted(now(), why)));
+        } else if (action instanceof Action.RetryDisk retry) {
+            schedule(retry.delayMs(), () -> perform(participation.diskRetryDue(now())));
+        } else if (action instanceof Action.Submit submission) {
+            submit(submission);
+        } else if (action instanceof Action.Persist persist) {
+            executeOn(diskThread, () -> {
+                String failure = tryWrite(() -> folder.persist(persist.incarnation(), persist.nonce()));
+                execute(() -> perform(participation.persisted(now(), failure)));
             });
-        } else if (act instanceof Action.PersistMark a) {
-            on(files, () -> {
-                String why = tried(() -> mark(a.mark()));
-                run(() -> perform(participation.markPersisted(now(), a.mark(), why)));
+        } else if (action instanceof Action.PersistMark persistMark) {
+            executeOn(diskThread, () -> {
+                String failure = tryWrite(() -> writeMark(persistMark.mark()));
+                execute(() -> perform(participation.markPersisted(now(), persistMark.mark(), failure)));
             });
-        } else if (act instanceof Action.StartTimer a) {
-            after(a.delayMs(), () -> perform(participation.timerFired(now(), a.timerId())));
-        } else if (act instanceof Action.Log a) {
-            say.accept("fleet: " + name + " " + a.message());
-        } else if (act instanceof Action.Publish a) {
-            members(view.state(), a.view().state());
-            view = a.view();
+        } else if (action instanceof Action.StartTimer timer) {
+            schedule(timer.delayMs(), () -> perform(participation.timerFired(now(), timer.timerId())));
+        } else if (action instanceof Action.Log line) {
+            log.accept("fleet: " + name + " " + line.message());
+        } else if (action instanceof Action.Publish publication) {
+            logMemberChanges(view.state(), publication.view().state());
+            view = publication.view();
             publish.accept(view);
             if (view.phase() == Phase.LEFT) {
                 left.countDown();
@@ -304,67 +330,71 @@
         }
     }
 
-    private void members(Snapshot before, Snapshot now) {
-        for (Instance i : now.instances()) {
-            Instance was = before.instances().stream().filter(x -> x.name().equals(i.name())).findFirst().orElse(null);
-            if (was == null || was.incarnation() != i.incarnation() || was.standing() != i.standing()) {
-                say.accept("fleet: " + i.name() + " (incarnation " + i.incarnation() + ") is " + i.standing());
+    private void logMemberChanges(Snapshot before, Snapshot after) {
+        for (Instance instance : after.instances()) {
+            Instance previous = before.instances().stream().filter(i -> i.name().equals(instance.name())).findFirst()
+                    .orElse(null);
+            if (previous == null || previous.incarnation() != instance.incarnation()
+                    || previous.standing() != instance.standing()) {
+                log.accept("fleet: " + instance.name() + " (incarnation " + instance.incarnation() + ") is "
+                        + instance.standing());
             }
         }
     }
 
-    /** Drawn for a new folder. */
+    /** Draws a random identity for a new folder. */
     static String identity() {
-        byte[] drawn = new byte[IDENTITY];
-        new SecureRandom().nextBytes(drawn);
-        return HexFormat.of().formatHex(drawn);
+        byte[] random = new byte[IDENTITY_BYTES];
+        new SecureRandom().nextBytes(random);
+        return HexFormat.of().formatHex(random);
     }
 
-    private FolderResult open() {
-        Path at = settings.folder();
-        if (at == null) {
+    private FolderResult openFolder() {
+        Path path = settings.folder();
+        if (path == null) {
             return new FolderResult.Failed("'state folder' names none");
         }
-        FolderDisk d = new FolderDisk(at);
+        FolderDisk opened = new FolderDisk(path);
         try {
-            if (!d.lock()) {
-                return new FolderResult.Locked("another process holds " + at);
+            if (!opened.lock()) {
+                return new FolderResult.Locked("another process holds " + path);
             }
-            folder = StateFolder.open(d, name, identity(), false);
-            disk = d;
-            StateFolder.Facts f = folder.facts();
-            return new FolderResult.Open(f.identity(), f.incarnation(), f.pendingNonce(), folder.mark(), f.initializedForVoting());
+            folder = StateFolder.open(opened, name, identity(), false);
+            disk = opened;
+            StateFolder.Facts facts = folder.facts();
+            return new FolderResult.Open(facts.identity(), facts.incarnation(), facts.pendingNonce(), folder.mark(),
+                    facts.initializedForVoting());
         } catch (IOException e) {
             failures.incrementAndGet();
-            closeQuietly(d);
+            closeQuietly(opened);
             return new FolderResult.Failed(e.getMessage());
         }
     }
 
-    private void closeQuietly(FolderDisk d) {
+    private void closeQuietly(FolderDisk opened) {
         try {
-            d.close();
+            opened.close();
         } catch (IOException e) {
-            say.accept("fleet: " + e.getMessage());
+            log.accept("fleet: closing the state folder failed: " + e.getMessage());
         }
     }
 
-    private interface Written {
+    private interface DiskWrite {
         void write() throws IOException;
     }
 
-    /** Votes end before the disk is full: the library loses the last vote that it kept where it finds no room for the next. */
-    private void mark(long number) throws IOException {
-        if (disk.freeBytes() < ROOM) {
-            throw new IOException("less than " + ROOM + " bytes are free");
+    /** Fails before the disk is full, which stops voting: on a full disk the library would lose the last vote that it stored. */
+    private void writeMark(long mark) throws IOException {
+        if (disk.freeBytes() < MIN_FREE_BYTES) {
+            throw new IOException("less than " + MIN_FREE_BYTES + " bytes are free");
         }
-        folder.persistMark(number);
+        folder.persistMark(mark);
     }
 
-    /** Null where it is there for certain, else why not. */
-    private String tried(Written w) {
+    /** Returns null if the write succeeded and is durable, else the reason why not. */
+    private String tryWrite(DiskWrite write) {
         try {
-            w.write();
+            write.write();
             return null;
         } catch (IOException e) {
             failures.incrementAndGet();
@@ -372,10 +402,10 @@
         }
     }
 
-    /** Null where it takes part in votes now, else why not. */
-    private String vote() {
+    /** Returns null if this instance votes now, else the reason why not. */
+    private String startVoting() {
         try {
-            agreement.startVoting(settings.folder().resolve(VOTES));
+            agreement.startVoting(settings.folder().resolve(LOG_FOLDER));
             return null;
         } catch (IOException | RuntimeException e) {
             failures.incrementAndGet();
@@ -383,104 +413,107 @@
         }
     }
 
-    /** Begins or ends votes, which may wait for the disk. */
-    private void turn(Supplier<String> how) {
-        turning++;
-        on(files, () -> {
-            String why = how.get();
-            run(() -> {
-                turning--;
-                if (why != null) {
-                    perform(participation.votingFailed(now(), why));
+    /** Starts or stops voting on the disk thread, as either may wait for the disk; {@code change} returns the failure or null. */
+    private void changeVoting(Supplier<String> change) {
+        pendingVotingChanges++;
+        executeOn(diskThread, () -> {
+            String failure = change.get();
+            execute(() -> {
+                pendingVotingChanges--;
+                if (failure != null) {
+                    perform(participation.votingFailed(now(), failure));
                 }
             });
         });
     }
 
-    private void askOthers(Action.QueryVoters what) {
+    private void queryOtherVoters(Action.QueryVoters query) {
         List<String> others = settings.config().voters().keySet().stream().filter(v -> !v.equals(name)).toList();
-        int[] open = {others.size()};
-        String[] against = {""};
+        int[] pending = {others.size()};
+        String[] rejection = {""};
         boolean[] answered = {false};
         if (others.isEmpty()) {
             perform(participation.votersAnswered(now(), "", false));
         }
-        for (String v : others) {
-            agreement.readStale(v).whenComplete((got, e) -> run(() -> {
-                open[0]--;
+        for (String voter : others) {
+            agreement.readStale(voter).whenComplete((encoded, e) -> execute(() -> {
+                pending[0]--;
                 answered[0] |= e == null;
-                against[0] = against[0].isEmpty() && e == null ? against(got, what) : against[0];
-                if (open[0] == 0 || !against[0].isEmpty()) {
-                    perform(participation.votersAnswered(now(), against[0], answered[0]));
+                rejection[0] = rejection[0].isEmpty() && e == null ? votingRejection(encoded, query) : rejection[0];
+                if (pending[0] == 0 || !rejection[0].isEmpty()) {
+                    perform(participation.votersAnswered(now(), rejection[0], answered[0]));
                 }
             }));
         }
     }
 
-    private String against(byte[] state, Action.QueryVoters what) {
+    /** Why the folder must not vote according to another voter's state; empty if that state does not reject it. */
+    private String votingRejection(byte[] encoded, Action.QueryVoters query) {
         try {
-            return codec.readSnapshot(state).votingRejection(name, what.folder(), what.lastIncarnation(), what.mark(), what.nonce());
+            return codec.readSnapshot(encoded).votingRejection(name, query.folder(), query.lastIncarnation(), query.mark(),
+                    query.nonce());
         } catch (MalformedRecordException e) {
-            say.accept("fleet: an answer that can't be read: " + e.getMessage());
+            log.accept("fleet: malformed answer: " + e.getMessage());
             return "";
         }
     }
 
-    private void submit(Action.Submit a) {
-        agreement.submit(codec.write((Record) a.command())).whenComplete((got, e) -> run(() -> {
-            Result r = e == null ? result(got) : null;
-            if (r == null) {
-                lost.incrementAndGet();
-                perform(participation.commandFailed(now(), a.requestId(), String.valueOf(e)));
+    private void submit(Action.Submit submission) {
+        agreement.submit(codec.write((Record) submission.command())).whenComplete((encoded, e) -> execute(() -> {
+            Result result = e == null ? readResult(encoded) : null;
+            if (result == null) {
+                unanswered.incrementAndGet();
+                perform(participation.commandFailed(now(), submission.requestId(), String.valueOf(e)));
                 return;
             }
-            if (r instanceof Result.Renewed x && x.state().length > 0) {
+            if (result instanceof Result.Renewed renewed && renewed.state().length > 0) {
                 try {
-                    perform(participation.stateReceived(now(), codec.readSnapshot(x.state())));
-                } catch (MalformedRecordException bad) {
-                    say.accept("fleet: a state that can't be read: " + bad.getMessage());
+                    perform(participation.stateReceived(now(), codec.readSnapshot(renewed.state())));
+                } catch (MalformedRecordException malformed) {
+                    log.accept("fleet: malformed state: " + malformed.getMessage());
                 }
             }
-            perform(participation.commandCompleted(now(), a.requestId(), r));
-            writeNext();
+            perform(participation.commandCompleted(now(), submission.requestId(), result));
+            submitNextWrite();
         }));
     }
 
-    /** Tells of a new leader, and of a folder that has grown beyond its bound. */
-    private void look() {
-        Agreement.Status s = agreement.status();
-        if (!s.leader().equals(leader)) {
-            leader = s.leader();
-            leaders.incrementAndGet();
-            say.accept("fleet: " + (leader.isEmpty() ? "no leader is known" : leader + " leads") + (s.voting() ? ", term "
-                    + s.term() : ""));
+    /** Detects a new leader and the end of voting, and starts a check of the folder's size when it is due. */
+    private void checkStatus() {
+        Agreement.Status status = agreement.status();
+        if (!status.leader().equals(leader)) {
+            leader = status.leader();
+            leaderChanges.incrementAndGet();
+            log.accept("fleet: " + (leader.isEmpty() ? "no leader is known" : leader + " is the leader")
+                    + (status.voting() ? ", term " + status.term() : ""));
         }
-        if (participation.isVoting() && turning == 0 && !s.voting()) {
+        if (participation.isVoting() && pendingVotingChanges == 0 && !status.voting()) {
             failures.incrementAndGet();
             perform(participation.votingFailed(now(), "the log of votes has ended, as on a disk that refuses"));
         }
-        if (now() >= sizedAt + SIZE_MS) {
-            sizedAt = now();
-            on(files, this::size);
+        if (now() >= lastSizeCheckAt + SIZE_CHECK_INTERVAL_MS) {
+            lastSizeCheckAt = now();
+            executeOn(diskThread, this::checkFolderSize);
         }
-        after(settings.config().renewIntervalMs(), this::look);
+        schedule(settings.config().renewIntervalMs(), this::checkStatus);
     }
 
-    /** Over its bound the log of votes is cut to what was agreed last, and that is told once. */
-    private void size() {
+    /** Compacts the log while the folder is over its size limit; logs that once, when the limit is first exceeded. */
+    private void checkFolderSize() {
         if (disk == null) {
             return;
         }
         try {
-            bytes = disk.usedBytes();
-            boolean over = bytes > settings.sizeLimitBytes();
-            if (over && !overTotal) {
-                say.accept("fleet: its folder holds " + bytes + " bytes, over 'state total'; the log of votes is cut");
+            folderBytes = disk.usedBytes();
+            boolean over = folderBytes > settings.sizeLimitBytes();
+            if (over && !overSizeLimit) {
+                log.accept("fleet: the state folder holds " + folderBytes
+                        + " bytes, more than 'state total'; compacting the log");
             }
             if (over) {
                 agreement.compactLog();
             }
-            overTotal = over;
+            overSizeLimit = over;
         } catch (IOException e) {
             failures.incrementAndGet();
         }
