--- a/frontend/src/main/java/quincespar/program/fleet/RegisterWriteQueue.java
+++ b/frontend/src/main/java/quincespar/program/fleet/RegisterWriteQueue.java
@@ -8,70 +8,80 @@
 import quincespar.fleet.Result;
 
 /**
- * Writes to registers, one at a time: a write whose answer was lost is sent again under its number until its outcome is
- * known, so that it is done once. Pure but for the stages that it ends; used by one thread.
+ * Queue of register writes, of which one at a time is in flight. A write whose answer was lost is retried with the same sequence
+ * number until its outcome is known, so that it is applied at most once. Does no I/O, but completes the stages of the writes.
+ * Not thread-safe.
  */
 final class RegisterWriteQueue {
-    /** More wait for nothing and are turned away. */
-    private static final int MOST = 256;
+    /** Writes beyond this are refused. */
+    private static final int MAX_PENDING_WRITES = 256;
 
-    private record Pending(String register, long ifVersion, String value, CompletableFuture<Result> result) { }
+    private record PendingWrite(String register, long ifVersion, String value, CompletableFuture<Result> result) { }
 
-    private final Deque<Pending> waiting = new ArrayDeque<>();
+    private final Deque<PendingWrite> pending = new ArrayDeque<>();
     private final String name;
     private long incarnation;
-    private long serial;
-    /** Whether the first in the queue has ever been handed out: then its outcome may be anything. */
+    private long sequence;
+    /** Whether the first write of the queue has been sent: then it may have been applied. */
     private boolean sent;
 
     RegisterWriteQueue(String name) {
         this.name = name;
     }
 
-    /** A new life: its writes are numbered from 1, and what was sent in the one before has an unknown outcome. */
-    void setIncarnation(long number) {
-        if (number != incarnation) {
+    /**
+     * Sets the incarnation. A new one numbers its writes from 1; a write that was in flight in the previous one fails, as its
+     * outcome stays unknown.
+     */
+    void setIncarnation(long current) {
+        if (current != incarnation) {
             if (sent) {
-                waiting.poll().result().completeExceptionally(new IllegalStateException("this life of the instance is over"));
+                pending.poll().result().completeExceptionally(new IllegalStateException("this life of the instance is over"));
             }
-            incarnation = number;
-            serial = 0;
+            incarnation = current;
+            sequence = 0;
             sent = false;
         }
     }
 
+    /** Adds a write; refuses it if too many are pending. */
     CompletionStage<Result> add(String register, long ifVersion, String value) {
-        CompletableFuture<Result> out = new CompletableFuture<>();
-        if (waiting.size() >= MOST) {
-            out.complete(new Result.Refused(Result.Reason.LIMIT_REACHED, MOST + " writes wait already"));
+        CompletableFuture<Result> result = new CompletableFuture<>();
+        if (pending.size() >= MAX_PENDING_WRITES) {
+            result.complete(new Result.Refused(Result.Reason.LIMIT_REACHED, MAX_PENDING_WRITES + " writes wait already"));
         } else {
-            waiting.add(new Pending(register, ifVersion, value, out));
+            pending.add(new PendingWrite(register, ifVersion, value, result));
         }
-        return out;
+        return result;
     }
 
-    /** What is to be handed out now, null where nothing is; to be asked again after each outcome or failure. */
+    /**
+     * Returns the write to send now, which is the same one until its outcome is known; null if there is none. To be called again
+     * after each outcome or failure.
+     */
     Command.Write next() {
-        Pending p = waiting.peek();
-        if (p == null || incarnation == 0) {
+        PendingWrite first = pending.peek();
+        if (first == null || incarnation == 0) {
             return null;
         }
-        serial += sent ? 0 : 1;
+        sequence += sent ? 0 : 1;
         sent = true;
-        return new Command.Write(name, incarnation, serial, p.register(), p.ifVersion(), p.value());
+        return new Command.Write(name, incarnation, sequence, first.register(), first.ifVersion(), first.value());
     }
 
-    /** The outcome of what was handed out last. */
-    void complete(Command.Write of, Result r) {
-        if (!sent || of.incarnation() != incarnation || of.sequence() != serial) {
+    /** Reports the outcome of a write that was sent; ignored unless it is the write in flight. */
+    void complete(Command.Write write, Result outcome) {
+        if (!sent || write.incarnation() != incarnation || write.sequence() != sequence) {
             return;
         }
         sent = false;
-        Pending p = waiting.poll();
-        if (r instanceof Result.Refused x && (x.reason() == Result.Reason.INCARNATION_ENDED || x.reason() == Result.Reason.SUPERSEDED)) {
-            p.result().completeExceptionally(new IllegalStateException(x.message())); // an earlier try may have been applied
+        PendingWrite first = pending.poll();
+        if (outcome instanceof Result.Refused refused && (refused.reason() == Result.Reason.INCARNATION_ENDED
+                || refused.reason() == Result.Reason.SUPERSEDED)) {
+            // an earlier try may have been applied
+            first.result().completeExceptionally(new IllegalStateException(refused.message()));
         } else {
-            p.result().complete(r);
+            first.result().complete(outcome);
         }
     }
 }
--- a/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
+++ b/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
@@ -15,16 +15,16 @@
     }
 
     @Test
-    void withoutVotersThereIsNoFleet() throws ConfException {
+    void theFleetIsDisabledWithoutVoters() throws ConfException {
         assertThat(FleetSettings.isEnabled(Settings.defaults())).isFalse();
         assertThat(FleetSettings.isEnabled(read("fleet {\n voters \"n1=h:1\"\n}\n"))).isTrue();
     }
 
     @Test
-    void theDefaultsFitEachOtherAndWhatDoesNotIsSaidAtOnce() throws ConfException {
-        FleetSettings f = FleetSettings.read(read("fleet {\n voters \"n1=h:1,n2=h:2,n3=h:3\"\n}\nstate {\n folder /x\n}\n"), "f");
-        assertThat(f.folder()).isEqualTo(Path.of("/x"));
-        assertThat(f.registerWritesAllowed()).isFalse();
+    void acceptsTheDefaultsAndReportsAllProblemsTogether() throws ConfException {
+        FleetSettings fleet = FleetSettings.read(read("fleet {\n voters \"n1=h:1,n2=h:2,n3=h:3\"\n}\nstate {\n folder /x\n}\n"), "f");
+        assertThat(fleet.folder()).isEqualTo(Path.of("/x"));
+        assertThat(fleet.registerWritesAllowed()).isFalse();
         assertThatThrownBy(() -> FleetSettings.read(read("fleet {\n voters \"n1=h:1,n2=h\"\n renew 1s\n}\n"), "f"))
                 .isInstanceOf(ConfException.class).hasMessage("f: fleet voters: 'h' of n2 is not HOST:PORT\n"
                 + "f: fleet suspect must be at least three times renew, so that one lost renewal changes no standing");
--- a/frontend/src/test/java/quincespar/program/fleet/RegisterWriteQueueTest.java
+++ b/frontend/src/test/java/quincespar/program/fleet/RegisterWriteQueueTest.java
@@ -10,40 +10,40 @@
 import quincespar.fleet.Result;
 
 class RegisterWriteQueueTest {
-    private final RegisterWriteQueue writes = new RegisterWriteQueue("a");
+    private final RegisterWriteQueue queue = new RegisterWriteQueue("a");
 
     private CompletableFuture<Result> add(String value) {
-        return writes.add("r", -1, value).toCompletableFuture();
+        return queue.add("r", -1, value).toCompletableFuture();
     }
 
     @Test
-    void aWriteIsTheSameWriteUntilItsOutcomeIsKnown() {
+    void retriesAWriteWithTheSameSequenceNumberUntilItsOutcomeIsKnown() {
         CompletableFuture<Result> one = add("one");
         CompletableFuture<Result> two = add("two");
-        assertThat(writes.next()).isNull(); // no life yet
-        writes.setIncarnation(5);
-        Command.Write first = writes.next();
+        assertThat(queue.next()).isNull(); // no incarnation yet
+        queue.setIncarnation(5);
+        Command.Write first = queue.next();
         assertThat(first).isEqualTo(new Command.Write("a", 5, 1, "r", -1, "one"));
-        assertThat(writes.next()).isEqualTo(first); // its answer was lost
-        writes.complete(first, new Result.Written(1));
+        assertThat(queue.next()).isEqualTo(first); // the answer was lost
+        queue.complete(first, new Result.Written(1));
         assertThat(one).isCompletedWithValue(new Result.Written(1));
-        assertThat(writes.next().sequence()).isEqualTo(2);
-        writes.complete(first, new Result.Written(1)); // comes late
+        assertThat(queue.next().sequence()).isEqualTo(2);
+        queue.complete(first, new Result.Written(1)); // a late duplicate of the answer
         assertThat(two).isNotDone();
     }
 
     @Test
-    void whatWasOutWhenALifeEndedMayHaveBeenDone() {
-        writes.setIncarnation(5);
-        CompletableFuture<Result> out = add("one");
+    void failsTheWriteInFlightWhenTheIncarnationEndsAsItMayHaveBeenApplied() {
+        queue.setIncarnation(5);
+        CompletableFuture<Result> inFlight = add("one");
         CompletableFuture<Result> waiting = add("two");
-        writes.next();
-        writes.setIncarnation(6);
-        assertThatThrownBy(out::join).isInstanceOf(CompletionException.class);
+        queue.next();
+        queue.setIncarnation(6);
+        assertThatThrownBy(inFlight::join).isInstanceOf(CompletionException.class);
         assertThat(waiting).isNotDone();
-        Command.Write next = writes.next();
+        Command.Write next = queue.next();
         assertThat(next).isEqualTo(new Command.Write("a", 6, 1, "r", -1, "two"));
-        writes.complete(next, new Result.Refused(Result.Reason.SUPERSEDED, "by 7"));
+        queue.complete(next, new Result.Refused(Result.Reason.SUPERSEDED, "by 7"));
         assertThatThrownBy(waiting::join).hasMessageContaining("by 7");
     }
 }
