--- a/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
+++ b/frontend/src/test/java/quincespar/program/fleet/FleetSettingsTest.java
@@ -22,7 +22,8 @@
 
     @Test
     void acceptsTheDefaultsAndReportsAllProblemsTogether() throws ConfException {
-        FleetSettings fleet = FleetSettings.read(read("fleet {\n voters \"n1=h:1,n2=h:2,n3=h:3\"\n}\nstate {\n folder /x\n}\n"), "f");
+        FleetSettings fleet = FleetSettings.read(
+                read("fleet {\n voters \"n1=h:1,n2=h:2,n3=h:3\"\n}\nstate {\n folder /x\n}\n"), "f");
         assertThat(fleet.folder()).isEqualTo(Path.of("/x"));
         assertThat(fleet.registerWritesAllowed()).isFalse();
         assertThatThrownBy(() -> FleetSettings.read(read("fleet {\n voters \"n1=h:1,n2=h\"\n renew 1s\n}\n"), "f"))
