--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
@@ -19,16 +19,18 @@
 import quincespar.transport.Threads;
 
 /**
- * The file of what must be known after a loss of power, and the one thread that waits for its disk. What has come while one group was forced
- * out goes out together as the next (group commit), so that loads wait for one force, not for one each.
+ * Journal of the facts that must survive a loss of power, with the one thread that waits for its disk. Entries that arrive while
+ * a group is forced to disk are written together as the next group (group commit), so that loads wait for one force, not for one
+ * each.
  */
 public final class RecoveryJournal {
     private static final String FILE = "kept";
-    /** So many entries more than it must hold, and the file is written anew. */
-    private static final int REWRITE_AFTER = 4096;
-    private static final long LOCK_AGAIN_MS = 500, DISK_AGAIN_MS = 3000;
-    /** What waits for the disk at the most; beyond it what nobody waits for is dropped and counted, and what one waits for is not kept. */
-    private static final int MOST = 100_000;
+    /** The file is compacted when it has this many entries more than the state needs. */
+    private static final int COMPACTION_SURPLUS_ENTRIES = 4096;
+    private static final long LOCK_RETRY_MS = 500;
+    private static final long DISK_RETRY_MS = 3000;
+    /** Jobs that may wait for the disk. Beyond it an entry is dropped and counted, and a request that waits for it is told so. */
+    private static final int QUEUE_CAPACITY = 100_000;
 
     private sealed interface Job {
         record Add(JournalEntry entry, long request) implements Job { }
@@ -38,235 +40,242 @@
 
     private final LinkedBlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
     private final RecordCodec codec = new RecordCodec(JournalEntry.STORED_NAMES, JournalEntry.class);
-    private final AtomicLong forces = new AtomicLong(), failures = new AtomicLong(), added = new AtomicLong();
+    private final AtomicLong forces = new AtomicLong();
+    private final AtomicLong failures = new AtomicLong();
+    private final AtomicLong entriesWritten = new AtomicLong();
     private final FolderDisk disk;
     private final Journal journal;
     private final Path folder;
     private final String owner;
-    private final Consumer<Input> to;
-    private final Consumer<String> say;
+    private final Consumer<Input> inputs;
+    private final Consumer<String> operatorLog;
     private final Thread thread = Threads.daemon("kept", this::run);
-    /** What the file should hold; with it the file is written anew when it has grown, or the disk has refused. */
-    private RecoveryState kept = RecoveryState.replay(List.of());
-    /** What was to be kept while the file could not be read. */
-    private final List<JournalEntry> unread = new ArrayList<>();
-    /** Entries in the file. */
-    private long written;
-    /** What is in the file is not what it should hold, so that it is written whole and not added to. */
-    private boolean behind;
+    /** The state that the file should hold; the file is rewritten from it to compact it, and after the disk has failed. */
+    private RecoveryState state = RecoveryState.replay(List.of());
+    /** Entries that were added while the file could not be read. */
+    private final List<JournalEntry> addedBeforeRead = new ArrayList<>();
+    private long entriesInFile;
+    /** The file does not hold {@link #state}: it must be rewritten as a whole before anything is appended. */
+    private boolean rewriteRequired;
     private boolean locked;
-    /** It is another instance's: nothing in it is touched. */
-    private boolean foreign;
-    /** What the disk has said; null while it takes what it is given. */
-    private String refusal;
-    private double refusedAt;
+    /** The folder belongs to another instance, so the file is not changed. */
+    private boolean ownedByAnother;
+    /** The message of the last disk error, null while the disk works. */
+    private String diskError;
+    private double diskErrorAtMs;
 
     /**
-     * Nothing is read yet.
+     * Does not read the file yet.
      *
-     * @param owner whose folder it must be
-     * @param to takes what was read, and what has been noted
-     * @param say takes a line for operators
+     * @param owner name of the instance that the folder must belong to
+     * @param inputs receives the contents of the file and the results of writes
+     * @param operatorLog receives log lines
      */
-    public RecoveryJournal(Path folder, String owner, Consumer<Input> to, Consumer<String> say) {
+    public RecoveryJournal(Path folder, String owner, Consumer<Input> inputs, Consumer<String> operatorLog) {
         this.folder = folder;
         this.owner = owner;
-        this.to = to;
-        this.say = say;
+        this.inputs = inputs;
+        this.operatorLog = operatorLog;
         disk = new FolderDisk(folder);
         journal = new Journal(disk, FILE);
     }
 
-    /** Begins to read. */
+    /** Starts the thread, which reads the file first. */
     public void start() {
         thread.start();
     }
 
-    /** Keeps an entry; the request, where that is not 0, is told of by {@link Input.PersistFinished}. */
-    public void add(JournalEntry e, long request) {
-        if (jobs.size() < MOST) {
-            jobs.add(new Job.Add(e, request));
+    /** Queues an entry to be written; {@link Input.PersistFinished} reports the result to the request unless that is 0. */
+    public void add(JournalEntry entry, long request) {
+        if (jobs.size() < QUEUE_CAPACITY) {
+            jobs.add(new Job.Add(entry, request));
         } else {
             failures.incrementAndGet();
-            tell(request, false);
+            reportResult(request, false);
         }
     }
 
-    /** Writes what waits, for so long at the most. */
-    public void close(long longestMs) throws InterruptedException {
+    /** Writes the queued entries, and waits up to {@code timeoutMs} for that. */
+    public void close(long timeoutMs) throws InterruptedException {
         jobs.add(new Job.End());
-        thread.join(longestMs);
+        thread.join(timeoutMs);
     }
 
-    /** What is counted: forced groups, entries in them, and what the disk refused. */
+    /** Counters: groups forced to disk, entries in them, and failures. */
     public record Counts(long forces, long entries, long failures) { }
 
-    /** Counts since the start. */
+    /** The counters since the start. */
     public Counts counts() {
-        return new Counts(forces.get(), added.get(), failures.get());
+        return new Counts(forces.get(), entriesWritten.get(), failures.get());
     }
 
     private void run() {
         try {
-            boolean more = open();
+            boolean more = readFile();
             while (more) {
-                more = group();
+                more = writeGroup();
             }
             journal.close();
             disk.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            say.accept("recovery: closing " + folder + ": " + e.getMessage());
+            operatorLog.accept("recovery: cannot close the journal in " + folder + ": " + e.getMessage());
         }
     }
 
-    /** Reads it as soon as the disk lets it be read: taken for lost, it would be written over. False where the end came first. */
-    private boolean open() throws InterruptedException {
+    /**
+     * Reads the file, and retries until the disk allows it: a file that was taken for lost would be overwritten. False if the
+     * journal was closed first.
+     */
+    private boolean readFile() throws InterruptedException {
         boolean more = true;
-        while (more && !read()) {
-            more = refuseWaiting();
+        while (more && !tryRead()) {
+            more = rejectUntilRetry();
         }
         return more;
     }
 
-    /** An older process of this name may still hold the folder; until it ends nothing is read, and nothing written. */
-    private boolean read() throws InterruptedException {
+    /** Reads and writes nothing until the lock is free, as an older process of this instance may still hold it. */
+    private boolean tryRead() throws InterruptedException {
         try {
             while (!locked) {
                 locked = disk.lock();
-                Thread.sleep(locked ? 0 : LOCK_AGAIN_MS);
+                Thread.sleep(locked ? 0 : LOCK_RETRY_MS);
             }
-            Journal.Contents f = journal.read();
+            Journal.Contents contents = journal.read();
             List<JournalEntry> entries = new ArrayList<>();
-            for (byte[] r : f.records()) {
-                entries.add(codec.read(r, JournalEntry.class));
+            for (byte[] record : contents.records()) {
+                entries.add(codec.read(record, JournalEntry.class));
             }
-            found(f.condition(), entries);
+            contentsRead(contents.condition(), entries);
             return true;
-        } catch (MalformedRecordException e) { // whole, and yet not what this program writes
-            to.accept(new Input.RecoveryJournalRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
+        } catch (MalformedRecordException e) { // its checksum is right, but this program does not write such a record
+            inputs.accept(new Input.RecoveryJournalRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
             return true;
         } catch (IOException e) {
-            refused(e);
+            recordDiskError(e);
             return false;
         }
     }
 
-    /** What is to be kept waits in memory until the file has been read, and nobody waits for it; false at the end. */
-    private boolean refuseWaiting() throws InterruptedException {
-        double until = now() + DISK_AGAIN_MS;
-        for (double left = DISK_AGAIN_MS; left > 0; left = until - now()) {
-            Job j = jobs.poll((long) Math.ceil(left), TimeUnit.MILLISECONDS);
-            if (j instanceof Job.End) {
+    /** Until the next attempt to read, keeps added entries in memory and reports them as not durable; false at the end. */
+    private boolean rejectUntilRetry() throws InterruptedException {
+        double retryAtMs = nowMs() + DISK_RETRY_MS;
+        for (double leftMs = DISK_RETRY_MS; leftMs > 0; leftMs = retryAtMs - nowMs()) {
+            Job job = jobs.poll((long) Math.ceil(leftMs), TimeUnit.MILLISECONDS);
+            if (job instanceof Job.End) {
                 return false;
             }
-            if (j instanceof Job.Add a) {
-                unread.add(a.entry());
+            if (job instanceof Job.Add a) {
+                addedBeforeRead.add(a.entry());
                 failures.incrementAndGet();
-                tell(a.request(), false);
+                reportResult(a.request(), false);
             }
         }
         return true;
     }
 
-    private void found(Journal.Condition state, List<JournalEntry> entries) throws IOException {
-        String other = entries.stream().filter(JournalEntry.ProcessStarted.class::isInstance).map(e -> ((JournalEntry.ProcessStarted) e).owner()).filter(o -> !o.equals(owner))
-                .findFirst().orElse("");
-        foreign = !other.isEmpty();
-        behind = state != Journal.Condition.INTACT || !unread.isEmpty();
-        written = entries.size();
-        kept = RecoveryState.replay(entries);
-        unread.forEach(kept::apply);
-        if (state == Journal.Condition.CORRUPT) {
+    private void contentsRead(Journal.Condition fileCondition, List<JournalEntry> entries) throws IOException {
+        String otherOwner = entries.stream().filter(JournalEntry.ProcessStarted.class::isInstance)
+                .map(e -> ((JournalEntry.ProcessStarted) e).owner()).filter(o -> !o.equals(owner)).findFirst().orElse("");
+        ownedByAnother = !otherOwner.isEmpty();
+        rewriteRequired = fileCondition != Journal.Condition.INTACT || !addedBeforeRead.isEmpty();
+        entriesInFile = entries.size();
+        state = RecoveryState.replay(entries);
+        addedBeforeRead.forEach(state::apply);
+        if (fileCondition == Journal.Condition.CORRUPT) {
             journal.backUp();
         }
-        DurableFact.FolderCondition found = foreign ? DurableFact.FolderCondition.ANOTHERS : state == Journal.Condition.CORRUPT ? DurableFact.FolderCondition.CORRUPT
-                : state == Journal.Condition.MISSING ? DurableFact.FolderCondition.LOST : DurableFact.FolderCondition.WHOLE;
-        to.accept(new Input.RecoveryJournalRead(found, entries, switch (found) {
-            case ANOTHERS -> "it is that of " + other + ", and nothing is kept";
-            case CORRUPT -> "what stands behind " + entries.size() + " entries is not what was written, and was set aside";
+        DurableFact.FolderCondition condition = ownedByAnother ? DurableFact.FolderCondition.ANOTHERS
+                : fileCondition == Journal.Condition.CORRUPT ? DurableFact.FolderCondition.CORRUPT
+                : fileCondition == Journal.Condition.MISSING ? DurableFact.FolderCondition.LOST
+                : DurableFact.FolderCondition.WHOLE;
+        inputs.accept(new Input.RecoveryJournalRead(condition, entries, switch (condition) {
+            case ANOTHERS -> "it belongs to " + otherOwner + ", and nothing is written";
+            case CORRUPT -> "it is corrupt after " + entries.size() + " entries, and a copy was saved";
             case LOST -> "there is no file";
             default -> "";
         }));
     }
 
-    /** Takes all that waits as one group; false at the end. */
-    private boolean group() throws InterruptedException {
-        List<Job> all = new ArrayList<>();
-        Job first = refusal == null ? jobs.take() : jobs.poll(DISK_AGAIN_MS, TimeUnit.MILLISECONDS);
+    /** Waits for a job and writes the queued entries as one group; false at the end. */
+    private boolean writeGroup() throws InterruptedException {
+        List<Job> group = new ArrayList<>();
+        Job first = diskError == null ? jobs.take() : jobs.poll(DISK_RETRY_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
-            all.add(first);
+            group.add(first);
         }
-        jobs.drainTo(all);
+        jobs.drainTo(group);
         List<JournalEntry> entries = new ArrayList<>();
-        List<Long> waiting = new ArrayList<>();
+        List<Long> waitingRequests = new ArrayList<>();
         boolean more = true;
-        for (Job j : all) {
-            if (j instanceof Job.Add a) {
-                kept.apply(a.entry());
+        for (Job job : group) {
+            if (job instanceof Job.Add a) {
+                state.apply(a.entry());
                 entries.add(a.entry());
                 if (a.request() != 0) {
-                    waiting.add(a.request());
+                    waitingRequests.add(a.request());
                 }
             } else {
                 more = false;
             }
         }
-        boolean done = !foreign && write(entries);
-        waiting.forEach(r -> tell(r, done));
+        boolean durable = !ownedByAnother && write(entries);
+        waitingRequests.forEach(r -> reportResult(r, durable));
         return more;
     }
 
     private boolean write(List<JournalEntry> entries) {
-        if (refusal != null && now() < refusedAt + DISK_AGAIN_MS) {
+        if (diskError != null && nowMs() < diskErrorAtMs + DISK_RETRY_MS) {
             failures.incrementAndGet();
             return false;
         }
         try {
-            List<JournalEntry> whole = behind || written > REWRITE_AFTER ? kept.compactedEntries() : null;
-            if (whole != null && (behind || written > REWRITE_AFTER + whole.size())) {
-                journal.rewrite(bytes(whole));
-                written = whole.size();
-                behind = false;
+            List<JournalEntry> compacted = rewriteRequired || entriesInFile > COMPACTION_SURPLUS_ENTRIES
+                    ? state.compactedEntries() : null;
+            if (compacted != null && (rewriteRequired || entriesInFile > COMPACTION_SURPLUS_ENTRIES + compacted.size())) {
+                journal.rewrite(encode(compacted));
+                entriesInFile = compacted.size();
+                rewriteRequired = false;
             } else if (!entries.isEmpty()) {
-                journal.append(bytes(entries));
-                written += entries.size();
+                journal.append(encode(entries));
+                entriesInFile += entries.size();
             }
             forces.incrementAndGet();
-            added.addAndGet(entries.size());
-            if (refusal != null) {
-                refusal = null;
-                say.accept("recovery: " + folder + " takes what it is given again");
+            entriesWritten.addAndGet(entries.size());
+            if (diskError != null) {
+                diskError = null;
+                operatorLog.accept("recovery: the journal in " + folder + " is available again");
             }
             return true;
         } catch (IOException e) {
-            refused(e);
+            recordDiskError(e);
             return false;
         }
     }
 
-    private List<byte[]> bytes(List<JournalEntry> entries) {
+    private List<byte[]> encode(List<JournalEntry> entries) {
         return entries.stream().map(e -> codec.write((Record) e)).toList();
     }
 
-    private static double now() {
+    private static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    private void refused(IOException e) {
+    private void recordDiskError(IOException e) {
         failures.incrementAndGet();
-        refusedAt = now();
-        behind = true;
-        if (!String.valueOf(e.getMessage()).equals(refusal)) {
-            refusal = String.valueOf(e.getMessage());
-            say.accept("recovery: keeps nothing for now: " + refusal);
+        diskErrorAtMs = nowMs();
+        rewriteRequired = true;
+        if (!String.valueOf(e.getMessage()).equals(diskError)) {
+            diskError = String.valueOf(e.getMessage());
+            operatorLog.accept("recovery: the journal in " + folder + " is unavailable, and nothing is persisted for now: " + diskError);
         }
     }
 
-    private void tell(long request, boolean kept) {
+    private void reportResult(long request, boolean durable) {
         if (request != 0) {
-            to.accept(new Input.PersistFinished(request, kept));
+            inputs.accept(new Input.PersistFinished(request, durable));
         }
     }
 }
