--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
@@ -269,7 +269,8 @@
         rewriteRequired = true;
         if (!String.valueOf(e.getMessage()).equals(diskError)) {
             diskError = String.valueOf(e.getMessage());
-            operatorLog.accept("recovery: the journal in " + folder + " is unavailable, and nothing is persisted for now: " + diskError);
+            operatorLog.accept("recovery: the journal in " + folder + " is unavailable, and nothing is persisted for now: "
+                    + diskError);
         }
     }
 
--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryPages.java
@@ -16,105 +16,115 @@
 import quincespar.routing.RecoveryReport;
 
 /**
- * What the second address tells of a return from a loss of power. {@code GET /fleet/recovery} is where it stands, with the loads in doubt; {@code
- * PUT /fleet/doubtful/TXN} says that staff have looked into one; {@code PUT /fleet/allowed/ENGINE} that an engine which takes nothing since the
- * loss takes work again.
+ * The admin address's pages about the recovery from a loss of power. {@code GET /fleet/recovery} returns its status with the
+ * loads in doubt; {@code PUT /fleet/doubtful/TXN} acknowledges that an operator has checked such a load; {@code PUT
+ * /fleet/allowed/ENGINE} allows requests to an engine that has been withheld since the loss.
  */
 public final class RecoveryPages {
-    private static final String JSON = "application/json", TEXT = "text/plain; charset=utf-8", WHERE = "/fleet/recovery", DOUBTFUL =
-            "/fleet/doubtful/", ALLOWED = "/fleet/allowed/";
-    private static final int OK = 200, NOT_FOUND = 404;
+    private static final String JSON = "application/json";
+    private static final String TEXT = "text/plain; charset=utf-8";
+    private static final String STATUS_PATH = "/fleet/recovery";
+    private static final String DOUBTFUL_PREFIX = "/fleet/doubtful/";
+    private static final String ALLOWED_PREFIX = "/fleet/allowed/";
+    private static final int OK = 200;
+    private static final int NOT_FOUND = 404;
 
-    private final Supplier<RecoveryReport> stands;
+    private final Supplier<RecoveryReport> latestReport;
     private final Supplier<RecoveryJournal.Counts> counts;
-    private final Consumer<Input> to;
+    private final Consumer<Input> inputs;
 
-    /** Pages of what was published last. */
-    public RecoveryPages(Supplier<RecoveryReport> stands, Supplier<RecoveryJournal.Counts> counts, Consumer<Input> to) {
-        this.stands = stands;
+    /** Reads the latest report and counters for each page; the changes that operators ask for go to {@code inputs}. */
+    public RecoveryPages(Supplier<RecoveryReport> latestReport, Supplier<RecoveryJournal.Counts> counts, Consumer<Input> inputs) {
+        this.latestReport = latestReport;
         this.counts = counts;
-        this.to = to;
+        this.inputs = inputs;
     }
 
-    /** A page of these, null where it is none. */
+    /** The page at this path, null if it is none of these or nothing has been reported yet. */
     public Page page(String method, String path) {
-        RecoveryReport r = stands.get();
-        if (r == null) {
+        RecoveryReport report = latestReport.get();
+        if (report == null) {
             return null;
-        } else if (path.equals(WHERE) && method.equals("GET")) {
-            return new Page(OK, JSON, json(r));
-        } else if (path.startsWith(DOUBTFUL) && method.equals("PUT")) {
-            String txn = path.substring(DOUBTFUL.length());
-            if (r.doubtfulLoads().stream().noneMatch(l -> l.start().txn().equals(txn))) {
+        } else if (path.equals(STATUS_PATH) && method.equals("GET")) {
+            return new Page(OK, JSON, json(report));
+        } else if (path.startsWith(DOUBTFUL_PREFIX) && method.equals("PUT")) {
+            String txn = path.substring(DOUBTFUL_PREFIX.length());
+            if (report.doubtfulLoads().stream().noneMatch(l -> l.start().txn().equals(txn))) {
                 return new Page(NOT_FOUND, TEXT, "no load " + txn + " is in doubt\n");
             }
-            to.accept(new Input.LoadAcknowledged(txn));
+            inputs.accept(new Input.LoadAcknowledged(txn));
             return new Page(OK, TEXT, txn + " is taken off the list\n");
-        } else if (path.startsWith(ALLOWED) && method.equals("PUT")) {
-            to.accept(new Input.EngineAllowed(path.substring(ALLOWED.length())));
-            return new Page(OK, TEXT, path.substring(ALLOWED.length()) + " may take work\n");
+        } else if (path.startsWith(ALLOWED_PREFIX) && method.equals("PUT")) {
+            inputs.accept(new Input.EngineAllowed(path.substring(ALLOWED_PREFIX.length())));
+            return new Page(OK, TEXT, path.substring(ALLOWED_PREFIX.length()) + " may take work\n");
         }
         return null;
     }
 
-    private static String json(RecoveryReport r) {
-        StringWriter out = new StringWriter();
-        Recovery.View v = r.view();
-        try (JsonGenerator to = new JsonFactory().createGenerator(out)) {
-            to.writeStartObject();
-            to.writeStringField("phase", v.phase().name());
-            to.writeStringField("line", v.statusLine());
-            to.writeBooleanField("alone", v.withoutQuorum());
-            to.writeStringField("sends", String.join(",", v.openClasses()));
-            to.writeBooleanField("cold", v.coldFrom() > 0);
-            to.writeNumberField("withheldEngines", v.withheldEngines());
-            to.writeNumberField("doubtfulLoads", v.doubtfulLoads());
-            to.writeNumberField("unkeptLoads", r.unpersistedLoads());
-            to.writeArrayFieldStart("doubtful");
-            for (RecoveryState.Load l : r.doubtfulLoads()) {
-                to.writeStartObject();
-                to.writeStringField("txn", l.start().txn());
-                to.writeStringField("class", l.start().requestClass());
-                to.writeStringField("team", l.start().team());
-                to.writeStringField("digest", l.start().statementDigest());
-                to.writeNumberField("tables", l.start().tableGroup());
-                to.writeStringField("engine", l.engine());
-                to.writeStringField("at", Instant.ofEpochMilli(l.start().startedAtUnixMs()).toString());
-                to.writeEndObject();
+    private static String json(RecoveryReport report) {
+        StringWriter text = new StringWriter();
+        Recovery.View view = report.view();
+        try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+            json.writeStartObject();
+            json.writeStringField("phase", view.phase().name());
+            json.writeStringField("line", view.statusLine());
+            json.writeBooleanField("alone", view.withoutQuorum());
+            json.writeStringField("sends", String.join(",", view.openClasses()));
+            json.writeBooleanField("cold", view.coldFrom() > 0);
+            json.writeNumberField("withheldEngines", view.withheldEngines());
+            json.writeNumberField("doubtfulLoads", view.doubtfulLoads());
+            json.writeNumberField("unkeptLoads", report.unpersistedLoads());
+            json.writeArrayFieldStart("doubtful");
+            for (RecoveryState.Load load : report.doubtfulLoads()) {
+                json.writeStartObject();
+                json.writeStringField("txn", load.start().txn());
+                json.writeStringField("class", load.start().requestClass());
+                json.writeStringField("team", load.start().team());
+                json.writeStringField("digest", load.start().statementDigest());
+                json.writeNumberField("tables", load.start().tableGroup());
+                json.writeStringField("engine", load.engine());
+                json.writeStringField("at", Instant.ofEpochMilli(load.start().startedAtUnixMs()).toString());
+                json.writeEndObject();
             }
-            to.writeEndArray();
-            to.writeEndObject();
-        } catch (IOException e) { // nothing is written anywhere but to memory
+            json.writeEndArray();
+            json.writeEndObject();
+        } catch (IOException e) { // cannot happen: the writer is in memory
             throw new UncheckedIOException(e);
         }
-        return out + "\n";
+        return text + "\n";
     }
 
-    /** Figures in the text format that Prometheus reads. */
+    /** Metrics in the Prometheus text format, empty if nothing has been reported yet. */
     public String metrics() {
-        RecoveryReport r = stands.get();
-        if (r == null) {
+        RecoveryReport report = latestReport.get();
+        if (report == null) {
             return "";
         }
-        RecoveryJournal.Counts c = counts.get();
-        StringBuilder out = new StringBuilder("# HELP gw_recovery_phase Where a return from a loss of power stands.\n# TYPE gw_recovery_phase"
-                + " gauge\n");
-        for (Recovery.Phase p : Recovery.Phase.values()) {
-            out.append("gw_recovery_phase{phase=\"").append(p.name().toLowerCase(java.util.Locale.ROOT)).append("\"} ").append(p
-                    == r.view().phase() ? 1 : 0).append('\n');
+        RecoveryJournal.Counts journalCounts = counts.get();
+        StringBuilder out = new StringBuilder("# HELP gw_recovery_phase Where a return from a loss of power stands.\n"
+                + "# TYPE gw_recovery_phase gauge\n");
+        for (Recovery.Phase phase : Recovery.Phase.values()) {
+            out.append("gw_recovery_phase{phase=\"").append(phase.name().toLowerCase(java.util.Locale.ROOT)).append("\"} ")
+                    .append(phase == report.view().phase() ? 1 : 0).append('\n');
         }
-        for (Figure f : List.of(new Figure("gw_recovery_alone", "gauge", "Whether it returns without a majority.", r.view().withoutQuorum() ? 1 : 0),
-                new Figure("gw_recovery_withheld_engines", "gauge", "Listed engines that take nothing since the loss.", r.view().withheldEngines()),
-                new Figure("gw_recovery_doubtful_loads", "gauge", "Loads that may have run before the loss.", r.view().doubtfulLoads()),
-                new Figure("gw_recovery_unkept_loads_total", "counter", "Loads that went out though the disk refused.", r.unpersistedLoads()),
-                new Figure("gw_recovery_forces_total", "counter", "Groups of entries forced to disk.", c.forces()),
-                new Figure("gw_recovery_entries_total", "counter", "Entries in them.", c.entries()),
-                new Figure("gw_recovery_failures_total", "counter", "Groups that the disk refused.", c.failures()))) {
-            out.append("# HELP ").append(f.name()).append(' ').append(f.help()).append("\n# TYPE ").append(f.name()).append(' ')
-                    .append(f.type()).append('\n').append(f.name()).append(' ').append(f.value()).append('\n');
+        for (Metric metric : List.of(
+                new Metric("gw_recovery_alone", "gauge", "Whether it returns without a majority.",
+                        report.view().withoutQuorum() ? 1 : 0),
+                new Metric("gw_recovery_withheld_engines", "gauge", "Listed engines that take nothing since the loss.",
+                        report.view().withheldEngines()),
+                new Metric("gw_recovery_doubtful_loads", "gauge", "Loads that may have run before the loss.",
+                        report.view().doubtfulLoads()),
+                new Metric("gw_recovery_unkept_loads_total", "counter", "Loads that went out though the disk refused.",
+                        report.unpersistedLoads()),
+                new Metric("gw_recovery_forces_total", "counter", "Groups of entries forced to disk.", journalCounts.forces()),
+                new Metric("gw_recovery_entries_total", "counter", "Entries in them.", journalCounts.entries()),
+                new Metric("gw_recovery_failures_total", "counter", "Groups that the disk refused.", journalCounts.failures()))) {
+            out.append("# HELP ").append(metric.name()).append(' ').append(metric.help()).append('\n')
+                    .append("# TYPE ").append(metric.name()).append(' ').append(metric.type()).append('\n')
+                    .append(metric.name()).append(' ').append(metric.value()).append('\n');
         }
         return out.toString();
     }
 
-    private record Figure(String name, String type, String help, long value) { }
+    private record Metric(String name, String type, String help, long value) { }
 }
--- a/frontend/src/test/java/quincespar/program/recovery/RecoveryJournalTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/RecoveryJournalTest.java
@@ -122,7 +122,8 @@
         assertThat(next()).isEqualTo(new Input.PersistFinished(3, true));
         second.close(20_000);
         open("a").close(20_000);
-        assertThat(nextRead().entries()).containsExactly(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y"), load("z"));
+        assertThat(nextRead().entries()).containsExactly(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y"),
+                load("z"));
     }
 
     @Test
