--- a/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureCommands.java
@@ -33,11 +33,11 @@
 import quincespar.decision.Scheduler;
 import quincespar.routing.EngineNumber;
 
-/** What can be asked of captures; every answer is lines that scripts can read. */
+/** The commands on captures. All of them print lines that scripts can parse. */
 @Command(name = "capture", description = "Inspect captures: the events and decisions of the decision module.",
         mixinStandardHelpOptions = true)
 public final class CaptureCommands {
-    private static final double SECOND = 1000;
+    private static final double MS_PER_SECOND = 1000;
 
     @Command(name = "list", description = "One line for each segment: name, bytes, calls, times, state, damage.")
     int list(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
@@ -45,7 +45,7 @@
         for (SegmentName name : captures.segmentNames()) {
             SegmentSummary s = captures.summarize(name);
             System.out.printf(Locale.ROOT, "%s bytes=%d calls=%d from=%s to=%s state=%s%s%n", name.fileName(), s.bytes(),
-                    s.calls(), time(s.from()), time(s.to()), s.hasState() ? "yes" : "no",
+                    s.calls(), formatTime(s.from()), formatTime(s.to()), s.hasState() ? "yes" : "no",
                     s.damage() == null ? "" : " damage=\"" + s.damage() + "\"");
         }
         return 0;
@@ -59,15 +59,15 @@
             String process = name.instance() + " started " + Instant.ofEpochMilli(name.processStart());
             segmentsByProcess.computeIfAbsent(process, n -> new ArrayList<>()).add(captures.summarize(name));
         }
-        String own = ModuleDigest.of(GcMuScheduler.class);
-        segmentsByProcess.forEach((process, all) -> {
-            System.out.println(process + ": segments=" + all.size()
-                    + " bytes=" + all.stream().mapToLong(SegmentSummary::bytes).sum()
-                    + " calls=" + all.stream().mapToLong(SegmentSummary::calls).sum());
-            all.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
+        String ownDigest = ModuleDigest.of(GcMuScheduler.class);
+        segmentsByProcess.forEach((process, segments) -> {
+            System.out.println(process + ": segments=" + segments.size()
+                    + " bytes=" + segments.stream().mapToLong(SegmentSummary::bytes).sum()
+                    + " calls=" + segments.stream().mapToLong(SegmentSummary::calls).sum());
+            segments.stream().map(SegmentSummary::opening).filter(o -> o != null).findFirst().ifPresent(o -> {
                 System.out.println("  build=\"" + o.build() + "\" module=" + o.moduleDigest()
-                        + (o.moduleDigest().equals(own) ? " (this build's)" : " (this build's is " + own + ")") + " seed="
-                        + Long.toHexString(o.seed()));
+                        + (o.moduleDigest().equals(ownDigest) ? " (this build's)" : " (this build's is " + ownDigest + ")")
+                        + " seed=" + Long.toHexString(o.seed()));
                 System.out.println("  classes=" + o.settings().classes().stream().map(Scheduler.ClassSpec::name).toList());
             });
         });
@@ -79,18 +79,18 @@
     int verify(@Parameters(paramLabel = "DIR") Path folder) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         long[] records = {0};
-        List<String> wrong = new ArrayList<>();
+        List<String> gaps = new ArrayList<>();
         captures.forEachEntry(captures.segmentNames(), (name, e) -> {
             records[0]++;
             if (e instanceof Entry.Gap g) {
-                wrong.add("gap in or before " + name.fileName() + " at " + time(g.time()) + ": " + g.reason()
+                gaps.add("gap in or before " + name.fileName() + " at " + formatTime(g.time()) + ": " + g.reason()
                         + (g.lostCalls() > 0 ? ", calls lost: " + g.lostCalls() : ""));
             }
             return true;
         });
-        wrong.forEach(System.out::println);
-        System.out.println(records[0] + " records, " + wrong.size() + " gaps");
-        return wrong.isEmpty() ? 0 : 1;
+        gaps.forEach(System.out::println);
+        System.out.println(records[0] + " records, " + gaps.size() + " gaps");
+        return gaps.isEmpty() ? 0 : 1;
     }
 
     @Command(name = "cut", description = "Write the calls between two times, with the state before them, to a new segment.")
@@ -103,9 +103,10 @@
         if (names.stream().map(n -> n.instance() + n.processStart()).distinct().count() > 1) {
             throw new IOException(folder + " holds captures of several processes; use a folder with one");
         }
-        List<Entry> entries = captures.cut(names, from * SECOND, to * SECOND);
+        List<Entry> entries = captures.cut(names, from * MS_PER_SECOND, to * MS_PER_SECOND);
         if (entries.isEmpty()) {
-            throw new IOException("no call between " + time(from * SECOND) + " and " + time(to * SECOND));
+            throw new IOException("no call between " + formatTime(from * MS_PER_SECOND) + " and "
+                    + formatTime(to * MS_PER_SECOND));
         }
         EntryCodec codec = new EntryCodec();
         SegmentName name = new SegmentName(names.get(0).instance(), names.get(0).processStart(), 1);
@@ -123,42 +124,43 @@
         return 0;
     }
 
-    /** Tells the story of a request, or what was known of an engine; answers the exit code. */
+    /** Prints the course of a request, or what was known of an engine at a time; returns the exit code. */
     public static int explain(Path folder, Long request, String engine, Double at) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
-        Explainer explain = new Explainer(captures, System.out::println);
-        boolean told = request != null ? explain.explainRequest(captures.segmentNames(), request)
-                : explain.explainEngine(captures.segmentNames(), number(engine), at == null ? Double.MAX_VALUE : at * SECOND);
-        if (!told) {
+        Explainer explainer = new Explainer(captures, System.out::println);
+        boolean found = request != null ? explainer.explainRequest(captures.segmentNames(), request)
+                : explainer.explainEngine(captures.segmentNames(), engineNumber(engine),
+                        at == null ? Double.MAX_VALUE : at * MS_PER_SECOND);
+        if (!found) {
             throw new IOException("no segment in " + folder + " contains " + (request != null ? "request " + request
                     : "engine " + engine));
         }
         return 0;
     }
 
-    /** An engine by its id in the list, or by the number that a story gives it. */
-    private static long number(String engine) {
+    /** The number of an engine that is given by its id in the list of engines, or by the number that {@code explain} prints. */
+    private static long engineNumber(String engine) {
         return engine.matches("[0-9]{1,18}") ? Long.parseLong(engine) : EngineNumber.of(engine);
     }
 
-    /** Plays captures again on this build's module; answers the exit code. */
+    /** Replays captures on this build's module; returns the exit code. */
     public static int replay(Path folder, int from, Path decisions) throws IOException {
         CaptureReader captures = new CaptureReader(new CaptureFolder(folder));
         List<SegmentName> names = captures.segmentNames().stream().filter(n -> n.number() >= from).toList();
         if (names.isEmpty()) {
             throw new IOException("no segments in " + folder + (from > 1 ? " from number " + from + " on" : ""));
         }
-        EntryCodec codec = new EntryCodec(); // prints records by their stored names, so that builds can be compared
+        EntryCodec codec = new EntryCodec(); // prints stored names, so that the output of builds can be compared
         Replay replay = new Replay(new CurrentModuleFactory());
         RuleChecker rules = new RuleChecker();
-        double[] span = {Double.NaN, Double.NaN};
-        long began = System.nanoTime();
+        double[] firstAndLastMs = {Double.NaN, Double.NaN};
+        long startNanos = System.nanoTime();
         try (PrintStream out = decisions == null ? null : new PrintStream(Files.newOutputStream(decisions), false,
                 StandardCharsets.UTF_8)) {
             captures.forEachEntry(names, (name, e) -> {
                 if (e instanceof Entry.Call c) {
-                    span[0] = Double.isNaN(span[0]) ? c.time() : span[0];
-                    span[1] = c.time();
+                    firstAndLastMs[0] = Double.isNaN(firstAndLastMs[0]) ? c.time() : firstAndLastMs[0];
+                    firstAndLastMs[1] = c.time();
                     if (out != null && !c.actions().isEmpty()) {
                         out.println(c.time() + " " + codec.toText(c.actions()));
                     }
@@ -172,54 +174,56 @@
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
-        double took = (System.nanoTime() - began) / 1e6;
-        Replay.Result r = replay.result();
-        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", r.calls(), r.events(), r.decisions(),
-                r.digest());
-        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", r.matchingStates(), r.differingStates(),
-                r.lostCalls());
-        System.out.printf(Locale.ROOT, "replayed %.1f s in %.2f s, %.0f times as fast%n", (span[1] - span[0]) / SECOND,
-                took / SECOND, (span[1] - span[0]) / took);
+        double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
+        double capturedMs = firstAndLastMs[1] - firstAndLastMs[0];
+        Replay.Result result = replay.result();
+        System.out.printf(Locale.ROOT, "calls=%d events=%d decisions=%d sha256=%s%n", result.calls(), result.events(),
+                result.decisions(), result.digest());
+        System.out.printf(Locale.ROOT, "states=%d other-states=%d lost=%d%n", result.matchingStates(), result.differingStates(),
+                result.lostCalls());
+        System.out.printf(Locale.ROOT, "replayed %.1f s in %.2f s, %.0f times as fast%n", capturedMs / MS_PER_SECOND,
+                elapsedMs / MS_PER_SECOND, capturedMs / elapsedMs);
         System.out.println("broken-rules=" + rules.violationCount());
-        rules.violations().forEach(b -> System.out.println("  " + b));
-        if (r.divergence() != null) {
-            parted(codec, r.divergence());
+        rules.violations().forEach(v -> System.out.println("  " + v));
+        if (result.divergence() != null) {
+            printDivergence(codec, result.divergence());
         }
-        return r.divergence() == null && r.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
+        return result.divergence() == null && result.differingStates() == 0 && rules.violationCount() == 0 ? 0 : 1;
     }
 
     /**
-     * As {@link #replay}, by another build: with its own reader and module, apart from this one's classes. Answers its
-     * exit code; throws where it is no build that can.
+     * Like {@link #replay}, but with the reader and the module of another build, whose classes are loaded separately from this
+     * build's. Returns its exit code; throws if that build cannot replay captures.
      */
     public static int replayWithJar(Path jar, Path folder, int from, Path decisions) throws IOException {
-        List<String> words = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
+        List<String> arguments = new ArrayList<>(List.of("replay", folder.toString(), "--from", Integer.toString(from)));
         if (decisions != null) {
-            words.addAll(List.of("--decisions", decisions.toString()));
+            arguments.addAll(List.of("--decisions", decisions.toString()));
         }
-        try (URLClassLoader other = new URLClassLoader(new URL[] {jar.toUri().toURL()},
+        try (URLClassLoader loader = new URLClassLoader(new URL[] {jar.toUri().toURL()},
                 ClassLoader.getPlatformClassLoader())) {
-            return (int) other.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
-                    (Object) words.toArray(String[]::new));
+            return (int) loader.loadClass("quincespar.program.Main").getMethod("run", String[].class).invoke(null,
+                    (Object) arguments.toArray(String[]::new));
         } catch (ReflectiveOperationException e) {
             throw new IOException(jar + " cannot replay captures: " + e, e);
         }
     }
 
-    private static void parted(EntryCodec codec, Replay.Divergence p) {
-        System.out.println("decisions differ at call " + p.call() + ", " + time(p.time()) + "; the calls before:");
-        p.before().forEach(c -> System.out.println("  " + time(c.time()) + " " + codec.toText(c.events()) + " -> "
+    private static void printDivergence(EntryCodec codec, Replay.Divergence divergence) {
+        System.out.println("decisions differ at call " + divergence.call() + ", " + formatTime(divergence.time())
+                + "; the calls before:");
+        divergence.before().forEach(c -> System.out.println("  " + formatTime(c.time()) + " " + codec.toText(c.events()) + " -> "
                 + codec.toText(c.actions())));
-        System.out.println("  " + time(p.time()) + " " + codec.toText(p.expected().events()));
-        System.out.println("expected " + ordered(codec, p.expected().actions()));
-        System.out.println("got      " + ordered(codec, p.got()));
+        System.out.println("  " + formatTime(divergence.time()) + " " + codec.toText(divergence.expected().events()));
+        System.out.println("expected " + toText(codec, divergence.expected().actions()));
+        System.out.println("got      " + toText(codec, divergence.got()));
     }
 
-    private static String ordered(EntryCodec codec, List<Scheduler.Action> actions) {
+    private static String toText(EntryCodec codec, List<Scheduler.Action> actions) {
         return actions.stream().map(codec::toText).reduce((a, b) -> a + " " + b).orElse("nothing");
     }
 
-    private static String time(double ms) {
-        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / SECOND);
+    private static String formatTime(double ms) {
+        return Double.isNaN(ms) ? "none" : String.format(Locale.ROOT, "%.6f", ms / MS_PER_SECOND);
     }
 }
