--- a/frontend/src/test/java/quincespar/program/clients/ThriftServerTest.java
+++ b/frontend/src/test/java/quincespar/program/clients/ThriftServerTest.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +25,10 @@
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
 
-/** What one look at a client's connection finds is posted together: the loop is started when all of it lies there. */
+/**
+ * Everything that one read of a client's connection finds is posted as one batch. Each test starts the loop only after the client
+ * has sent all of its data, so that the server reads it at once.
+ */
 @Timeout(30)
 class ThriftServerTest {
     private final BlockingQueue<List<Input>> posted = new LinkedBlockingQueue<>();
@@ -36,27 +40,27 @@
         loop = new EventLoop("test");
         listener = new Listener(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false);
         listener.bind();
-        RoutingSettings site = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.name", "lookup",
-                "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
-        new ThriftServer(loop, listener, site, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
+        RoutingSettings settings = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1",
+                "requestClasses.0.name", "lookup", "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
+        new ThriftServer(loop, listener, settings, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
     }
 
     @AfterEach
-    void end() {
+    void stop() {
         listener.close(() -> { });
         loop.stop();
     }
 
-    private Socket client() throws IOException {
+    private Socket connect() throws IOException {
         return new Socket(InetAddress.getLoopbackAddress(), listener.port());
     }
 
     private static byte[] call(int seqid) {
-        return FrontCodec.call(seqid, Map.of("verb", "lookup", "txn", String.format("%016x", seqid), "limit", "3000", "cpu", "10.0",
-                "heap_mb", "1"), "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.US_ASCII));
+        return FrontCodec.call(seqid, Map.of("verb", "lookup", "txn", String.format("%016x", seqid), "limit", "3000",
+                "cpu", "10.0", "heap_mb", "1"), "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A strict binary one-way call of cancel. */
+    /** A one-way call of cancel in the strict binary protocol. */
     private static byte[] cancel(int seqid) {
         byte[] frame = {0, 0, 0, 0, (byte) 0x80, 1, 0, 4, 0, 0, 0, 6, 'c', 'a', 'n', 'c', 'e', 'l', 0, 0, 0, 99,
             8, 0, 1, 0, 0, 0, (byte) seqid, 0};
@@ -64,45 +68,46 @@
         return frame;
     }
 
-    private List<Input> next() throws InterruptedException {
-        List<Input> together = posted.take();
-        return together.get(0) instanceof Input.CallerConnected ? posted.take() : together;
+    /** The next batch after the one that reports the connection. */
+    private List<Input> nextBatch() throws InterruptedException {
+        List<Input> batch = posted.take();
+        return batch.get(0) instanceof Input.CallerConnected ? posted.take() : batch;
     }
 
-    /** Read one after the other, its requests would be sent on before it is seen that it has gone. */
+    /** If requests were posted as they are read, they would reach engines before the server sees that the client has closed. */
     @Test
-    void nothingIsAskedForAClientThatHasGoneByTheTimeItIsRead() throws Exception {
-        try (Socket c = client()) {
+    void postsNoRequestsOfAClientThatHasClosedItsConnection() throws Exception {
+        try (Socket client = connect()) {
             for (int i = 1; i <= 20; i++) {
-                c.getOutputStream().write(call(i));
+                client.getOutputStream().write(call(i));
             }
         }
         loop.start();
-        assertThat(next()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
+        assertThat(nextBatch()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
     }
 
-    /** The same with a reset in place of an end. */
+    /** The same for a reset connection. */
     @Test
-    void nothingIsAskedForAClientThatHasResetItsConnection() throws Exception {
-        Socket c = client();
-        c.getOutputStream().write(call(1));
-        c.setSoLinger(true, 0);
-        c.close();
+    void postsNoRequestsOfAClientThatHasResetItsConnection() throws Exception {
+        Socket client = connect();
+        client.getOutputStream().write(call(1));
+        client.setSoLinger(true, 0);
+        client.close();
         loop.start();
-        assertThat(next()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
+        assertThat(nextBatch()).singleElement().isInstanceOf(Input.CallerDisconnected.class);
     }
 
-    /** Taken in two batches, the request could be sent on in between. */
+    /** If they were posted in two batches, the request could be sent to an engine before its cancellation is seen. */
     @Test
-    void aRequestAndItsCancelThatAreReadTogetherAreDecidedOnTogether() throws Exception {
-        try (Socket c = client()) {
+    void postsARequestAndItsCancellationInOneBatchIfTheyAreReadTogether() throws Exception {
+        try (Socket client = connect()) {
             byte[] call = call(1);
             byte[] cancel = cancel(1);
-            byte[] both = java.util.Arrays.copyOf(call, call.length + cancel.length);
+            byte[] both = Arrays.copyOf(call, call.length + cancel.length);
             System.arraycopy(cancel, 0, both, call.length, cancel.length);
-            c.getOutputStream().write(both);
+            client.getOutputStream().write(both);
             loop.start();
-            assertThat(next()).hasSize(2).first().isInstanceOf(Input.RequestReceived.class);
+            assertThat(nextBatch()).hasSize(2).first().isInstanceOf(Input.RequestReceived.class);
         }
     }
 }
--- a/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
+++ b/frontend/src/test/java/quincespar/program/engines/EngineLinksTest.java
@@ -16,30 +16,34 @@
 import quincespar.routing.RoutingSettings;
 import quincespar.transport.EventLoop;
 
+/** What the links report of messages that arrive in parts. */
 @Timeout(30)
 class EngineLinksTest {
-    private static final String ANSWER = "*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$7\r\ncount=1\r\n$2\r\nx\n\r\n";
+    private static final String RESPONSE = "*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$7\r\ncount=1\r\n$2\r\nx\n\r\n";
 
-    private static final RoutingSettings SITE = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1", "requestClasses.0.slo", "800",
-            "requestClasses.0.hardLimit", "4000"));
+    private static final RoutingSettings SETTINGS = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1",
+            "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
 
-    /** An engine whose messages come one into the other is never between two: each must have its own time. */
+    /**
+     * Each write of the engine ends in the middle of a message, so the link is never between two messages. Every partial message
+     * must still be reported anew, so that each has its own time limit.
+     */
     @Test
-    void eachMessageThatIsHalfThereHasItsOwnTime() throws Exception {
+    void reportsEachPartialMessageAnew() throws Exception {
         BlockingQueue<Input> posted = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop("test");
         loop.start();
-        EngineLinks links = new EngineLinks(loop, SITE, posted::add);
+        EngineLinks links = new EngineLinks(loop, SETTINGS, posted::add);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             links.open(new Effect.OpenLink(1, "127.0.0.1:" + server.getLocalPort()));
             try (Socket engine = server.accept()) {
                 assertThat(posted.take()).isEqualTo(new Input.LinkUp(1));
-                String half = ANSWER.substring(0, 20);
-                String rest = ANSWER.substring(20);
-                engine.getOutputStream().write(half.getBytes(StandardCharsets.US_ASCII));
+                String firstPart = RESPONSE.substring(0, 20);
+                String rest = RESPONSE.substring(20);
+                engine.getOutputStream().write(firstPart.getBytes(StandardCharsets.US_ASCII));
                 assertThat(posted.take()).isEqualTo(new Input.PartialMessage(1, true));
                 for (int i = 0; i < 3; i++) {
-                    engine.getOutputStream().write((rest + half).getBytes(StandardCharsets.US_ASCII));
+                    engine.getOutputStream().write((rest + firstPart).getBytes(StandardCharsets.US_ASCII));
                     assertThat(posted.take()).isInstanceOf(Input.EngineMessageReceived.class);
                     assertThat(posted.take()).isEqualTo(new Input.PartialMessage(1, true));
                 }
