--- a/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetCommands.java
@@ -64,7 +64,8 @@
         System.out.printf(format, "NAME", "INCARNATION", "STANDING", "VOTER", "ADDRESS", "BUILD");
         for (Map<String, String> member : parse(text, new LinkedHashMap<>())) {
             System.out.printf(format, member.get("name"), member.get("incarnation"), member.get("standing"),
-                    member.get("voter").equals("true") ? "yes" : "no", member.get("address").isEmpty() ? "-" : member.get("address"),
+                    member.get("voter").equals("true") ? "yes" : "no",
+                    member.get("address").isEmpty() ? "-" : member.get("address"),
                     member.get("build"));
         }
         return 0;
