--- a/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
+++ b/faultbench/src/main/java/quincespar/faultbench/FaultBench.java
@@ -9,15 +9,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import quincespar.faultbench.report.Page;
-import quincespar.faultbench.schedule.Fixed;
-import quincespar.faultbench.schedule.Losses;
+import quincespar.faultbench.report.ReportPage;
+import quincespar.faultbench.schedule.FixedSchedules;
+import quincespar.faultbench.schedule.PowerLossSchedules;
 import quincespar.faultbench.schedule.Schedule;
+import quincespar.faultbench.world.Cluster;
 import quincespar.faultbench.world.Plant;
-import quincespar.faultbench.world.World;
 
-/** The command line. */
-@Command(name = "faultbench", description = "Starts several processes of the front end and puts faults between them.",
+/** Command line of the fault injection tool. */
+@Command(name = "faultbench",
+        description = "Runs several processes of the front end, injects faults, and checks the recorded history.",
         mixinStandardHelpOptions = true, subcommands = Measure.class)
 public final class FaultBench implements Callable<Integer> {
     private static final int USAGE = 2;
@@ -26,99 +27,100 @@
     private CommandLine.Model.CommandSpec spec;
 
     @Option(names = "--root", paramLabel = "DIR", defaultValue = ".", scope = CommandLine.ScopeType.INHERIT,
-            description = "The root of the repository, built.")
+            description = "Root of the built repository.")
     private Path root;
 
     @Option(names = "--instances", paramLabel = "N", defaultValue = "5", scope = CommandLine.ScopeType.INHERIT,
-            description = "Processes of the program.")
+            description = "Number of processes of the program.")
     private int instances;
 
     @Option(names = "--voters", paramLabel = "N", defaultValue = "5", scope = CommandLine.ScopeType.INHERIT,
-            description = "How many of them vote.")
+            description = "Number of instances that vote.")
     private int voters;
 
     @Option(names = "--losses", scope = CommandLine.ScopeType.INHERIT,
-            description = "Losses of power: engines can be cold, and front ends look for their return.")
+            description = "Simulate power losses: engines can restart cold, and front ends recover.")
     private boolean losses;
 
     @Option(names = "--off", scope = CommandLine.ScopeType.INHERIT,
-            description = "Losses of power with front ends that do not look for their return, to compare with.")
+            description = "With power losses, disable the recovery of front ends, for comparison.")
     private boolean off;
 
     @Option(names = "--plant", paramLabel = "GUARD", scope = CommandLine.ScopeType.INHERIT,
-            description = "Take this guard out of the program.")
+            description = "Remove this guard from the program, or add this source change.")
     private String guard;
 
-    /** Runs one command: 0 all held, 1 something did not, 2 wrong arguments. */
+    /** Runs one command. Exit codes: 0 all checks held, 1 a check failed, 2 wrong arguments. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new FaultBench()).execute(args));
     }
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is required");
     }
 
     Path root() {
         return root.toAbsolutePath();
     }
 
-    private World.Make world(Path folder, boolean cold, boolean recovery) throws IOException {
+    private Cluster.Options clusterOptions(Path folder, boolean cold, boolean recovery) throws IOException {
         Path jar = Run.jar(root());
-        return new World.Make(instances, voters, true, jar, guard == null ? null : Plant.out(guard, root(), jar,
+        return new Cluster.Options(instances, voters, true, jar, guard == null ? null : Plant.compileWithout(guard, root(), jar,
                 folder), folder, cold, recovery);
     }
 
-    private Run played(Schedule s, Path folder, boolean losses, List<String> into) throws IOException, InterruptedException {
-        Run run = new Run(world(folder, losses, losses && !off), s);
+    private Run runSchedule(Schedule s, Path folder, boolean losses, List<String> into) throws IOException, InterruptedException {
+        Run run = new Run(clusterOptions(folder, losses, losses && !off), s);
         into.addAll(run.play());
         return run;
     }
 
-    @Command(name = "list", description = "The fixed schedules, and the guards that can be taken out.")
+    @Command(name = "list", description = "List the fixed schedules and the guards that can be removed.")
     int list() {
-        Fixed.names().forEach(n -> System.out.println("# " + n + "\n" + Schedule.read(Fixed.all().get(n)).text()));
+        FixedSchedules.names().forEach(n -> System.out.println(
+                "# " + n + "\n" + Schedule.read(FixedSchedules.texts().get(n)).text()));
         System.out.println("guards: " + Plant.guards());
         return 0;
     }
 
-    @Command(name = "play", description = "Play one schedule: a fixed one's name, a file, or that of a seed.")
+    @Command(name = "play", description = "Play one schedule: a fixed schedule by name, a file, or one generated from a seed.")
     int play(@Parameters(paramLabel = "NAME|FILE", arity = "0..1") String what,
             @Option(names = "--seed", paramLabel = "N") Long seed,
-            @Option(names = "--report", paramLabel = "FILE", description = "Write the run as an HTML page.") Path report,
-            @Option(names = "--keep", paramLabel = "DIR", description = "Keep logs and folders there.") Path keep)
+            @Option(names = "--report", paramLabel = "FILE", description = "Write an HTML report of the run.") Path report,
+            @Option(names = "--keep", paramLabel = "DIR", description = "Keep logs and folders in this directory.") Path keep)
             throws IOException, InterruptedException {
         if ((what == null) == (seed == null)) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "play takes a schedule or --seed");
+            throw new CommandLine.ParameterException(spec.commandLine(), "play needs either a schedule or --seed");
         }
-        Schedule s = seed != null ? drawn(seed) : Schedule.read(Fixed.all().containsKey(what)
-                ? Fixed.all().get(what) : Files.readString(Path.of(what)));
-        guard = guard == null && what != null ? Fixed.plant(what) : guard;
+        Schedule s = seed != null ? drawSchedule(seed) : Schedule.read(FixedSchedules.texts().containsKey(what)
+                ? FixedSchedules.texts().get(what) : Files.readString(Path.of(what)));
+        guard = guard == null && what != null ? FixedSchedules.requiredPlant(what) : guard;
         System.out.print(s.text());
         List<String> problems = new java.util.ArrayList<>();
         if (keep != null) {
-            World.drop(keep); // what an earlier run left would be the state that this one begins with
+            Cluster.deleteFolder(keep); // otherwise this run would start from the state of an earlier one
         }
         Path folder = keep == null ? Files.createTempDirectory("faultbench") : Files.createDirectories(keep);
-        Run run = played(s, folder, losses || what != null && Fixed.loss(what), problems);
+        Run run = runSchedule(s, folder, losses || what != null && FixedSchedules.isPowerLoss(what), problems);
         if (report != null) {
-            Files.writeString(report, Page.of(run.history(), problems, s));
+            Files.writeString(report, ReportPage.of(run.history(), problems, s));
         }
-        tell(problems, run);
+        printResult(problems, run);
         return problems.isEmpty() ? 0 : 1;
     }
 
-    private Schedule drawn(long seed) {
-        return losses ? Losses.draw(seed, instances) : Schedule.draw(seed, instances);
+    private Schedule drawSchedule(long seed) {
+        return losses ? PowerLossSchedules.draw(seed, instances) : Schedule.draw(seed, instances);
     }
 
-    private static void tell(List<String> problems, Run run) {
+    private static void printResult(List<String> problems, Run run) {
         problems.forEach(p -> System.out.println("BROKEN " + p));
         System.out.printf("%s: %d operations, %d requests, %d glances%n", problems.isEmpty() ? "held" : "broken",
-                run.history().operations().size(), run.history().requests().size(), run.history().glances().size());
+                run.history().operations().size(), run.history().requests().size(), run.history().statusSamples().size());
     }
 
-    @Command(name = "hunt", description = "Play seeds one after the other; what breaks is kept as a file.")
+    @Command(name = "hunt", description = "Play seeds one after the other and save the schedules that fail.")
     int hunt(@Option(names = "--from", paramLabel = "N", defaultValue = "1") long from,
             @Option(names = "--count", paramLabel = "N", defaultValue = "10") int count,
             @Option(names = "--found", paramLabel = "DIR", defaultValue = "found") Path found)
@@ -126,17 +128,17 @@
         int broken = 0;
         for (long seed = from; seed < from + count; seed++) {
             List<String> problems = new java.util.ArrayList<>();
-            Schedule s = drawn(seed);
+            Schedule s = drawSchedule(seed);
             Path folder = Files.createTempDirectory("faultbench");
-            Run run = played(s, folder, losses, problems);
+            Run run = runSchedule(s, folder, losses, problems);
             if (problems.isEmpty()) {
-                World.drop(folder);
+                Cluster.deleteFolder(folder);
             } else {
                 broken++;
                 Files.createDirectories(found);
                 Files.writeString(found.resolve("seed-" + seed + ".txt"), "# " + String.join("\n# ", problems) + "\n# logs: "
                         + folder + "\n" + s.text());
-                Files.writeString(found.resolve("seed-" + seed + ".html"), Page.of(run.history(), problems, s));
+                Files.writeString(found.resolve("seed-" + seed + ".html"), ReportPage.of(run.history(), problems, s));
             }
             System.out.printf("[%-30s] %d of %d, seed %d: %s%n", "#".repeat((int) (30 * (seed - from + 1) / count)),
                     seed - from + 1, count, seed, problems.isEmpty() ? "held" : "BROKEN " + problems.get(0));
@@ -145,21 +147,21 @@
         return broken == 0 ? 0 : 1;
     }
 
-    @Command(name = "shrink", description = "Leave out of a schedule what is not needed for it to break.")
+    @Command(name = "shrink", description = "Remove the steps of a schedule that are not needed for it to fail.")
     int shrink(@Parameters(paramLabel = "FILE") Path file, @Option(names = "--tries", paramLabel = "N", defaultValue = "2",
-            description = "A step counts as not needed if one of so many plays without it breaks.") int tries)
+            description = "A step is not needed if one of this number of plays without it fails.") int tries)
             throws IOException, InterruptedException {
         Schedule s = Schedule.read(Files.readString(file));
         for (int i = s.steps().size() - 1; i >= 0; i--) {
-            Schedule less = s.without(i);
-            boolean breaks = false;
-            for (int t = 0; t < tries && !breaks; t++) {
+            Schedule shorter = s.withoutStep(i);
+            boolean fails = false;
+            for (int t = 0; t < tries && !fails; t++) {
                 List<String> problems = new java.util.ArrayList<>();
-                played(less, Files.createTempDirectory("faultbench"), losses, problems);
-                breaks = !problems.isEmpty();
+                runSchedule(shorter, Files.createTempDirectory("faultbench"), losses, problems);
+                fails = !problems.isEmpty();
             }
-            System.out.println((breaks ? "not needed: " : "needed: ") + s.steps().get(i));
-            s = breaks ? less : s;
+            System.out.println((fails ? "not needed: " : "needed: ") + s.steps().get(i));
+            s = fails ? shorter : s;
         }
         System.out.print(s.text());
         return 0;
--- a/fleet/src/test/java/quincespar/store/StateFolderTest.java
+++ b/fleet/src/test/java/quincespar/store/StateFolderTest.java
@@ -4,6 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -25,26 +27,34 @@
     }
 
     @Test
-    void whatWasKeptIsThereAgainAndTheFolderHasOneOwner() throws IOException {
+    void keepsFactsAcrossReopenAndHasOneOwner() throws IOException {
         try (StateFolder f = open("a")) {
             assertThat(f.mark()).isZero();
-            assertThat(new FolderDisk(folder.resolve("state")).free()).isPositive();
-            f.keep(7, 8);
-            f.mark(9);
+            assertThat(new FolderDisk(folder.resolve("state")).freeBytes()).isPositive();
+            f.persist(7, 8);
+            f.persistMark(9);
             assertThat(new FolderDisk(folder.resolve("state")).lock()).isFalse();
         }
         try (StateFolder f = open("a")) {
             assertThat(f.facts()).isEqualTo(new StateFolder.Facts(StateFolder.FORMAT, "drawn", "a", 7, 8, true));
             assertThat(f.mark()).isEqualTo(9);
         }
-        assertThatThrownBy(() -> open("b")).hasMessage("the folder is that of a, not of b");
+        assertThatThrownBy(() -> open("b")).hasMessage("the folder belongs to a, not to b");
     }
 
-    /** Each byte in turn, and each length: never a fact that was not written. */
+    /** Folders of earlier versions stay readable: a renamed component needs its stored name in the table. */
     @Test
-    void aSpoiltFileIsSaidToBeSpoilt() throws IOException {
+    void factsAreStoredUnderTheNamesOfEarlierVersions() throws IOException {
+        try (StateFolder f = open("a"); InputStream pinned = StateFolderTest.class.getResourceAsStream("/schemas/facts.txt")) {
+            assertThat(f.schema()).isEqualTo(new String(pinned.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
+    /** Each byte is changed in turn, and the file is truncated at each length: both are refused. */
+    @Test
+    void reportsACorruptFile() throws IOException {
         StateFolder begun = open("a");
-        begun.mark(3);
+        begun.persistMark(3);
         begun.close();
         for (String file : java.util.List.of(StateFolder.FACTS, StateFolder.MARK)) {
             Path at = folder.resolve("state").resolve(file);
@@ -62,7 +72,7 @@
     }
 
     @Test
-    void whatADiskDidNotTakeIsNotClaimed() throws IOException {
+    void keepsOldFactsAfterAFailedWrite() throws IOException {
         boolean[] full = {false};
         Disk disk = new FolderDisk(folder.resolve("state")) {
             @Override
@@ -75,9 +85,9 @@
         };
         assertThat(disk.lock()).isTrue();
         StateFolder f = StateFolder.open(disk, "a", "drawn", true);
-        f.keep(1, 0);
+        f.persist(1, 0);
         full[0] = true;
-        assertThatThrownBy(() -> f.keep(2, 0)).hasMessage("No space left on device");
+        assertThatThrownBy(() -> f.persist(2, 0)).hasMessage("No space left on device");
         assertThat(f.facts().incarnation()).isEqualTo(1);
     }
 }
--- a/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
+++ b/frontend/src/main/java/quincespar/program/captures/CaptureFolder.java
@@ -10,27 +10,28 @@
 import java.util.List;
 import java.util.stream.Stream;
 import quincespar.capture.SegmentName;
-import quincespar.capture.Store;
+import quincespar.capture.SegmentStore;
 
-/** Segments as files of one folder; files that are no segments are left alone. */
-public final class CaptureFolder implements Store {
-    private static final int BUFFER = 64 * 1024;
+/** Stores capture segments as files of one folder; ignores files that are not segments. */
+public final class CaptureFolder implements SegmentStore {
+    private static final int BUFFER_BYTES = 64 * 1024;
 
     private final Path folder;
 
+    /** Uses an existing folder. */
     public CaptureFolder(Path folder) {
         this.folder = folder;
     }
 
     @Override
-    public List<Held> list() throws IOException {
-        List<Held> out = new ArrayList<>();
+    public List<StoredSegment> list() throws IOException {
+        List<StoredSegment> out = new ArrayList<>();
         try (Stream<Path> all = Files.list(folder)) {
-            for (Path p : all.filter(f -> SegmentName.read(f.getFileName().toString()).isPresent()).sorted().toList()) {
-                out.add(new Held(p.getFileName().toString(), Files.size(p)));
+            for (Path p : all.filter(f -> SegmentName.parse(f.getFileName().toString()).isPresent()).sorted().toList()) {
+                out.add(new StoredSegment(p.getFileName().toString(), Files.size(p)));
             }
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
         return out;
     }
@@ -41,8 +42,8 @@
     }
 
     @Override
-    public Sink create(String name) throws IOException {
-        return new File(new FileOutputStream(folder.resolve(name).toFile()));
+    public SegmentOutput create(String name) throws IOException {
+        return new SegmentFile(new FileOutputStream(folder.resolve(name).toFile()));
     }
 
     @Override
@@ -50,43 +51,43 @@
         try {
             Files.deleteIfExists(folder.resolve(name));
         } catch (FileSystemException e) {
-            throw plain(e);
+            throw withReason(e);
         }
     }
 
-    /** The library's message is the path alone. */
-    private static IOException plain(FileSystemException e) {
+    /** Adds the reason: the message of the original exception is only the path. */
+    private static IOException withReason(FileSystemException e) {
         return new IOException(e.getFile() + ": " + (e.getReason() == null ? e.getClass().getSimpleName() : e.getReason()), e);
     }
 
-    /** Collects writes until a flush, a close, or its buffer is full. */
-    private static final class File implements Sink {
-        private final FileOutputStream to;
-        private final byte[] buffer = new byte[BUFFER];
-        private int held;
+    /** Buffers writes until a flush, a close, or a full buffer. */
+    private static final class SegmentFile implements SegmentOutput {
+        private final FileOutputStream file;
+        private final byte[] buffer = new byte[BUFFER_BYTES];
+        private int buffered;
 
-        File(FileOutputStream to) {
-            this.to = to;
+        SegmentFile(FileOutputStream file) {
+            this.file = file;
         }
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            if (bytes.length > BUFFER - held) {
+            if (bytes.length > BUFFER_BYTES - buffered) {
                 flush();
             }
-            if (bytes.length > BUFFER) {
-                to.write(bytes);
+            if (bytes.length > BUFFER_BYTES) {
+                file.write(bytes);
             } else {
-                System.arraycopy(bytes, 0, buffer, held, bytes.length);
-                held += bytes.length;
+                System.arraycopy(bytes, 0, buffer, buffered, bytes.length);
+                buffered += bytes.length;
             }
         }
 
         @Override
         public void flush() throws IOException {
-            int some = held;
-            held = 0; // what could not be written is not tried again: a part of it may have been
-            to.write(buffer, 0, some);
+            int length = buffered;
+            buffered = 0; // a failed write is not retried: a part of it may have been written
+            file.write(buffer, 0, length);
         }
 
         @Override
@@ -94,7 +95,7 @@
             try {
                 flush();
             } finally {
-                to.close();
+                file.close();
             }
         }
     }
--- /dev/null
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -0,0 +1,395 @@
+package quincespar.program.clients;
+
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import java.util.regex.Pattern;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import quincespar.program.runtime.Clock;
+import quincespar.program.runtime.Counters;
+import quincespar.protocol.MalformedException;
+import quincespar.protocol.StatementScanner;
+import quincespar.protocol.Utf8;
+import quincespar.protocol.thrift.FrameDecoder;
+import quincespar.protocol.thrift.FrontCodec;
+import quincespar.protocol.thrift.Message;
+import quincespar.routing.Caller;
+import quincespar.routing.Effect;
+import quincespar.routing.ClientProtocol;
+import quincespar.routing.Input;
+import quincespar.routing.Query;
+import quincespar.routing.Reply;
+import quincespar.routing.RoutingSettings;
+import quincespar.transport.Connection;
+import quincespar.transport.EventLoop;
+import quincespar.transport.Listener;
+import quincespar.transport.OutboxLimit;
+
+/**
+ * The server of the clients' framed Thrift protocol. A session per connection decodes the calls, posts them as inputs and
+ * encodes the replies.
+ */
+public final class ThriftServer implements ClientProtocol, Listener.Acceptor {
+    private final Logger log = LoggerFactory.getLogger(ThriftServer.class);
+    private static final Pattern TXN_PATTERN = Pattern.compile("[0-9a-f]{16}");
+    /** Numbers below ten million; no request has more milliseconds or megabytes. */
+    private static final Pattern NUMBER_PATTERN = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,9})?");
+    /** Idempotency keys that can be passed on to an engine, whose protocol ends a field at a comma. */
+    private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[^,\\p{Cntrl}]{0,256}");
+    /** A request's time limit may exceed its class's deadline by this factor: clients wait some milliseconds longer. */
+    private static final double MAX_LIMIT_FACTOR = 2;
+    private static final int MAX_OPEN_REQUESTS = 32;
+    /** Limit on the bytes that are discarded on a connection that is ending; beyond it the connection is closed at once. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
+    /** Outbox limit of a connection: room for an answer of maximum length to each open request. */
+    private static final int OUTBOX_BYTES = MAX_OPEN_REQUESTS * 50_000;
+    /** Limit on all outboxes together. */
+    private static final long TOTAL_OUTBOX_BYTES = 16 << 20;
+
+    private final Map<Long, Session> sessions = new ConcurrentHashMap<>();
+    private final OutboxLimit outboxLimit = new OutboxLimit(OUTBOX_BYTES, TOTAL_OUTBOX_BYTES);
+    private final AtomicLong connectionNumbers = new AtomicLong();
+    /** Settings by which requests are decoded; replaced as a whole. */
+    private volatile RoutingSettings settings;
+    private final Clock clock;
+    private final Counters counters;
+    /** Receives the inputs that were read in one pass, to be handled in one batch. */
+    private final Consumer<List<Input>> post;
+    private final Supplier<Map<String, String>> healthFields;
+    private final EventLoop loop;
+    private final Listener listener;
+    /** Time after which a partly received request no longer keeps its connection busy. */
+    private final double requestReadTimeoutMs;
+    private volatile int connectionLimit;
+    /** Whether connections are closed as soon as they are idle, because another process takes over the clients. */
+    private volatile boolean closingIdle;
+
+    /**
+     * Creates a server that does not accept connections before {@link #start}.
+     *
+     * @param connectionLimit how many connections may be open
+     * @param requestReadTimeoutMs time after which a partly received request no longer keeps its connection busy
+     * @param post receives the inputs that were read in one pass of a connection, to be handled in one batch
+     * @param healthFields the fields of an answer to a health call
+     */
+    public ThriftServer(EventLoop loop, Listener listener, RoutingSettings settings, int connectionLimit,
+            double requestReadTimeoutMs, Clock clock, Counters counters, Consumer<List<Input>> post,
+            Supplier<Map<String, String>> healthFields) {
+        this.requestReadTimeoutMs = requestReadTimeoutMs;
+        this.loop = loop;
+        this.listener = listener;
+        this.settings = settings;
+        this.connectionLimit = connectionLimit;
+        this.clock = clock;
+        this.counters = counters;
+        this.post = post;
+        this.healthFields = healthFields;
+    }
+
+    /** Requests whose last byte arrives from now on are decoded by these settings. */
+    public void applySettings(RoutingSettings newSettings) {
+        settings = newSettings;
+    }
+
+    /** Starts to accept connections. */
+    public void start() {
+        listener.start(this);
+    }
+
+    /**
+     * The limit reserves descriptors for engines and the change log. At the limit new clients wait in the accept queue
+     * until the reducer has closed other connections.
+     */
+    @Override
+    public boolean hasCapacity() {
+        return sessions.size() < connectionLimit;
+    }
+
+    @Override
+    public void accept(SocketChannel channel) {
+        long number = connectionNumbers.incrementAndGet();
+        Session session = new Session(number, Connection.accepted(loop, channel, "client-" + number, outboxLimit));
+        sessions.put(number, session);
+        post.accept(List.of(new Input.CallerConnected(number)));
+        session.connection.start(session);
+    }
+
+    /** Sets how many connections may be open. */
+    public void setConnectionLimit(int limit) {
+        connectionLimit = limit;
+        listener.resume();
+    }
+
+    /** Makes room for the clients in the accept queue before a shutdown: requests that they have sent would be lost. */
+    public void raiseConnectionLimitForShutdown() {
+        connectionLimit += connectionLimit / 5;
+        listener.resume();
+    }
+
+    /** Closes a client's connection if it is idle. */
+    public void closeCaller(Effect.CloseCaller e) {
+        Session session = sessions.get(e.connection());
+        if (session != null) {
+            session.connection.closeIfIdle(e.cause());
+        }
+    }
+
+    /** The number of open connections. */
+    public int connectionCount() {
+        return sessions.size();
+    }
+
+    /**
+     * Closes idle connections, and others when their last open request is answered, so that clients connect to another
+     * process with their next request. Must be called again until no connection is left: a connection can be busy at each
+     * check for a while.
+     */
+    public void closeIdleConnections() {
+        closingIdle = true;
+        sessions.values().forEach(Session::finishIfIdle);
+    }
+
+    /** Closes all connections gracefully, each once its queued answers are written. */
+    public void finishConnections() {
+        sessions.values().forEach(session -> session.connection.finish());
+    }
+
+    @Override
+    public void reply(Caller caller, Reply reply) {
+        Session session = sessions.get(caller.connection());
+        if (session == null) {
+            return;
+        }
+        byte[] frame;
+        if (reply instanceof Reply.Served r) {
+            frame = FrontCodec.answer("call", caller.call(), r.result(), Map.of(), true);
+        } else if (reply instanceof Reply.Refused r) {
+            frame = FrontCodec.busy(caller.call(), r.retryAfterMs() > 0
+                    ? Map.of("later", Long.toString(Math.round(r.retryAfterMs()))) : Map.of());
+        } else {
+            frame = FrontCodec.failed(caller.call(), Map.of());
+        }
+        session.send(caller.call(), frame);
+    }
+
+    @Override
+    public void health(Caller caller, boolean ready) {
+        Session session = sessions.get(caller.connection());
+        if (session != null) {
+            session.send(caller.call(), FrontCodec.answer("health", caller.call(), new byte[0], healthFields.get(), ready));
+        }
+    }
+
+    /** One client's connection. Its fields belong to the loop's thread, except those that are safe for several threads. */
+    private final class Session implements Connection.Handler {
+        private final long number;
+        private final Connection connection;
+        private final FrameDecoder frames = new FrameDecoder();
+        /** Sequence numbers of the requests that are not answered. */
+        private final Set<Integer> openRequests = ConcurrentHashMap.newKeySet();
+        /** Number of answers that are being put into the outbox. */
+        private final AtomicInteger answersInProgress = new AtomicInteger();
+        /** Inputs of the current read pass: posted at its end, or dropped if the client has disconnected by then. */
+        private final List<Input> pending = new ArrayList<>();
+        private int lastSeqid;
+        /** When the first bytes of the partly received request arrived. */
+        private double requestStartedAt;
+        /** Whether further input is discarded, and the connection ends once its open requests are answered. */
+        private volatile boolean ending;
+        private int discardedBytes;
+
+        Session(long number, Connection connection) {
+            this.number = number;
+            this.connection = connection;
+        }
+
+        /**
+         * Sends an answer. The request is removed from the open ones first: once the client has the answer it may send
+         * another request, which must not exceed the limit. Until the answer is in the outbox the connection still counts
+         * as busy, because a close at that moment would drop the answer.
+         */
+        void send(int seqid, byte[] frame) {
+            answersInProgress.incrementAndGet();
+            openRequests.remove(seqid);
+            boolean sent = connection.send(frame);
+            answersInProgress.decrementAndGet();
+            if (!sent) {
+                connection.close("the client does not read");
+            } else if (openRequests.isEmpty() && ending) {
+                connection.finish();
+            } else if (openRequests.isEmpty() && closingIdle) {
+                finishIfIdle();
+            }
+        }
+
+        /** Closes the connection gracefully if no request is open, unread or partly received. */
+        void finishIfIdle() {
+            connection.finishIfIdle();
+        }
+
+        @Override
+        public void received(byte[] bytes, int count) {
+            if (ending) {
+                discardedBytes += count;
+                if (discardedBytes > MAX_DISCARDED_BYTES) {
+                    connection.close("goes on after its end");
+                }
+                return;
+            }
+            double receivedAt = clock.now();
+            boolean startsMessage = !frames.hasPartialMessage();
+            try {
+                frames.feed(bytes, count, frame -> {
+                    requestStartedAt = receivedAt;
+                    handleMessage(FrontCodec.read(frame), receivedAt);
+                });
+            } catch (MalformedException e) {
+                reject(0, FrontCodec.INVALID_MESSAGE_TYPE, e.getMessage());
+            }
+            requestStartedAt = startsMessage ? receivedAt : requestStartedAt;
+        }
+
+        @Override
+        public void readComplete() {
+            if (!pending.isEmpty()) {
+                post.accept(List.copyOf(pending));
+                pending.clear();
+            }
+        }
+
+        @Override
+        public boolean busy() {
+            return !openRequests.isEmpty() || answersInProgress.get() > 0
+                    || frames.hasPartialMessage() && !ending && clock.now() - requestStartedAt < requestReadTimeoutMs;
+        }
+
+        @Override
+        public void idleCloseDeclined() {
+            post.accept(List.of(new Input.CallerNotClosed(number)));
+        }
+
+        @Override
+        public void closed(String cause) {
+            counters.countClose(cause);
+            counters.countSystemCallFailure("clients", cause);
+            if (!openRequests.isEmpty() && !ending && !connection.closedByPeer()) { // the answers to these requests are lost
+                log.atWarn().addKeyValue("connection", number).addKeyValue("open", openRequests.size())
+                        .log("a client's connection was closed with requests open: {}", cause);
+            }
+            sessions.remove(number);
+            listener.resume();
+            post.accept(List.of(new Input.CallerDisconnected(number)));
+        }
+
+        /**
+         * Answers an invalid message with an exception, and ends the connection once its open requests are answered: a
+         * client may send the same message again at once, at full speed and without end. The exception does not name a
+         * sequence number that may be open or answered, because it could be taken for that request's second answer.
+         */
+        private void reject(int seqid, int type, String reason) {
+            ending = true;
+            counters.count(Counters.Count.REQUESTS_UNUSABLE);
+            connection.send(FrontCodec.exception(seqid > lastSeqid ? seqid : 0, type, reason));
+            if (openRequests.isEmpty()) {
+                connection.finish();
+            }
+        }
+
+        private void handleMessage(Message message, double receivedAt) {
+            if (ending) {
+                return;
+            }
+            Caller caller = new Caller(number, message.seqid());
+            if (message instanceof Message.Call c) {
+                handleCall(caller, c, receivedAt);
+            } else if (message instanceof Message.Cancel c) {
+                openRequests.remove(c.cancelled());
+                pending.add(new Input.RequestCancelled(new Caller(number, c.cancelled())));
+            } else if (message instanceof Message.Health) {
+                pending.add(new Input.HealthRequested(caller));
+            } else if (message instanceof Message.Invalid i) {
+                reject(i.seqid(), i.type(), i.reason());
+            }
+        }
+
+        private void handleCall(Caller caller, Message.Call call, double receivedAt) {
+            if (call.seqid() <= lastSeqid) { // clients count up
+                reject(call.seqid(), FrontCodec.INVALID_MESSAGE_TYPE, "number " + call.seqid() + " was used before");
+                return;
+            }
+            Query query;
+            try {
+                query = parseQuery(call);
+            } catch (MalformedException e) {
+                reject(call.seqid(), FrontCodec.INTERNAL_ERROR, e.getMessage());
+                return;
+            }
+            lastSeqid = call.seqid();
+            if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+                send(call.seqid(), FrontCodec.exception(call.seqid(), FrontCodec.INTERNAL_ERROR, "too many open requests"));
+                return;
+            }
+            openRequests.add(call.seqid());
+            pending.add(new Input.RequestReceived(caller, query, receivedAt));
+        }
+    }
+
+    /** Decodes a frame with a call into a query, as a session does. */
+    public Query parseQuery(byte[] frame) {
+        return parseQuery((Message.Call) FrontCodec.read(frame));
+    }
+
+    /** Builds a query from a call's fields; throws {@link MalformedException} that names the first invalid field. */
+    private Query parseQuery(Message.Call call) {
+        RoutingSettings current = settings; // read once, as another thread may replace it
+        Map<String, String> fields = call.fields();
+        String txn = fields.getOrDefault("txn", "");
+        if (!TXN_PATTERN.matcher(txn).matches()) {
+            throw new MalformedException("field txn is not 16 hex digits");
+        }
+        Integer classNumber = current.classNumbers().get(fields.getOrDefault("verb", ""));
+        if (classNumber == null) {
+            throw new MalformedException("no class '" + fields.get("verb") + "'");
+        }
+        Integer tenantNumber = current.tenantNumbers().isEmpty() ? Integer.valueOf(0)
+                : current.tenantNumbers().get(fields.getOrDefault("team", ""));
+        if (tenantNumber == null) {
+            throw new MalformedException("no tenant '" + fields.get("team") + "'");
+        }
+        double limitMs = number(fields, "limit");
+        if (limitMs <= 0 || limitMs > MAX_LIMIT_FACTOR * current.decision().classes().get(classNumber).deadline()) {
+            throw new MalformedException("field limit is out of bounds");
+        }
+        String retry = fields.get("second");
+        if (retry != null && !retry.equals("1") && !retry.equals("0")) {
+            throw new MalformedException("field second is not 1");
+        }
+        if (call.body().length == 0) {
+            throw new MalformedException("no statement");
+        }
+        Utf8.text(call.body()); // throws if the statement is not valid UTF-8
+        String idempotencyKey = fields.getOrDefault("unique", "");
+        if (!IDEMPOTENCY_KEY_PATTERN.matcher(idempotencyKey).matches()) {
+            throw new MalformedException("field unique can't be passed on");
+        }
+        return new Query(txn, classNumber, tenantNumber, limitMs, "1".equals(retry), number(fields, "cpu"),
+                number(fields, "heap_mb"), StatementScanner.tableGroup(call.body()), call.body(), idempotencyKey);
+    }
+
+    /** Reads a required number in plain decimal digits; engines reject a request without it. */
+    private static double number(Map<String, String> fields, String name) {
+        String value = fields.get(name);
+        if (value == null || !NUMBER_PATTERN.matcher(value).matches()) {
+            throw new MalformedException("field " + name + " is missing or no number");
+        }
+        return Double.parseDouble(value);
+    }
+}
--- a/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetSettings.java
@@ -3,40 +3,41 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import quincespar.fleet.Plan;
+import quincespar.fleet.FleetConfig;
 import quincespar.settings.ConfException;
 import quincespar.settings.Keyword;
 import quincespar.settings.Settings;
 
 /**
- * What the operators' file says of the fleet.
+ * The fleet's settings from the operators' file.
  *
- * @param folder where this instance keeps its facts; null where it keeps none
- * @param total bytes that the folder should hold at the most
- * @param library the jar that holds the agreement; null for the one beside the program's own
- * @param writes whether registers may be written through the second address
+ * @param folder the folder of this instance's durable state; null if it has none
+ * @param sizeLimitBytes size above which the log in the folder is compacted
+ * @param library the jar with the agreement library; null for the one next to the program's jar
+ * @param registerWritesAllowed whether registers can be written through the second address
  */
-public record FleetSettings(Plan plan, Path folder, long total, Path library, boolean writes) {
+public record FleetSettings(FleetConfig config, Path folder, long sizeLimitBytes, Path library, boolean registerWritesAllowed) {
 
-    /** Whether the file has a fleet. */
-    public static boolean on(Settings s) {
-        return !s.word(Keyword.FLEET_VOTERS).isBlank();
+    /** Whether the file configures a fleet. */
+    public static boolean isEnabled(Settings s) {
+        return !s.text(Keyword.FLEET_VOTERS).isBlank();
     }
 
-    /** Reads what belongs together; throws with a line for each thing that can't work, {@code file} named in front. */
-    public static FleetSettings of(Settings s, String file) throws ConfException {
+    /** Reads and validates the settings; throws with one line per problem, each prefixed with the name {@code file}. */
+    public static FleetSettings read(Settings s, String file) throws ConfException {
         List<String> problems = new ArrayList<>();
-        Plan plan = new Plan(s.word(Keyword.FLEET_GROUP),
-                Plan.addresses(s.word(Keyword.FLEET_VOTERS), "fleet voters", problems),
-                Plan.addresses(s.word(Keyword.FLEET_VIA), "fleet via", problems), s.number(Keyword.FLEET_RENEW),
-                s.number(Keyword.FLEET_SUSPECT), s.number(Keyword.FLEET_GONE), s.number(Keyword.FLEET_ELECTION),
-                s.number(Keyword.FLEET_HOLD));
+        FleetConfig plan = new FleetConfig(s.text(Keyword.FLEET_GROUP),
+                FleetConfig.parseAddresses(s.text(Keyword.FLEET_VOTERS), "fleet voters", problems),
+                FleetConfig.parseAddresses(s.text(Keyword.FLEET_VOTER_ADDRESS_OVERRIDES), "fleet via", problems),
+                s.number(Keyword.FLEET_RENEW_INTERVAL), s.number(Keyword.FLEET_SUSPECT_AFTER),
+                s.number(Keyword.FLEET_GONE_AFTER), s.number(Keyword.FLEET_ELECTION_TIMEOUT),
+                s.number(Keyword.FLEET_SHARE_GROWTH_DELAY));
         problems.addAll(plan.problems());
         if (!problems.isEmpty()) {
             throw new ConfException(problems.stream().map(p -> file + ": " + p).toList());
         }
-        return new FleetSettings(plan, path(s.word(Keyword.STATE_FOLDER)), (long) s.number(Keyword.STATE_TOTAL),
-                path(s.word(Keyword.FLEET_LIBRARY)), s.word(Keyword.FLEET_WRITES).equals("on"));
+        return new FleetSettings(plan, path(s.text(Keyword.STATE_FOLDER)), (long) s.number(Keyword.STATE_SIZE_LIMIT),
+                path(s.text(Keyword.FLEET_LIBRARY)), s.text(Keyword.FLEET_REGISTER_WRITES).equals("on"));
     }
 
     private static Path path(String word) {
--- /dev/null
+++ b/frontend/src/main/java/quincespar/program/runtime/InputQueue.java
@@ -0,0 +1,74 @@
+package quincespar.program.runtime;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
+import quincespar.routing.Input;
+
+/**
+ * The queue of inputs to the reducer's thread. Inputs from peers are bounded: a thread that adds one blocks while the
+ * queue is full, so that it stops reading from its peers, and clients that send faster than the reducer works can't fill
+ * the heap. Inputs from timers and from the program itself are few and never block, and neither does the reducer's thread.
+ */
+public final class InputQueue {
+    private static final int MAX_PEER_INPUTS = 2048;
+    private static final int MAX_BATCH_ENTRIES = 256;
+
+    /** Inputs that are taken together, and the permits that they hold while they are queued. */
+    private record QueuedInputs(List<Input> inputs, int permits) { }
+
+    private final BlockingQueue<QueuedInputs> queue = new LinkedBlockingQueue<>();
+    private final Semaphore peerPermits = new Semaphore(MAX_PEER_INPUTS);
+    private volatile Thread consumer;
+
+    /** Adds an input of the program itself; never blocks. */
+    public void add(Input input) {
+        queue.add(new QueuedInputs(List.of(input), 0));
+    }
+
+    /** Adds an input from a peer; blocks while the queue is full. */
+    public void addFromPeer(Input input) {
+        addFromPeer(List.of(input));
+    }
+
+    /** Adds inputs from a peer that must be taken in one batch, as they were read together; blocks while the queue is full. */
+    public void addFromPeer(List<Input> together) {
+        int permits = Thread.currentThread() == consumer ? 0 : Math.min(together.size(), MAX_BATCH_ENTRIES);
+        peerPermits.acquireUninterruptibly(permits);
+        queue.add(new QueuedInputs(List.copyOf(together), permits));
+    }
+
+    /** Waits for an input and takes a batch, in order. All calls must come from the same thread. */
+    public List<Input> take() throws InterruptedException {
+        consumer = Thread.currentThread();
+        return takeBatch(queue.take());
+    }
+
+    /** As {@link #take()}, but returns an empty list if there is no input within {@code timeoutMs}. */
+    public List<Input> take(long timeoutMs) throws InterruptedException {
+        QueuedInputs first = queue.poll(timeoutMs, TimeUnit.MILLISECONDS);
+        return first == null ? List.of() : takeBatch(first);
+    }
+
+    /** The number of queued entries. */
+    public int size() {
+        return queue.size();
+    }
+
+    private List<Input> takeBatch(QueuedInputs first) {
+        List<QueuedInputs> entries = new ArrayList<>();
+        entries.add(first);
+        queue.drainTo(entries, MAX_BATCH_ENTRIES);
+        List<Input> batch = new ArrayList<>(entries.size());
+        int permits = 0;
+        for (QueuedInputs entry : entries) {
+            batch.addAll(entry.inputs());
+            permits += entry.permits();
+        }
+        peerPermits.release(permits);
+        return batch;
+    }
+}
--- /dev/null
+++ b/frontend/src/main/java/quincespar/routing/EngineRegistry.java
@@ -0,0 +1,162 @@
+package quincespar.routing;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import quincespar.decision.Scheduler;
+import quincespar.decision.Scheduler.EngineState;
+import quincespar.protocol.FleetEvent;
+import quincespar.protocol.FleetEvent.Phase;
+
+/**
+ * The engines by their id. Never by address: a new engine may take over the address of one that is gone, and what was sent to
+ * the old one must not be taken for the new one's.
+ */
+final class EngineRegistry {
+    /** An engine, and the links to it. */
+    static final class Engine {
+        final long number;
+        final List<Link> links = new ArrayList<>();
+        FleetEvent.Member listed;
+        /** When it started by this process's clock, 0 where that is long ago. */
+        double startedAt;
+        /** It gets no work although it is listed as up: it had drained before a power loss, or all sends are on hold. */
+        boolean withheld;
+
+        Engine(long number, FleetEvent.Member listed, double startedAt) {
+            this.number = number;
+            this.listed = listed;
+            this.startedAt = startedAt;
+        }
+
+        /** Whether it takes new work. */
+        boolean ready() {
+            return listed.phase() == Phase.UP && !withheld;
+        }
+    }
+
+    /** If a change reports a start that is longer ago than this, the clock that stamped it differs from this one. */
+    private static final double MAX_START_REPORT_DELAY_MS = 30_000;
+
+    private final RecoveryCoordinator recovery;
+    private RoutingSettings settings;
+    private long revision;
+    private final Map<Long, Engine> byNumber = new LinkedHashMap<>();
+    /** Whether a list has been received. */
+    private boolean listReceived;
+    /** All sends are on hold. */
+    private boolean held;
+
+    EngineRegistry(RoutingSettings settings, RecoveryCoordinator recovery) {
+        this.recovery = recovery;
+        this.settings = settings;
+    }
+
+    Engine get(long number) {
+        return byNumber.get(number);
+    }
+
+    /** The engine with that id, null where there is none. */
+    Engine byId(String id) {
+        return byNumber.get(number(id));
+    }
+
+    Collection<Engine> all() {
+        return List.copyOf(byNumber.values());
+    }
+
+    /** Whether any engine takes new work. */
+    boolean canServe() {
+        return byNumber.values().stream().anyMatch(Engine::ready);
+    }
+
+    /** A link to an engine has been established. */
+    void reached(Engine engine) {
+        recovery.engineReached(engine.listed);
+    }
+
+    /** How many engines are listed as up or draining. */
+    int listedCount() {
+        int count = 0;
+        for (Engine engine : byNumber.values()) {
+            count += engine.listed.phase() == Phase.REMOVED ? 0 : 1;
+        }
+        return count;
+    }
+
+    /** Applies one event of the change log, with the engines that its list leaves out, and makes the module's event of it. */
+    Scheduler.EngineList apply(FleetEvent event, List<FleetEvent.Member> removed, double now) {
+        Scheduler.ListKind kind = !event.complete() ? Scheduler.ListKind.DELTA
+                : listReceived ? Scheduler.ListKind.FULL : Scheduler.ListKind.CACHED;
+        listReceived = true;
+        revision = event.revision();
+        List<Scheduler.Engine> changed = new ArrayList<>();
+        event.members().forEach(m -> changed.add(toSchedulerEngine(update(m, kind, now))));
+        removed.forEach(m -> update(m, kind, now));
+        return new Scheduler.EngineList(kind, event.revision(), changed);
+    }
+
+    /** Puts all sends on hold, or ends that; takes effect with the next {@link #relist}. */
+    void hold(boolean on) {
+        held = on;
+    }
+
+    /** Drops engines that are removed from the list and have no link left. */
+    void dropRemoved() {
+        byNumber.values().removeIf(e -> e.listed.phase() == Phase.REMOVED && e.links.isEmpty());
+    }
+
+    /** The whole list again, with zones and kinds numbered as in these settings. */
+    Scheduler.EngineList relist(RoutingSettings next) {
+        settings = next;
+        byNumber.values().forEach(e -> e.withheld = held || recovery.withholds(e.listed));
+        return new Scheduler.EngineList(Scheduler.ListKind.FULL, revision, byNumber.values().stream()
+                .filter(e -> e.listed.phase() != Phase.REMOVED).map(this::toSchedulerEngine).toList());
+    }
+
+    private Engine update(FleetEvent.Member member, Scheduler.ListKind kind, double now) {
+        boolean change = kind == Scheduler.ListKind.DELTA;
+        Engine engine = byNumber.computeIfAbsent(number(member.id()),
+                n -> new Engine(n, member, startedAt(member, change, now)));
+        if (member.startedAt() != engine.listed.startedAt()) {
+            engine.startedAt = startedAt(member, change, now);
+        }
+        engine.listed = member;
+        recovery.engineListed(member);
+        engine.withheld = held || recovery.withholds(member);
+        return engine;
+    }
+
+    /**
+     * When an engine started. A start that is reported as a change happened a moment ago: a time stamp in the future, or too
+     * old for a change, comes from a clock that was stepped, and now is used instead. A cold engine that is taken for a warm
+     * one would be overloaded.
+     */
+    private static double startedAt(FleetEvent.Member member, boolean change, double now) {
+        boolean clockStepped = member.startedAt() > now || change && now - member.startedAt() > MAX_START_REPORT_DELAY_MS;
+        return member.startedAt() <= 0 ? 0 : clockStepped ? now : member.startedAt();
+    }
+
+    /** The number of an id; where another engine has it already, the next free one. */
+    private long number(String id) {
+        long number = EngineNumber.of(id);
+        while (byNumber.containsKey(number) && !byNumber.get(number).listed.id().equals(id)) {
+            number++;
+        }
+        return number;
+    }
+
+    private Scheduler.Engine toSchedulerEngine(Engine engine) {
+        FleetEvent.Member member = engine.listed;
+        EngineState state = switch (member.phase()) {
+            case UP -> engine.withheld ? EngineState.DRAINING : EngineState.READY;
+            case DRAINING -> EngineState.DRAINING;
+            case REMOVED -> EngineState.GONE;
+        };
+        return new Scheduler.Engine(engine.number, Math.max(0, settings.zones().indexOf(member.zone())),
+                Math.max(0, settings.kinds().indexOf(member.kind())), member.cell(), state, member.size(),
+                recovery.startedAt(member.id(), engine.startedAt));
+    }
+}
--- /dev/null
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -0,0 +1,104 @@
+package quincespar.routing;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import quincespar.decision.Scheduler;
+import quincespar.decision.SettingsParser;
+
+/**
+ * The settings of the decision module, and those that only a front end on sockets needs. Classes and tenants are known by
+ * name: a name keeps its number for as long as the process runs, in whatever order later settings list it.
+ *
+ * @param decision          the settings of the decision module
+ * @param zones             the names of the zones; a zone's number is its place
+ * @param kinds             the names of the kinds of engines; a kind's number is its place
+ * @param linkIdleMs        after how long engines close an idle link, in milliseconds
+ * @param maxStreamsPerLink how many attempts may be open on one link
+ * @param classNumbers      the numbers of the classes that a request may name; the module's list may hold dropped ones too
+ * @param tenantNumbers     the numbers of the tenants that a request may name, likewise
+ */
+public record RoutingSettings(Scheduler.Settings decision, List<String> zones, List<String> kinds, double linkIdleMs,
+        int maxStreamsPerLink, Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
+    private static final double DEFAULT_LINK_IDLE_MS = 15_000;
+    private static final int DEFAULT_MAX_STREAMS = 100;
+
+    /**
+     * Reads pairs of path and value, as the adapter does. The protocol carries no messages between front ends, so the module
+     * is told that it has none: it would rely on reports that never arrive.
+     *
+     * @throws IllegalArgumentException if a value is missing or invalid
+     */
+    public static RoutingSettings of(Map<String, String> pairs) {
+        SettingsParser parser = new SettingsParser(pairs);
+        Scheduler.Settings decision = parser.settings().withoutPeerMessages();
+        return new RoutingSettings(decision, parser.names("localities"), parser.names("kinds"),
+                positiveOr(parser.number("limits.connIdle", DEFAULT_LINK_IDLE_MS), DEFAULT_LINK_IDLE_MS),
+                (int) positiveOr(parser.number("limits.maxStreams", DEFAULT_MAX_STREAMS), DEFAULT_MAX_STREAMS),
+                indexByName(decision.classes(), Scheduler.ClassSpec::name),
+                indexByName(decision.tenants(), Scheduler.Tenant::name));
+    }
+
+    private static <T> Map<String, Integer> indexByName(List<T> items, Function<T, String> name) {
+        Map<String, Integer> indexes = new HashMap<>();
+        for (int i = 0; i < items.size(); i++) {
+            indexes.put(name.apply(items.get(i)), i);
+        }
+        return Map.copyOf(indexes);
+    }
+
+    /**
+     * These settings with the numbers of {@code previous}: what both know keeps the number that it has there, what is new is
+     * appended, and what was dropped keeps its number and its last settings, for the requests that are still open.
+     */
+    public RoutingSettings keepingNumbersOf(RoutingSettings previous) {
+        List<Scheduler.ClassSpec> mergedClasses =
+                merge(previous.decision.classes(), decision.classes(), Scheduler.ClassSpec::name);
+        List<Scheduler.Tenant> mergedTenants =
+                merge(previous.decision.tenants(), decision.tenants(), Scheduler.Tenant::name);
+        Map<String, Integer> usableClasses = new HashMap<>(indexByName(mergedClasses, Scheduler.ClassSpec::name));
+        usableClasses.keySet().retainAll(classNumbers.keySet());
+        Map<String, Integer> usableTenants = new HashMap<>(indexByName(mergedTenants, Scheduler.Tenant::name));
+        usableTenants.keySet().retainAll(tenantNumbers.keySet());
+        return new RoutingSettings(decision.withClassesAndTenants(mergedClasses, mergedTenants), zones, kinds, linkIdleMs,
+                maxStreamsPerLink, Map.copyOf(usableClasses), Map.copyOf(usableTenants));
+    }
+
+    /** These settings for the front end at place {@code index} among {@code count}. */
+    RoutingSettings sharedAmong(int count, int index) {
+        Scheduler.Settings shared = decision.withRouter(count, index);
+        return shared == decision ? this
+                : new RoutingSettings(shared, zones, kinds, linkIdleMs, maxStreamsPerLink, classNumbers, tenantNumbers);
+    }
+
+    private static <T> List<T> merge(List<T> previous, List<T> next, Function<T, String> name) {
+        Map<String, Integer> nextIndexes = indexByName(next, name);
+        Map<String, Integer> previousIndexes = indexByName(previous, name);
+        List<T> merged = new ArrayList<>();
+        previous.forEach(t -> merged.add(nextIndexes.containsKey(name.apply(t)) ? next.get(nextIndexes.get(name.apply(t))) : t));
+        next.stream().filter(t -> !previousIndexes.containsKey(name.apply(t))).forEach(merged::add);
+        return List.copyOf(merged);
+    }
+
+    /** The numbers of the classes that were dropped. */
+    public List<Integer> droppedClasses() {
+        List<Integer> dropped = new ArrayList<>();
+        for (int i = 0; i < decision.classes().size(); i++) {
+            if (!classNumbers.containsKey(decision.classes().get(i).name())) {
+                dropped.add(i);
+            }
+        }
+        return dropped;
+    }
+
+    /** The names of all classes by number, dropped ones too. */
+    public List<String> classNames() {
+        return decision.classes().stream().map(Scheduler.ClassSpec::name).toList();
+    }
+
+    private static double positiveOr(double value, double fallback) {
+        return value > 0 ? value : fallback;
+    }
+}
--- a/frontend/src/test/java/quincespar/metrics/FiguresTest.java
+++ b/frontend/src/test/java/quincespar/metrics/MetricsTest.java
@@ -5,42 +5,44 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FiguresTest {
-    private static final Figures.Watch WATCH = new Figures.Watch(7, 350, 3);
+class MetricsTest {
+    private static final MetricsSnapshot.ChangeLogStatus CHANGE_LOG = new MetricsSnapshot.ChangeLogStatus(7, 350, 3);
 
-    private final Ledger ledger = new Ledger();
+    private final MetricsRecorder recorder = new MetricsRecorder();
 
     @Test
-    void everyClassHasItsRowsFromZeroOnAndADroppedOneKeepsThem() {
-        ledger.classes(List.of("lookup", "load"));
-        assertThat(ledger.figures(0, 0, 0, WATCH).transactions()).containsOnlyKeys("lookup", "load");
-        ledger.ended(0, Ledger.End.ANSWERED);
-        ledger.ended(1, Ledger.End.DEFERRED);
-        ledger.classes(List.of("lookup", "load", "report"));
-        ledger.ended(1, Ledger.End.ERRORED);
-        assertThat(ledger.figures(0, 0, 0, WATCH).transactions()).containsEntry("lookup", new Figures.Row(1, 0, 0))
-                .containsEntry("load", new Figures.Row(0, 1, 1)).containsEntry("report", new Figures.Row(0, 0, 0));
+    void everyClassIsReportedFromZeroAndKeepsItsCountsWhenNewOnesAreAdded() {
+        recorder.setClasses(List.of("lookup", "load"));
+        assertThat(recorder.snapshot(0, 0, 0, CHANGE_LOG).answersByClass()).containsOnlyKeys("lookup", "load");
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        recorder.answered(1, MetricsRecorder.FinalAnswer.DEFERRED);
+        recorder.setClasses(List.of("lookup", "load", "report"));
+        recorder.answered(1, MetricsRecorder.FinalAnswer.ERRORED);
+        assertThat(recorder.snapshot(0, 0, 0, CHANGE_LOG).answersByClass())
+                .containsEntry("lookup", new MetricsSnapshot.AnswerCounts(1, 0, 0))
+                .containsEntry("load", new MetricsSnapshot.AnswerCounts(0, 1, 1))
+                .containsEntry("report", new MetricsSnapshot.AnswerCounts(0, 0, 0));
     }
 
     @Test
-    void aViewDoesNotChangeWithWhatIsCountedLater() {
-        ledger.classes(List.of("lookup"));
-        Figures before = ledger.figures(1, 2, 1, WATCH);
-        ledger.ended(0, Ledger.End.ANSWERED);
-        ledger.sent();
-        assertThat(before.transactions().get("lookup")).isEqualTo(new Figures.Row(0, 0, 0));
-        assertThat(before.sends()).isZero();
+    void aSnapshotDoesNotChangeWithLaterCounts() {
+        recorder.setClasses(List.of("lookup"));
+        MetricsSnapshot before = recorder.snapshot(1, 2, 1, CHANGE_LOG);
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ANSWERED);
+        recorder.attemptSent();
+        assertThat(before.answersByClass().get("lookup")).isEqualTo(new MetricsSnapshot.AnswerCounts(0, 0, 0));
+        assertThat(before.attemptsSent()).isZero();
     }
 
     @Test
     void theTextHasEachMetricWithHelpAndTypeAndEscapedLabels() {
-        ledger.classes(List.of("a\"b\\c\nd"));
-        ledger.ended(0, Ledger.End.ERRORED);
-        ledger.sent();
-        ledger.loaded();
-        ledger.invalid();
-        ledger.invalid();
-        assertThat(Exposition.text(ledger.figures(14, 6, 2, WATCH)).lines()).containsExactly(
+        recorder.setClasses(List.of("a\"b\\c\nd"));
+        recorder.answered(0, MetricsRecorder.FinalAnswer.ERRORED);
+        recorder.attemptSent();
+        recorder.configurationLoaded();
+        recorder.configurationRejected();
+        recorder.configurationRejected();
+        assertThat(PrometheusText.text(recorder.snapshot(14, 6, 2, CHANGE_LOG)).lines()).containsExactly(
                 "# HELP gw_transactions_total Requests that got their final answer, by class: served, refused, failed.",
                 "# TYPE gw_transactions_total counter",
                 "gw_transactions_total{group=\"a\\\"b\\\\c\\nd\",state=\"answered\"} 0",
--- a/frontend/src/test/java/quincespar/program/UpgradeIT.java
+++ b/frontend/src/test/java/quincespar/program/UpgradeIT.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quincespar.protocol.thrift.FrontCodec;
 
-/** Two processes of the jar beside each other, started as {@code run} says, under clients that go on asking. */
+/** Upgrades under load: an old and a new process of the jar at one address, started by the deploy file's command line. */
 @Timeout(120)
 class UpgradeIT {
     private static final int CLIENTS = 16;
@@ -47,15 +47,15 @@
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
     @TempDir
     private Path folder;
-    private Peers.Engine engine;
+    private ScriptedPeers.Engine engine;
     private Path file;
     private int port;
 
     @BeforeEach
-    void peers() throws Exception {
-        engine = new Peers.Engine();
-        Peers.Changes changes = new Peers.Changes();
-        port = Peers.freePort();
+    void createPeers() throws Exception {
+        engine = new ScriptedPeers.Engine();
+        ScriptedPeers.ChangeLog changes = new ScriptedPeers.ChangeLog();
+        port = ScriptedPeers.freePort();
         Files.createDirectory(folder.resolve("tmp"));
         file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":384,"memory_mb":144},
@@ -69,14 +69,14 @@
     }
 
     @AfterEach
-    void end() {
+    void stopAll() {
         stopping.set(true);
         started.forEach(Process::destroyForcibly);
         pool.shutdownNow();
     }
 
     private Process start(int admin) throws IOException {
-        Process p = Peers.run("", file, admin, folder.resolve("tmp"), folder.resolve("log-" + started.size()));
+        Process p = ScriptedPeers.startProcess("", file, admin, folder.resolve("tmp"), folder.resolve("log-" + started.size()));
         started.add(p);
         return p;
     }
@@ -85,10 +85,10 @@
         return Files.readString(folder.resolve("log-" + process));
     }
 
-    /** Answers at once, loads after some milliseconds, so that some are always out. */
+    /** Answers lookups after {@code lookupMs} and loads after {@code loadMs}, so that some requests are always open. */
     private Void serveAll() throws InterruptedException {
         while (true) {
-            Peers.Engine.Command c = engine.commands.take();
+            ScriptedPeers.Engine.Command c = engine.commands.take();
             if (c.words().get(0).equals("serve")) {
                 pool.submit(() -> {
                     TimeUnit.MILLISECONDS.sleep(c.words().get(2).startsWith("queue=load") ? loadMs : lookupMs);
@@ -100,27 +100,27 @@
     }
 
     /**
-     * Asks on a connection for as long as that lasts. A request that crosses the end of a connection with nothing open
-     * may be sent again on a new one, once; a connection that is refused, or a request that is then not answered, is lost.
+     * Sends requests one by one on a connection until it is closed. A request that crosses the close of an idle connection may be
+     * retried once on a new one. A refused connection, or a retry without an answer, counts as lost.
      */
     private void client(int number) {
-        Random chance = new Random(number);
+        Random random = new Random(number);
         int asked = 0;
         while (!stopping.get()) {
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 for (int call = 1; !stopping.get(); call++) {
-                    TimeUnit.MILLISECONDS.sleep(chance.nextInt(10));
+                    TimeUnit.MILLISECONDS.sleep(random.nextInt(10));
                     if (c.ended()) {
                         break;
                     }
                     String txn = String.format("%08x%08x", number, ++asked);
-                    boolean whole = ask(c, call, txn);
-                    if (!whole && call == 1) {
-                        lost.add(txn + " met a new connection that ended");
-                    } else if (!whole) {
-                        try (Peers.Client again = new Peers.Client(port)) {
+                    boolean answeredHere = ask(c, call, txn);
+                    if (!answeredHere && call == 1) {
+                        lost.add(txn + " was sent on a new connection that was closed");
+                    } else if (!answeredHere) {
+                        try (ScriptedPeers.Client again = new ScriptedPeers.Client(port)) {
                             if (!ask(again, 1, txn)) {
-                                lost.add(txn + " met two connections that ended");
+                                lost.add(txn + " was sent on two connections that were closed");
                             }
                         }
                         break;
@@ -134,7 +134,7 @@
         }
     }
 
-    private boolean ask(Peers.Client c, int call, String txn) throws IOException {
+    private boolean ask(ScriptedPeers.Client c, int call, String txn) throws IOException {
         try {
             c.call(call, Map.of("verb", call % 4 == 0 ? "load" : "lookup", "txn", txn, "limit", "4000", "team", "acme",
                     "cpu", "10.0", "heap_mb", "1"));
@@ -149,33 +149,33 @@
         }
     }
 
-    private void untilAnswered(int more) {
+    private void awaitAnswers(int more) {
         int before = answered.get();
         while (answered.get() < before + more) {
-            Peers.goOnWaiting();
+            ScriptedPeers.spin();
         }
     }
 
     @Test
     void noRequestIsLostWhenANewVersionTakesOverTwice() throws Exception {
         pool.submit(this::serveAll);
-        int admin = Peers.freePort();
+        int admin = ScriptedPeers.freePort();
         Process old = start(admin);
-        Peers.untilReady(admin);
+        ScriptedPeers.awaitReady(admin);
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 1; i <= CLIENTS; i++) {
             int number = i;
             clients.add(pool.submit(() -> client(number)));
         }
-        untilAnswered(20 * CLIENTS);
+        awaitAnswers(20 * CLIENTS);
         for (int upgrade = 1; upgrade <= 2; upgrade++) {
-            admin = Peers.freePort();
+            admin = ScriptedPeers.freePort();
             Process next = start(admin);
-            Peers.untilReady(admin);
-            Peers.term(old);
+            ScriptedPeers.awaitReady(admin);
+            ScriptedPeers.terminate(old);
             assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue();
             assertThat(log(upgrade - 1)).contains("another process serves").contains("stopped");
-            untilAnswered(20 * CLIENTS);
+            awaitAnswers(20 * CLIENTS);
             old = next;
         }
         stopping.set(true);
@@ -185,111 +185,114 @@
         assertThat(lost).isEmpty();
     }
 
-    /** Half a request that lay with the old process at the word to stop is no moment to end its connection. */
+    /** The old process must not close a connection on which it has received part of a request when it is told to stop. */
     @Test
-    void aRequestInPiecesAndALoadThatIsOutAreFollowedToTheirAnswers() throws Exception {
-        int admin = Peers.freePort();
+    void aPartialRequestAndAnOpenLoadAreAnsweredByTheOldProcess() throws Exception {
+        int admin = ScriptedPeers.freePort();
         Process old = start(admin);
-        Peers.untilReady(admin);
-        try (Peers.Client half = new Peers.Client(port); Peers.Client load = new Peers.Client(port);
-                Peers.Client idle = new Peers.Client(port)) {
+        ScriptedPeers.awaitReady(admin);
+        try (ScriptedPeers.Client half = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client load = new ScriptedPeers.Client(port);
+                ScriptedPeers.Client idle = new ScriptedPeers.Client(port)) {
             load.call(1, fields("load", "00000000000000aa"));
-            Peers.Engine.Command out = engine.next("serve");
+            ScriptedPeers.Engine.Command out = engine.next("serve");
             assertThat(idle.healthy()).isTrue();
             byte[] request = FrontCodec.call(1, fields("lookup", "00000000000000bb"),
                     "SELECT 1 FROM sales_3.t".getBytes(StandardCharsets.UTF_8));
             half.raw(java.util.Arrays.copyOf(request, 20));
-            int second = Peers.freePort();
+            int second = ScriptedPeers.freePort();
             start(second);
-            Peers.untilReady(second);
-            Peers.term(old);
-            assertThat(idle.untilEnd()).isTrue(); // nothing is open there: its client moves over
+            ScriptedPeers.awaitReady(second);
+            ScriptedPeers.terminate(old);
+            assertThat(idle.awaitEnd()).isTrue(); // idle: its client reconnects to the new process
             half.raw(java.util.Arrays.copyOfRange(request, 20, request.length));
-            Peers.Engine.Command late = engine.next("serve");
+            ScriptedPeers.Engine.Command late = engine.next("serve");
             late.answer(late.id(), "DONE", "count=1", "late\ta\tb\n");
             assertThat(new String(half.frame(), StandardCharsets.ISO_8859_1)).contains("late\ta\tb\n");
             out.answer(out.id(), "DONE", "count=1", "row\ta\tb\n");
             assertThat(new String(load.frame(), StandardCharsets.ISO_8859_1)).contains("row\ta\tb\n");
-            assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue(); // nothing is left: it does not wait for its time
+            assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue(); // nothing is open: it does not wait until its deadline
         }
     }
 
     @Test
-    void aNewProcessThatEndsBeforeItsYesLeavesTheOldOneServing() throws Exception {
+    void aNewProcessThatEndsBeforeItIsReadyLeavesTheOldOneServing() throws Exception {
         pool.submit(this::serveAll);
-        int admin = Peers.freePort();
+        int admin = ScriptedPeers.freePort();
         start(admin);
-        Peers.untilReady(admin);
-        Process next = start(admin); // its second address is taken: it can't start
+        ScriptedPeers.awaitReady(admin);
+        Process next = start(admin); // the status server's address is in use: it can't start
         assertThat(next.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(next.exitValue()).isEqualTo(1);
         assertThat(log(1).lines()).hasSize(1).first().asString().contains("admin_addr");
-        Process killed = start(Peers.freePort());
+        Process killed = start(ScriptedPeers.freePort());
         killed.destroyForcibly();
         killed.waitFor();
-        assertThat(Peers.status(admin)).isEqualTo(200);
-        try (Peers.Client c = new Peers.Client(port)) {
+        assertThat(ScriptedPeers.status(admin)).isEqualTo(200);
+        try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
             assertThat(ask(c, 1, "00000000000000cc")).isTrue();
         }
         assertThat(lost).isEmpty();
     }
 
-    /** Where a process is stopped, and for how long, in milliseconds; {@code after} what {@code phase} names. */
+    /** A pause of a process for {@code ms}, {@code after} ms from the event {@code phase}. */
     private record Pause(String phase, int after, int ms) { }
 
-    private static final int DEADLINE = 1200, KILL = DEADLINE + 700;
+    private static final int DEADLINE_MS = 1200, KILL_MS = DEADLINE_MS + 700;
 
     /**
-     * Each upgrade stops the new process once while it starts or just after its yes, and the old one twice: as the word
-     * to stop comes or soon after, and about the time at which it must have moved its last clients. The times are those
-     * that the operators' page grants: SIGKILL follows the longest deadline and 0.7 s after SIGTERM.
+     * Each upgrade pauses the new process once, during its start or just after it is ready, and the old one twice: around
+     * SIGTERM, and about when it must have closed its last connections. SIGKILL follows SIGTERM after the longest
+     * deadline and 0.7 s, as the operators' page specifies.
      */
     @Test
-    void processesStoppedInEveryPhaseOfAnUpgradeLoseNothing() throws Exception {
-        Files.writeString(file, Files.readString(file).replace("\"hardLimit\":4000", "\"hardLimit\":" + DEADLINE));
+    void processesPausedInAnyPhaseOfAnUpgradeLoseNoRequest() throws Exception {
+        Files.writeString(file, Files.readString(file).replace("\"hardLimit\":4000", "\"hardLimit\":" + DEADLINE_MS));
         lookupMs = 40;
         pool.submit(this::serveAll);
-        Process old = start(Peers.freePort());
+        Process old = start(ScriptedPeers.freePort());
         List<Future<?>> clients = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
             int number = i;
-            clients.add(pool.submit(() -> neverQuiet(number)));
+            clients.add(pool.submit(() -> neverIdleClient(number)));
         }
-        Pause[] starts = {new Pause("start", 100, 400), new Pause("start", 600, 300), new Pause("yes", 0, 400),
-            new Pause("yes", 60, 200), new Pause("start", 900, 20), new Pause("yes", 20, 400), new Pause("yes", 300, 100),
+        Pause[] newProcessPauses = {new Pause("start", 100, 400), new Pause("start", 600, 300), new Pause("ready", 0, 400),
+            new Pause("ready", 60, 200), new Pause("start", 900, 20), new Pause("ready", 20, 400), new Pause("ready", 300, 100),
             new Pause("start", 300, 50)};
-        Pause[] words = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150), new Pause("SIGTERM", 0, 400),
-            new Pause("SIGTERM", 3, 400), new Pause("SIGTERM", 15, 250), new Pause("SIGTERM", 40, 20), new Pause("SIGTERM", 200, 400),
-            new Pause("before SIGTERM", 0, 1100)}; // the last is longer than any page grants: the bench has been seen to do it
-        int[] lates = {1650, 1450, 1650, 1650, 1480, 1300, 1000, 1700};
-        int[] longs = {250, 400, 250, 250, 400, 400, 300, 20};
-        untilAnswered(200);
-        for (int i = 0; i < starts.length; i++) {
-            int admin = Peers.freePort();
+        Pause[] oldProcessPauses = {new Pause("before SIGTERM", 0, 400), new Pause("before SIGTERM", 0, 150),
+            new Pause("SIGTERM", 0, 400), new Pause("SIGTERM", 3, 400),
+            new Pause("SIGTERM", 15, 250), new Pause("SIGTERM", 40, 20),
+            // the last pause is longer than the operators' page allows, but occurs in practice
+            new Pause("SIGTERM", 200, 400), new Pause("before SIGTERM", 0, 1100)};
+        int[] latePauseStartsMs = {1650, 1450, 1650, 1650, 1480, 1300, 1000, 1700};
+        int[] latePausesMs = {250, 400, 250, 250, 400, 400, 300, 20};
+        awaitAnswers(200);
+        for (int i = 0; i < newProcessPauses.length; i++) {
+            int admin = ScriptedPeers.freePort();
             Process next = start(admin);
-            if (starts[i].phase().equals("start")) {
-                stopped(next, starts[i].after(), starts[i].ms());
+            if (newProcessPauses[i].phase().equals("start")) {
+                pause(next, newProcessPauses[i].after(), newProcessPauses[i].ms());
             }
-            Peers.untilReady(admin);
-            long yes = System.nanoTime();
-            boolean before = words[i].phase().equals("before SIGTERM");
+            ScriptedPeers.awaitReady(admin);
+            long readyAt = System.nanoTime();
+            boolean before = oldProcessPauses[i].phase().equals("before SIGTERM");
             if (before) {
                 signal(old, "STOP");
             }
-            loadMs = 2 * KILL; // what is taken from here on is open until its time is over
-            Peers.term(old); // a stopped process hears of it when it goes on
-            long word = System.nanoTime();
-            Future<?> other = starts[i].phase().equals("yes") ? inTurn(next, yes, starts[i]) : null;
+            loadMs = 2 * KILL_MS; // loads accepted from here on are open until their deadline
+            ScriptedPeers.terminate(old); // a paused process handles it when it continues
+            long termAt = System.nanoTime();
+            Future<?> other = newProcessPauses[i].phase().equals("ready") ? pauseAsync(next, readyAt, newProcessPauses[i]) : null;
             if (before) {
-                until(word, words[i].ms());
+                sleepUntil(termAt, oldProcessPauses[i].ms());
                 signal(old, "CONT");
             } else {
-                until(word, words[i].after());
-                stopped(old, 0, words[i].ms());
+                sleepUntil(termAt, oldProcessPauses[i].after());
+                pause(old, 0, oldProcessPauses[i].ms());
             }
-            until(word, lates[i]);
-            stopped(old, 0, longs[i]);
-            if (!old.waitFor(Math.max(1, KILL - sinceMs(word)), TimeUnit.MILLISECONDS)) {
+            sleepUntil(termAt, latePauseStartsMs[i]);
+            pause(old, 0, latePausesMs[i]);
+            if (!old.waitFor(Math.max(1, KILL_MS - sinceMs(termAt)), TimeUnit.MILLISECONDS)) {
                 old.destroyForcibly();
             }
             assertThat(old.waitFor(30, TimeUnit.SECONDS)).isTrue();
@@ -297,9 +300,10 @@
             if (other != null) {
                 other.get();
             }
-            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, starts[i], words[i], lates[i]).isEmpty();
+            assertThat(lost).describedAs("upgrade %d, %s, %s, late %d", i, newProcessPauses[i], oldProcessPauses[i],
+                    latePauseStartsMs[i]).isEmpty();
             assertThat(next.isAlive()).isTrue();
-            untilAnswered(200);
+            awaitAnswers(200);
             old = next;
         }
         stopping.set(true);
@@ -309,10 +313,10 @@
         assertThat(lost).isEmpty();
     }
 
-    private Future<?> inTurn(Process p, long from, Pause pause) {
+    private Future<?> pauseAsync(Process p, long from, Pause pause) {
         return pool.submit(() -> {
-            until(from, pause.after());
-            stopped(p, 0, pause.ms());
+            sleepUntil(from, pause.after());
+            pause(p, 0, pause.ms());
             return null;
         });
     }
@@ -321,12 +325,12 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
     }
 
-    /** The schedule of the faults, and no wait for something to come. */
-    private static void until(long from, int ms) throws InterruptedException {
+    /** Sleeps until {@code ms} after {@code from}: the schedule of the pauses, not a wait for a condition. */
+    private static void sleepUntil(long from, int ms) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(Math.max(0, ms - sinceMs(from)));
     }
 
-    private static void stopped(Process p, int after, int ms) throws IOException, InterruptedException {
+    private static void pause(Process p, int after, int ms) throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(after);
         if (p.isAlive()) {
             signal(p, "STOP");
@@ -335,22 +339,22 @@
         }
     }
 
-    /** {@code run} ends by exec, so that it is the program that hears it; one that has just ended hears nothing. */
+    /** The command line ends with exec, so the signal reaches the program; the exit code is ignored as it may just have ended. */
     private static void signal(Process p, String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(p.pid())).redirectErrorStream(true).start().waitFor();
     }
 
     /**
-     * A client that nearly always has something open on its connection. What goes unanswered there when that ends is
-     * lost where a later request was answered, or where it is more than what crosses an end by chance.
+     * A client that nearly always has open requests on its connection. Requests without an answer when the connection is closed
+     * count as lost if a later one was answered, or if they are more than can cross the close.
      */
-    private Void neverQuiet(int number) throws Exception {
-        Random chance = new Random(number);
+    private Void neverIdleClient(int number) throws Exception {
+        Random random = new Random(number);
         int asked = 0;
         while (!stopping.get()) {
             Set<Integer> open = ConcurrentHashMap.newKeySet();
             AtomicInteger last = new AtomicInteger();
-            try (Peers.Client c = new Peers.Client(port)) {
+            try (ScriptedPeers.Client c = new ScriptedPeers.Client(port)) {
                 Future<?> reader = pool.submit(() -> read(c, open, last));
                 for (int call = 1; !stopping.get() && !reader.isDone(); call++) {
                     while (open.size() >= 30 && !reader.isDone()) {
@@ -358,31 +362,31 @@
                     }
                     open.add(call);
                     c.call(call, Map.of("verb", call % 8 == 0 ? "load" : "lookup", "txn", String.format("%08x%08x", number,
-                            ++asked), "limit", Integer.toString(DEADLINE), "team", "acme", "cpu", "10.0", "heap_mb", "1"));
-                    TimeUnit.MILLISECONDS.sleep(4 + chance.nextInt(8));
+                            ++asked), "limit", Integer.toString(DEADLINE_MS), "team", "acme", "cpu", "10.0", "heap_mb", "1"));
+                    TimeUnit.MILLISECONDS.sleep(4 + random.nextInt(8));
                 }
                 while (stopping.get() && !open.isEmpty() && !reader.isDone()) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
-            } catch (IOException e) { // ended under a write: what is open tells whether that was in order
+            } catch (IOException e) { // closed during a write: the check of the open requests below decides
                 Thread.onSpinWait();
             }
             if (open.size() > 3 || !open.isEmpty() && Collections.min(open) < last.get()) {
-                lost.add("client " + number + " has no answer to " + open + ", the last was to " + last);
+                lost.add("client " + number + " has no answer to " + open + ", the last answer was to " + last);
             }
         }
         return null;
     }
 
-    private Void read(Peers.Client c, Set<Integer> open, AtomicInteger last) {
+    private Void read(ScriptedPeers.Client c, Set<Integer> open, AtomicInteger last) {
         try {
             while (true) {
-                int call = ByteBuffer.wrap(c.frame()).getInt(12); // behind version, length and name
+                int call = ByteBuffer.wrap(c.frame()).getInt(12); // after version, length and name
                 open.remove(call);
                 last.accumulateAndGet(call, Math::max);
                 answered.incrementAndGet();
             }
-        } catch (IOException e) { // the end of this connection, whichever side ended it
+        } catch (IOException e) { // the connection was closed by either side
             return null;
         }
     }
--- a/frontend/src/test/java/quincespar/simulator/WireTest.java
+++ b/frontend/src/test/java/quincespar/simulator/SimulatorHostTest.java
@@ -14,18 +14,18 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import quincespar.decision.Gateway;
+import quincespar.decision.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** The wire: the facts of worked frames, round trips, and input that is cut or wrong. */
-class WireTest {
+/** The simulator protocol: decoded and encoded sample frames, and truncated or invalid input. */
+class SimulatorHostTest {
     private static final String SETTINGS = "requestClasses.count=1\nrequestClasses.0.slo=800\n"
-            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunheardOf=1\n";
-    private final List<Gateway.Event> seen = new ArrayList<>();
-    private List<Gateway.Action> reply = List.of();
-    private final WireHost host = new WireHost((settings, seed) -> (now, events) -> {
-        seen.addAll(events);
-        return reply;
+            + "requestClasses.0.hardLimit=4000\nrequestClasses.0.effect=safe\nunknownSetting=1\n";
+    private final List<Scheduler.Event> receivedEvents = new ArrayList<>();
+    private List<Scheduler.Action> actions = List.of();
+    private final SimulatorHost host = new SimulatorHost((settings, seed) -> (now, events) -> {
+        receivedEvents.addAll(events);
+        return actions;
     });
 
     private static byte[] hex(String s) {
@@ -37,7 +37,7 @@
                 .putInt(body.length).put(body).array();
     }
 
-    private static byte[] provision(String settings) {
+    private static byte[] startInstance(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(40, ByteBuffer.allocate(14 + text.length).order(ByteOrder.LITTLE_ENDIAN).putShort((short) 3)
                 .putLong(9).putInt(text.length).put(text).array());
@@ -57,48 +57,48 @@
             + "0000000000d4b740 78 0d000000 0300 02 2900000000000000 0000");
 
     @Test
-    void aRequestAndAListAreReadFieldByField() {
-        host.batch(join(provision(SETTINGS), LIST, REQUEST), 4, 1);
-        Gateway.Listed l = (Gateway.Listed) seen.get(0);
-        assertEquals(Gateway.ListKind.CACHED, l.kind());
+    void aRequestAndAnEngineListAreDecoded() {
+        host.processBatch(join(startInstance(SETTINGS), LIST, REQUEST), 4, 1);
+        Scheduler.EngineList l = (Scheduler.EngineList) receivedEvents.get(0);
+        assertEquals(Scheduler.ListKind.CACHED, l.kind());
         assertEquals(41, l.version());
         assertEquals(1.5, l.engines().get(0).weight());
         assertEquals(6100, l.engines().get(0).startedAt());
         assertEquals(1, l.engines().get(0).zone());
-        Gateway.Request r = (Gateway.Request) seen.get(1);
+        Scheduler.Request r = (Scheduler.Request) receivedEvents.get(1);
         assertEquals(0x0008b4fd5d3a91c4L, r.id());
-        assertEquals(12, r.work());
-        assertEquals(240, r.patience());
-        assertEquals(384, r.memory());
-        assertEquals(11, r.tables());
+        assertEquals(12, r.estimatedWork());
+        assertEquals(240, r.clientTimeout());
+        assertEquals(384, r.estimatedMemory());
+        assertEquals(11, r.tableGroup());
         assertEquals(0x91f03b7c55d20a64L, r.key());
     }
 
     @Test
-    void anOutcomeTellsWorkAndMemory() {
-        host.batch(join(provision(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
+    void anOutcomeCarriesWorkAndMemory() {
+        host.processBatch(join(startInstance(SETTINGS), LIST, hex("64 2a000000 0300 c4913a5dfdb40800 0000 0a9011f2841b 0000"
                 + "0000000000803240 01 60100100 02 0000e040 52b81e3f")), 4, 1);
-        Gateway.Ended e = (Gateway.Ended) seen.get(1);
-        assertEquals(Gateway.Outcome.OK, e.outcome());
+        Scheduler.AttemptEnded e = (Scheduler.AttemptEnded) receivedEvents.get(1);
+        assertEquals(Scheduler.Outcome.OK, e.outcome());
         assertEquals(18.5, e.latency());
-        assertTrue(e.over());
-        assertEquals(17, e.work());
-        assertEquals(0x60 * 4, e.memory());
-        assertEquals(7.0, e.load().get(0));
+        assertTrue(e.requestOver());
+        assertEquals(17, e.reportedWork());
+        assertEquals(0x60 * 4, e.reportedMemory());
+        assertEquals(7.0, e.engineReport().get(0));
     }
 
     @Test
-    void actionsAreWrittenAsTheWireHasThem() {
-        long engine = new Reader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
-        reply = List.of(new Gateway.Send(0x0008b4fd5d3a91c4L, engine, 80), new Gateway.SetTimer(77, 500),
-                new Gateway.Terms(0x0008b4fd5d3a91c4L, 2, 640));
-        byte[] out = host.batch(join(provision(SETTINGS), LIST), 3, 1);
+    void actionsAreEncoded() {
+        long engine = new RecordReader(hex("0a124a071b5b"), 0, 0, 6, "x").engine();
+        actions = List.of(new Scheduler.SendAttempt(0x0008b4fd5d3a91c4L, engine, 80), new Scheduler.SetTimer(77, 500),
+                new Scheduler.SetTerms(0x0008b4fd5d3a91c4L, 2, 640));
+        byte[] out = host.processBatch(join(startInstance(SETTINGS), LIST), 3, 1);
         assertArrayEquals(hex("44000000 0a 18000000 0300 c4913a5dfdb40800 0a124a07 1b5b 0000000000005440"
                 + "32 0e000000 0300 4d000000 0000000000407f40 82 0f000000 0300 c4913a5dfdb40800 02 00002044"), out);
     }
 
     @Test
-    void emptyBatchesAreAnsweredAndTheEndOfInputEnds() throws IOException {
+    void emptyBatchesAreAnsweredUntilTheEndOfInput() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         host.serve(new ByteArrayInputStream(new byte[32]), out);
         assertArrayEquals(new byte[8], out.toByteArray());
@@ -106,55 +106,56 @@
 
     @Test
     void unknownEventsAndExtraFieldsAreSkipped() {
-        byte[] longer = record(20, hex("0300 0100000000000000 ffff"));
-        host.batch(join(provision(SETTINGS), record(77, new byte[9]), longer), 3, 1);
-        assertEquals(List.of(new Gateway.Left(1)), seen);
+        byte[] withExtraField = record(20, hex("0300 0100000000000000 ffff"));
+        host.processBatch(join(startInstance(SETTINGS), record(77, new byte[9]), withExtraField), 3, 1);
+        assertEquals(List.of(new Scheduler.ClientLeft(1)), receivedEvents);
     }
 
     @Test
-    void aCutRecordIsNamedWithItsOffset() {
-        byte[] cut = record(20, hex("0300 01000000"));
-        String m = assertThrows(WireException.class, () -> host.batch(join(provision(SETTINGS), cut), 2, 1))
-                .getMessage();
+    void aTruncatedRecordIsReportedWithItsOffset() {
+        byte[] truncated = record(20, hex("0300 01000000"));
+        String m = assertThrows(SimulatorProtocolException.class,
+                () -> host.processBatch(join(startInstance(SETTINGS), truncated), 2, 1)).getMessage();
         assertTrue(m.contains("record 1") && m.contains("offset 7"), m);
     }
 
     @Test
-    void aCutBatchWritesNothing() {
+    void aTruncatedBatchWritesNothing() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] head = hex("10000000 01000000 0000000000000000 14 0a");
-        assertThrows(WireException.class, () -> host.serve(new ByteArrayInputStream(head), out));
+        assertThrows(SimulatorProtocolException.class, () -> host.serve(new ByteArrayInputStream(head), out));
         assertEquals(0, out.size());
     }
 
     @Test
-    void aMissingOrWrongSettingIsNamed() {
-        String m = assertThrows(WireException.class, () -> host.batch(provision("balancers=2\n"), 1, 1)).getMessage();
+    void aMissingOrInvalidSettingIsNamed() {
+        String m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(startInstance("balancers=2\n"), 1, 1))
+                .getMessage();
         assertTrue(m.contains("requestClasses.count"), m);
-        m = assertThrows(WireException.class, () -> host.batch(provision(SETTINGS + "tick=soon\n"), 1, 1))
+        m = assertThrows(SimulatorProtocolException.class, () -> host.processBatch(startInstance(SETTINGS + "tick=soon\n"), 1, 1))
                 .getMessage();
         assertTrue(m.contains("tick"), m);
     }
 
     @Test
     void aFailureOfOneInstanceIsReportedAsItsOwn() {
-        WireHost failing = new WireHost((settings, seed) -> (now, events) -> {
+        SimulatorHost failing = new SimulatorHost((settings, seed) -> (now, events) -> {
             throw new IllegalStateException("broken");
         });
-        byte[] out = failing.batch(join(provision(SETTINGS), LIST), 3, 1);
+        byte[] out = failing.processBatch(join(startInstance(SETTINGS), LIST), 3, 1);
         assertEquals(100, out[4]);
         assertTrue(new String(out, StandardCharsets.UTF_8).contains("broken"));
     }
 
     @Test
-    void aKilledInstanceIsForgottenAndAListNumberIsReused() {
-        byte[] kill = record(80, hex("0300"));
-        host.batch(join(provision(SETTINGS), LIST, REQUEST, kill), 5, 1);
-        assertTrue(seen.isEmpty());
-        host.batch(join(provision(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
+    void aStoppedInstanceIsRemovedAndAListNumberIsReused() {
+        byte[] stop = record(80, hex("0300"));
+        host.processBatch(join(startInstance(SETTINGS), LIST, REQUEST, stop), 5, 1);
+        assertTrue(receivedEvents.isEmpty());
+        host.processBatch(join(startInstance(SETTINGS), LIST, hex("32 06000000 0000 00000000"), hex("78 0d000000 0300 01"
                 + "2a00000000000000 0000")), 5, 2);
-        assertEquals(1, ((Gateway.Listed) seen.get(0)).engines().size());
-        assertEquals(0, ((Gateway.Listed) seen.get(1)).engines().size());
+        assertEquals(1, ((Scheduler.EngineList) receivedEvents.get(0)).engines().size());
+        assertEquals(0, ((Scheduler.EngineList) receivedEvents.get(1)).engines().size());
     }
 
     @Test
