--- a/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -223,13 +223,21 @@
             answersInProgress.decrementAndGet();
             if (!sent) {
                 connection.close("the client does not read");
-            } else if (openRequests.isEmpty() && ending) {
+            } else if (ending && allAnswersQueued()) {
                 connection.finish();
             } else if (openRequests.isEmpty() && closingIdle) {
                 finishIfIdle();
             }
         }
 
+        /**
+         * Whether no request is open and every answer is in the outbox. The open requests are read first, because {@link #send}
+         * counts an answer as in progress before it removes the request.
+         */
+        private boolean allAnswersQueued() {
+            return openRequests.isEmpty() && answersInProgress.get() == 0;
+        }
+
         /** Closes the connection gracefully if no request is open, unread or partly received. */
         void finishIfIdle() {
             connection.finishIfIdle();
@@ -267,7 +275,7 @@
 
         @Override
         public boolean busy() {
-            return !openRequests.isEmpty() || answersInProgress.get() > 0
+            return !allAnswersQueued()
                     || frames.hasPartialMessage() && !ending && clock.now() - requestStartedAt < requestReadTimeoutMs;
         }
 
@@ -298,7 +306,7 @@
             ending = true;
             counters.count(Counters.Count.REQUESTS_UNUSABLE);
             connection.send(FrontCodec.exception(seqid > lastSeqid ? seqid : 0, type, reason));
-            if (openRequests.isEmpty()) {
+            if (allAnswersQueued()) {
                 connection.finish();
             }
         }
--- a/frontend/src/test/java/quincespar/program/clients/ThriftServerTest.java
+++ b/frontend/src/test/java/quincespar/program/clients/ThriftServerTest.java
@@ -2,10 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.io.DataInputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -20,7 +23,9 @@
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Counters;
 import quincespar.protocol.thrift.FrontCodec;
+import quincespar.routing.Caller;
 import quincespar.routing.Input;
+import quincespar.routing.Reply;
 import quincespar.routing.RoutingSettings;
 import quincespar.transport.EventLoop;
 import quincespar.transport.Listener;
@@ -31,9 +36,12 @@
  */
 @Timeout(30)
 class ThriftServerTest {
+    private static final int CONNECTION_LIMIT = 100;
+
     private final BlockingQueue<List<Input>> posted = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private Listener listener;
+    private ThriftServer server;
 
     @BeforeEach
     void bind() throws IOException {
@@ -42,7 +50,9 @@
         listener.bind();
         RoutingSettings settings = RoutingSettings.of(Map.of("tick", "5", "requestClasses.count", "1",
                 "requestClasses.0.name", "lookup", "requestClasses.0.slo", "800", "requestClasses.0.hardLimit", "4000"));
-        new ThriftServer(loop, listener, settings, 100, 2000, new Clock(), new Counters(), posted::add, HashMap::new).start();
+        server = new ThriftServer(loop, listener, settings, CONNECTION_LIMIT, 2000, new Clock(), new Counters(), posted::add,
+                HashMap::new);
+        server.start();
     }
 
     @AfterEach
@@ -110,4 +120,50 @@
             assertThat(nextBatch()).hasSize(2).first().isInstanceOf(Input.RequestReceived.class);
         }
     }
+
+    /**
+     * The loop's thread must not close the connection between the moment at which another thread takes the last request as
+     * answered and the moment at which it queues the answer. The answer's delay is varied so that it meets the malformed data at
+     * each point of their handling.
+     */
+    @Test
+    void malformedDataDoesNotCloseTheConnectionBeforeAnAnswerThatIsBeingSent() throws Exception {
+        loop.start();
+        for (int i = 0; i < 4000; i++) {
+            try (Socket client = connect()) {
+                client.getOutputStream().write(call(1));
+                Caller caller = nextRequest();
+                client.getOutputStream().write(new byte[] {-1, -1, -1, -1});
+                long answerAt = System.nanoTime() + i % 200 * 1000L;
+                while (System.nanoTime() < answerAt) {
+                    Thread.onSpinWait();
+                }
+                server.reply(caller, new Reply.Served(new byte[] {'x'}));
+                DataInputStream in = new DataInputStream(client.getInputStream());
+                List<Integer> seqids = List.of(readSeqid(in), readSeqid(in));
+                assertThat(seqids).as("answers on connection " + i).containsExactlyInAnyOrder(0, 1);
+            }
+        }
+    }
+
+    private Caller nextRequest() throws InterruptedException {
+        while (true) {
+            if (posted.take().get(0) instanceof Input.RequestReceived request) {
+                return request.caller();
+            }
+        }
+    }
+
+    /** Reads a frame of the strict binary protocol and returns its sequence number; -1 at the end of the stream. */
+    private static int readSeqid(DataInputStream in) throws IOException {
+        byte[] frame;
+        try {
+            frame = in.readNBytes(in.readInt());
+        } catch (EOFException e) {
+            return -1;
+        }
+        ByteBuffer message = ByteBuffer.wrap(frame);
+        int nameLength = message.getInt(Integer.BYTES);
+        return message.getInt(2 * Integer.BYTES + nameLength);
+    }
 }
