--- a/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Plant.java
@@ -25,7 +25,7 @@
         GUARDS.put("incarnation", List.of(new Edit(STATE, "return found != null && found.incarnation() == incarnation"
                 + " && found.standing() != Standing.GONE ? found : null;", "return found;")));
         GUARDS.put("old-folder", List.of(new Edit(STATE, "if (!rejection.isEmpty()) {", "if (false) {"),
-                new Edit(PARTICIPATION, "if (!rejection.isEmpty() && (phase", "if (false && (phase")));
+                new Edit(PARTICIPATION, "if (!answers.rejection().isEmpty()) {", "if (false) {")));
         // skips the write: data that was never synced to disk is lost with the power
         GUARDS.put("fsync", List.of(new Edit(DISK, "Path next = folder.resolve(name + NEXT);",
                 "if (name != null) { return; } Path next = folder.resolve(name + NEXT);")));
--- a/fleet/src/main/java/quincespar/fleet/Participation.java
+++ b/fleet/src/main/java/quincespar/fleet/Participation.java
@@ -59,7 +59,10 @@
         /** Try to open and lock the folder. */
         record OpenFolder() implements Action { }
 
-        /** Ask the other voters whether the folder may vote: {@link Snapshot#votingRejection}. */
+        /**
+         * Ask the other voters whether the folder may vote: {@link Snapshot#votingRejection}. Call
+         * {@link Participation#votersAnswered} at the first rejection, and once each voter has answered or failed to.
+         */
         record QueryVoters(String folder, long lastIncarnation, long mark, long nonce) implements Action { }
 
         /** Start to vote. */
@@ -93,6 +96,19 @@
         record Publish(FleetView view) implements Action { }
     }
 
+    /**
+     * What the other voters have answered to {@link Action.QueryVoters}.
+     *
+     * @param rejection why the folder must not vote according to any of them, empty if none rejects it
+     * @param answered whether any has answered
+     * @param withState how many have answered with a state that contains a change; the consensus library counts no vote of a
+     *     voter with an empty log
+     */
+    public record VoterAnswers(String rejection, boolean answered, int withState) {
+        /** No voter has answered. */
+        public static final VoterAnswers NONE = new VoterAnswers("", false, 0);
+    }
+
     private static final double RETRY_DELAY_MS = 500;
     private static final double QUERY_VOTERS_TIMEOUT_MS = 1500;
     private static final double DISK_RETRY_DELAY_MS = 3000;
@@ -120,6 +136,10 @@
     private double lastMarkAt = Double.NEGATIVE_INFINITY;
     private long incarnation;
     private boolean voting;
+    /** The answers of the last query of the voters; null while it is not complete. */
+    private VoterAnswers voterAnswers;
+    /** Whether a join with the folder has failed since the folder was opened. */
+    private boolean joinFailed;
     private boolean leaving;
     private Standing standing = Standing.JOINING;
     private Snapshot state = Snapshot.EMPTY;
@@ -175,7 +195,7 @@
             nonce = open.pendingNonce() == 0 ? nonce : open.pendingNonce();
             if (mayVote && open.initializedForVoting()) {
                 phase = Phase.ASKING;
-                actions.add(new Action.QueryVoters(folder, lastIncarnation, mark, nonce));
+                queryVoters();
                 startPhaseTimer(QUERY_VOTERS_TIMEOUT_MS);
             } else {
                 if (mayVote) {
@@ -189,20 +209,27 @@
         return takeActions(now);
     }
 
+    private void queryVoters() {
+        voterAnswers = null;
+        actions.add(new Action.QueryVoters(folder, lastIncarnation, mark, nonce));
+    }
+
     /**
-     * The other voters have answered what they know of the folder, or have not. If any has answered there may be a quorum
+     * The other voters have answered what they know of the folder, or have failed to. If any has answered there may be a quorum
      * without this one: it joins first, and votes once the replicated state does not reject its folder. If none has, its vote
      * may be needed to form a quorum.
-     *
-     * @param rejection why the folder must not vote according to any of them, empty if none rejects it
-     * @param answered whether any has answered
      */
-    public List<Action> votersAnswered(double now, String rejection, boolean answered) {
+    public List<Action> votersAnswered(double now, VoterAnswers answers) {
         boolean late = phase == Phase.JOINING && incarnation == 0 && !folder.isEmpty();
-        if (!rejection.isEmpty() && (phase == Phase.ASKING || late)) {
-            rejectFolder(rejection);
-        } else if (phase == Phase.ASKING && !answered) {
-            startVoting();
+        if (phase == Phase.ASKING || late) {
+            voterAnswers = answers;
+            if (!answers.rejection().isEmpty()) {
+                rejectFolder(answers.rejection());
+            } else if (phase == Phase.ASKING && !answers.answered()) {
+                startVoting();
+            } else if (late) {
+                voteIfNeeded();
+            }
         }
         if (phase == Phase.ASKING) {
             join();
@@ -210,6 +237,21 @@
         return takeActions(now);
     }
 
+    /**
+     * Starts to vote without having joined, if a join has failed and no quorum can form without this voter. That takes the
+     * answers of all other voters: on a slow machine or during an election joins fail too, and the answer that would reject
+     * the folder may still be on its way.
+     */
+    private void voteIfNeeded() {
+        if (joinFailed && voterAnswers != null && voterAnswers.withState() < quorum()) {
+            startVoting();
+        }
+    }
+
+    private int quorum() {
+        return config.voters().size() / 2 + 1;
+    }
+
     private void rejectFolder(String why) {
         setStatus("does not vote: its folder is a copy, or was restored from before: " + why);
         dropFolder(); // it follows, as an instance without a folder does
@@ -470,7 +512,7 @@
                     setStatus("hears of no majority: " + error);
                 }
                 if (phase == Phase.JOINING && incarnation == 0 && !folder.isEmpty()) {
-                    startVoting(); // there may be no quorum without this one
+                    joinWithFolderFailed();
                 }
                 startPhaseTimer(RETRY_DELAY_MS);
             }
@@ -478,6 +520,14 @@
         return takeActions(now);
     }
 
+    private void joinWithFolderFailed() {
+        joinFailed = true;
+        voteIfNeeded();
+        if (mayVote && !voting && voterAnswers != null) { // there was a quorum without this voter, which may have ended since
+            queryVoters();
+        }
+    }
+
     /** A timer has fired. */
     public List<Action> timerFired(double now, long timerId) {
         if (timerId == quorumTimer && phase == Phase.IN_TOUCH && now - lastContactAt > config.suspectAfterMs()) {
@@ -490,7 +540,7 @@
         if (phase == Phase.WAITING) {
             actions.add(new Action.OpenFolder());
         } else if (phase == Phase.ASKING) { // some voters have not answered
-            return votersAnswered(now, "", true);
+            join();
         } else if (phase == Phase.JOINING) {
             join();
         } else if (rejoining) {
--- a/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
+++ b/fleet/src/test/java/quincespar/fleet/ParticipationTest.java
@@ -9,6 +9,7 @@
 import quincespar.fleet.Participation.Action;
 import quincespar.fleet.Participation.FolderResult;
 import quincespar.fleet.Participation.Phase;
+import quincespar.fleet.Participation.VoterAnswers;
 
 class ParticipationTest {
     private static final FleetConfig CONFIG = new FleetConfig("g", Map.of("a", "h:1", "b", "h:2", "c", "h:3"), Map.of(), 500,
@@ -39,7 +40,7 @@
     private void inTouch() {
         actions.addAll(p.start(now));
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 0, 0, 0, true)));
-        actions.addAll(p.votersAnswered(now, "", false));
+        actions.addAll(p.votersAnswered(now, VoterAnswers.NONE));
         actions.addAll(p.persisted(now, null));
         result(new Result.Joined(5));
         actions.addAll(p.persisted(now, null));
@@ -50,7 +51,7 @@
     void usesAnIncarnationOnlyOnceItIsDurable() {
         actions.addAll(p.start(now));
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 0, 0, 0, true)));
-        actions.addAll(p.votersAnswered(now, "", false));
+        actions.addAll(p.votersAnswered(now, VoterAnswers.NONE));
         assertThat(did(Action.StartVoting.class)).isTrue();
         assertThat(did(Action.Submit.class)).isFalse(); // the join is persisted as pending first
         assertThat(last(Action.Persist.class)).isEqualTo(new Action.Persist(0, 77));
@@ -77,7 +78,7 @@
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 5, 88, 0, true)));
         assertThat(did(Action.StartVoting.class)).isFalse();
         assertThat(last(Action.QueryVoters.class)).isEqualTo(new Action.QueryVoters("f", 5, 0, 88));
-        actions.addAll(p.votersAnswered(now, "it is older", true));
+        actions.addAll(p.votersAnswered(now, new VoterAnswers("it is older", true, 1)));
         assertThat(did(Action.StartVoting.class)).isFalse();
         assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "", 5, 0, "x", false, "t", 88));
     }
@@ -107,7 +108,7 @@
     void votesIfNoVoterAnswersAndStopsIfItsFolderIsRefusedLater() {
         actions.addAll(p.start(now));
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 5, 0, 0, true)));
-        actions.addAll(p.votersAnswered(now, "", false));
+        actions.addAll(p.votersAnswered(now, VoterAnswers.NONE));
         assertThat(did(Action.StartVoting.class)).isTrue();
         actions.addAll(p.persisted(now, null));
         result(new Result.Refused(Result.Reason.FOLDER_OUTDATED, "old")); // refused only after it has started to vote
@@ -115,15 +116,48 @@
         assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "", 5, 0, "x", false, "t", 77));
     }
 
-    @Test
-    void joinsBeforeItVotesIfAnyVoterAnswersAndVotesIfTheJoinFails() {
+    /** A folder was opened, and not all voters have answered when the instance begins to join. */
+    private void joinBeforeAllVotersHaveAnswered() {
         actions.addAll(p.start(now));
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 5, 0, 0, true)));
-        actions.addAll(p.timerFired(now, last(Action.StartTimer.class).timerId())); // not all voters have answered
+        actions.addAll(p.timerFired(now, last(Action.StartTimer.class).timerId()));
         actions.addAll(p.persisted(now, null));
         assertThat(did(Action.StartVoting.class)).isFalse();
         assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "f", 5, 0, "x", true, "t", 77));
+    }
+
+    private void failJoin() {
         actions.addAll(p.commandFailed(now, last(Action.Submit.class).requestId(), "no leader"));
+    }
+
+    @Test
+    void votesAfterAFailedJoinOnceTheVotersThatAnsweredAreNoQuorumWithoutIt() {
+        joinBeforeAllVotersHaveAnswered();
+        failJoin();
+        assertThat(did(Action.StartVoting.class)).isFalse();
+        actions.addAll(p.votersAnswered(now, new VoterAnswers("", true, 1)));
+        assertThat(did(Action.StartVoting.class)).isTrue();
+    }
+
+    @Test
+    void doesNotVoteAfterAFailedJoinUntilTheOtherVotersHaveAnswered() {
+        joinBeforeAllVotersHaveAnswered();
+        failJoin();
+        actions.addAll(p.votersAnswered(now, new VoterAnswers("it is older", true, 1)));
+        assertThat(did(Action.StartVoting.class)).isFalse();
+        actions.addAll(p.timerFired(now, last(Action.StartTimer.class).timerId()));
+        assertThat(last(Action.Submit.class).command()).isEqualTo(new Command.Join("a", "", 5, 0, "x", false, "t", 77));
+    }
+
+    /** The others may be in an election; if they are no quorum any more, it votes after all. */
+    @Test
+    void asksAgainInsteadOfVotingWhileTheOtherVotersAreAQuorum() {
+        joinBeforeAllVotersHaveAnswered();
+        actions.addAll(p.votersAnswered(now, new VoterAnswers("", true, 2)));
+        failJoin();
+        assertThat(did(Action.StartVoting.class)).isFalse();
+        assertThat(actions.stream().filter(Action.QueryVoters.class::isInstance)).hasSize(2);
+        actions.addAll(p.votersAnswered(now, new VoterAnswers("", true, 1)));
         assertThat(did(Action.StartVoting.class)).isTrue();
     }
 
@@ -131,7 +165,7 @@
     void stopsVotingButKeepsServingAfterAFailedWrite() {
         actions.addAll(p.start(now));
         actions.addAll(p.folderOpened(now, new FolderResult.Open("f", 0, 0, 0, true)));
-        actions.addAll(p.votersAnswered(now, "", false));
+        actions.addAll(p.votersAnswered(now, VoterAnswers.NONE));
         actions.addAll(p.persisted(now, "No space left on device"));
         assertThat(did(Action.StopVoting.class)).isTrue();
         assertThat(last(Action.Log.class).message()).contains("No space left on device");
--- a/frontend/src/main/java/quincespar/program/fleet/FleetService.java
+++ b/frontend/src/main/java/quincespar/program/fleet/FleetService.java
@@ -3,8 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.security.SecureRandom;
+import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.CountDownLatch;
@@ -23,6 +25,7 @@
 import quincespar.fleet.Participation.Action;
 import quincespar.fleet.Participation.FolderResult;
 import quincespar.fleet.Participation.Phase;
+import quincespar.fleet.Participation.VoterAnswers;
 import quincespar.fleet.Participation;
 import quincespar.fleet.Result;
 import quincespar.fleet.Snapshot;
@@ -429,32 +432,39 @@
 
     private void queryOtherVoters(Action.QueryVoters query) {
         List<String> others = settings.config().voters().keySet().stream().filter(v -> !v.equals(name)).toList();
-        int[] pending = {others.size()};
-        String[] rejection = {""};
-        boolean[] answered = {false};
         if (others.isEmpty()) {
-            perform(participation.votersAnswered(now(), "", false));
+            perform(participation.votersAnswered(now(), VoterAnswers.NONE));
         }
+        List<Snapshot> states = new ArrayList<>();
+        int[] pending = {others.size()};
         for (String voter : others) {
             agreement.readStale(voter).whenComplete((encoded, e) -> execute(() -> {
                 pending[0]--;
-                answered[0] |= e == null;
-                rejection[0] = rejection[0].isEmpty() && e == null ? votingRejection(encoded, query) : rejection[0];
-                if (pending[0] == 0 || !rejection[0].isEmpty()) {
-                    perform(participation.votersAnswered(now(), rejection[0], answered[0]));
+                if (e == null) {
+                    readState(encoded).ifPresent(states::add);
+                }
+                VoterAnswers answers = summarize(states, query);
+                if (pending[0] == 0 || !answers.rejection().isEmpty()) {
+                    perform(participation.votersAnswered(now(), answers));
                 }
             }));
         }
     }
 
-    /** Why the folder must not vote according to another voter's state; empty if that state does not reject it. */
-    private String votingRejection(byte[] encoded, Action.QueryVoters query) {
+    private VoterAnswers summarize(List<Snapshot> states, Action.QueryVoters query) {
+        String rejection = states.stream().map(state -> state.votingRejection(name, query.folder(), query.lastIncarnation(),
+                query.mark(), query.nonce())).filter(reason -> !reason.isEmpty()).findFirst().orElse("");
+        int withState = (int) states.stream().filter(state -> state.version() > 0).count();
+        return new VoterAnswers(rejection, !states.isEmpty(), withState);
+    }
+
+    /** Decodes another voter's state; empty if it is malformed. */
+    private Optional<Snapshot> readState(byte[] encoded) {
         try {
-            return codec.readSnapshot(encoded).votingRejection(name, query.folder(), query.lastIncarnation(), query.mark(),
-                    query.nonce());
+            return Optional.of(codec.readSnapshot(encoded));
         } catch (MalformedRecordException e) {
             log.accept("fleet: malformed answer: " + e.getMessage());
-            return "";
+            return Optional.empty();
         }
     }
 
