--- a/faultbench/src/main/java/quincespar/faultbench/Run.java
+++ b/faultbench/src/main/java/quincespar/faultbench/Run.java
@@ -426,6 +426,7 @@
                     problems.add(n.name() + " did not reach a quorum");
                 }
             }
+            case GONE -> awaitIncarnationEnded(n);
             case UPGRADE -> {
                 if (!n.upgrade(UPGRADE_TIMEOUT_MS)) {
                     problems.add(n.name() + " was not replaced by its new version");
@@ -443,6 +444,13 @@
         }
     }
 
+    private void awaitIncarnationEnded(Node n) throws InterruptedException {
+        String ended = n.name() + ":" + lastSamples.get(n.name()).incarnation() + ":GONE";
+        if (!until(() -> lastSamples.values().stream().anyMatch(sample -> sample.standings().contains(ended)))) {
+            problems.add("the fleet did not end the incarnation of " + n.name());
+        }
+    }
+
     private static void playLinkStep(Relay r, Step s) {
         switch (s.verb()) {
             case CUT -> r.setCut(true);
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/FixedSchedules.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/FixedSchedules.java
@@ -46,7 +46,7 @@
             tenRestarts.append(500 + 950 * i).append(" kill n4\n").append(600 + 950 * i).append(" start n4\n");
         }
         TEXTS.put("ten-restarts", tenRestarts.toString());
-        TEXTS.put("gone-and-back", "500 stop n5\n6500 cont n5");
+        TEXTS.put("gone-and-back", "500 stop n5\n600 gone n5\n6500 cont n5");
         TEXTS.put("a-bit-turned", "1000 flip leader>*\n2000 flip *>leader\n3000 flip n1>n2");
         TEXTS.put("restart-in-order", "500 term n1\n2600 start n1\n3800 term n2\n5900 start n2");
         TEXTS.put("new-version", "500 upgrade n2\n1000 upgrade leader");
--- a/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
+++ b/faultbench/src/main/java/quincespar/faultbench/schedule/Schedule.java
@@ -103,6 +103,8 @@
         RETURNED,
         /** Delays the following steps until the instance reaches a quorum. */
         AWAIT,
+        /** Delays the following steps until an instance reports that the fleet has ended this instance's incarnation. */
+        GONE,
         /** Upgrades an instance under load: starts a new process beside the old one and then stops the old one. */
         UPGRADE,
         /** Starts a second process of the same name with a copy of the state folder. */
