--- a/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
+++ b/frontend/src/main/java/quincespar/program/recovery/RecoveryJournal.java
@@ -145,13 +145,8 @@
             }
             Journal.Contents contents = journal.read();
             List<JournalEntry> entries = new ArrayList<>();
-            for (byte[] record : contents.records()) {
-                entries.add(codec.read(record, JournalEntry.class));
-            }
-            contentsRead(contents.condition(), entries);
-            return true;
-        } catch (MalformedRecordException e) { // its checksum is right, but this program does not write such a record
-            inputs.accept(new Input.RecoveryJournalRead(DurableFact.FolderCondition.CORRUPT, List.of(), e.getMessage()));
+            String decodingError = decode(contents.records(), entries);
+            contentsRead(decodingError.isEmpty() ? contents.condition() : Journal.Condition.CORRUPT, entries, decodingError);
             return true;
         } catch (IOException e) {
             recordDiskError(e);
@@ -159,6 +154,21 @@
         }
     }
 
+    /**
+     * Decodes the records up to the first that this program does not know, although its checksum is right; returns why that one
+     * can't be decoded, or an empty text.
+     */
+    private String decode(List<byte[]> records, List<JournalEntry> entries) {
+        try {
+            for (byte[] record : records) {
+                entries.add(codec.read(record, JournalEntry.class));
+            }
+            return "";
+        } catch (MalformedRecordException e) {
+            return e.getMessage();
+        }
+    }
+
     /** Until the next attempt to read, keeps added entries in memory and reports them as not durable; false at the end. */
     private boolean rejectUntilRetry() throws InterruptedException {
         double retryAtMs = nowMs() + DISK_RETRY_MS;
@@ -176,7 +186,8 @@
         return true;
     }
 
-    private void contentsRead(Journal.Condition fileCondition, List<JournalEntry> entries) throws IOException {
+    private void contentsRead(Journal.Condition fileCondition, List<JournalEntry> entries, String decodingError)
+            throws IOException {
         String otherOwner = entries.stream().filter(JournalEntry.ProcessStarted.class::isInstance)
                 .map(e -> ((JournalEntry.ProcessStarted) e).owner()).filter(o -> !o.equals(owner)).findFirst().orElse("");
         ownedByAnother = !otherOwner.isEmpty();
@@ -193,7 +204,8 @@
                 : DurableFact.FolderCondition.WHOLE;
         inputs.accept(new Input.RecoveryJournalRead(condition, entries, switch (condition) {
             case ANOTHERS -> "it belongs to " + otherOwner + ", and nothing is written";
-            case CORRUPT -> "it is corrupt after " + entries.size() + " entries, and a copy was saved";
+            case CORRUPT -> "it is corrupt after " + entries.size() + " entries"
+                    + (decodingError.isEmpty() ? "" : " (" + decodingError + ")") + ", and a copy was saved";
             case LOST -> "there is no file";
             default -> "";
         }));
--- a/frontend/src/test/java/quincespar/program/recovery/RecoveryJournalTest.java
+++ b/frontend/src/test/java/quincespar/program/recovery/RecoveryJournalTest.java
@@ -15,6 +15,8 @@
 import quincespar.recovery.DurableFact;
 import quincespar.recovery.JournalEntry;
 import quincespar.routing.Input;
+import quincespar.store.FolderDisk;
+import quincespar.store.Journal;
 
 /** The journal of facts that must survive a loss of power, on a real folder. */
 @Timeout(30)
@@ -101,6 +103,50 @@
         third.close(20_000);
     }
 
+    /** Its checksum is right, as another version of the program wrote it. What is added after it must survive the next start. */
+    @Test
+    void rewritesAFileWithAnUnknownRecordAndReturnsTheEntriesBeforeIt() throws Exception {
+        RecoveryJournal first = open("a");
+        nextRead();
+        first.add(new JournalEntry.ProcessStarted("a", 1), 0);
+        first.add(load("x"), 1);
+        next();
+        first.close(20_000);
+        try (FolderDisk disk = new FolderDisk(folder); Journal file = new Journal(disk, "kept")) {
+            file.append(List.of(new byte[] {1, 2, 3}));
+        }
+        byte[] unknown = Files.readAllBytes(folder.resolve("kept"));
+        RecoveryJournal second = open("a");
+        Input.RecoveryJournalRead read = nextRead();
+        assertThat(read.condition()).isEqualTo(DurableFact.FolderCondition.CORRUPT);
+        assertThat(read.entries()).containsExactly(new JournalEntry.ProcessStarted("a", 1), load("x"));
+        second.add(load("y"), 2);
+        assertThat(next()).isEqualTo(new Input.PersistFinished(2, true));
+        second.close(20_000);
+        assertThat(Files.readAllBytes(folder.resolve("kept-spoilt"))).isEqualTo(unknown);
+        RecoveryJournal third = open("a");
+        assertThat(nextRead().entries()).containsExactly(new JournalEntry.ProcessStarted("a", 1), load("x"), load("y"));
+        third.close(20_000);
+    }
+
+    /** The owner is known from the entries before the unknown record. */
+    @Test
+    void doesNotWriteTheFolderOfAnotherInstanceThatHasAnUnknownRecord() throws Exception {
+        RecoveryJournal first = open("a");
+        nextRead();
+        first.add(new JournalEntry.ProcessStarted("a", 1), 7);
+        next();
+        first.close(20_000);
+        try (FolderDisk disk = new FolderDisk(folder); Journal file = new Journal(disk, "kept")) {
+            file.append(List.of(new byte[] {1, 2, 3}));
+        }
+        RecoveryJournal second = open("b");
+        assertThat(nextRead().condition()).isEqualTo(DurableFact.FolderCondition.ANOTHERS);
+        second.add(load("z"), 9);
+        assertThat(next()).isEqualTo(new Input.PersistFinished(9, false));
+        second.close(20_000);
+    }
+
     @Test
     void retriesAFileThatCannotBeReadInsteadOfTakingItForLost() throws InterruptedException, IOException {
         RecoveryJournal first = open("a");
