--- a/faultbench/src/main/java/quincespar/faultbench/check/History.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/History.java
@@ -46,8 +46,14 @@
     public record StatusSample(long at, String node, String phase, long incarnation, boolean voting, boolean quorumReachable,
             String leader, long term, long applied, long version, List<String> standings) { }
 
-    /** A client's request; {@code answer} is the kind of its final answer, empty if the connection closed without one. */
-    public record Request(String node, String txn, long sentAt, long endedAt, String answer, boolean load) { }
+    /**
+     * A client's request.
+     *
+     * @param connectedAt when its connection was established
+     * @param endedAt when its answer arrived, or its connection ended without one
+     * @param answer the kind of its final answer, empty if the connection ended without one
+     */
+    public record Request(String node, String txn, long connectedAt, long sentAt, long endedAt, String answer, boolean load) { }
 
     /** Start of the run, as {@link System#nanoTime()}. */
     public long startNanos() {
--- a/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
+++ b/faultbench/src/main/java/quincespar/faultbench/check/Invariants.java
@@ -105,7 +105,7 @@
         return violations;
     }
 
-    /** Longest time between the record of a signal, which is made before sending it, and its effect, in nanoseconds. */
+    /** Longest time between the record of a SIGCONT, which is made before sending it, and its effect, in nanoseconds. */
     private static final long SIGNAL_NANOS = 200_000_000L;
     /**
      * During an upgrade a request may cross the close of its idle connection, and the client retries it. Longest time from
@@ -116,31 +116,43 @@
     private static final long SHUTDOWN_ACCEPT_NANOS = 200_000_000L;
 
     /**
-     * Every request gets a final answer, except those open while their process was killed or paused, and those sent to a
-     * process after SIGTERM.
+     * Every request gets a final answer, except those whose process was killed while their connection was open or was paused
+     * while they were, and those sent to a process after SIGTERM.
      */
     public static List<String> everyRequestAnswered(List<Request> requests, List<Event> events) {
-        List<String> violations = new ArrayList<>();
-        for (Request r : requests) {
-            boolean excused = false;
-            long stoppedAt = Long.MAX_VALUE;
-            long killedAt = Long.MAX_VALUE;
-            for (Event e : events.stream().filter(x -> x.subject().equals(r.node())).toList()) {
-                stoppedAt = e.kind().equals("stopped") ? e.at() : stoppedAt;
-                killedAt = e.kind().equals("killed") ? e.at() : killedAt;
-                // on a busy machine a kill takes longer, so its recorded end counts too
-                excused |= e.kind().equals("ended") && killedAt <= r.endedAt() && e.at() + SIGNAL_NANOS >= r.sentAt()
-                        || e.kind().equals("killed") && e.at() + SIGNAL_NANOS >= r.sentAt() && e.at() <= r.endedAt()
-                        || e.kind().equals("told to stop") && (e.text().isEmpty() ? e.at() + SHUTDOWN_ACCEPT_NANOS <= r.sentAt()
-                        : e.at() <= r.endedAt() && r.endedAt() - r.sentAt() <= UPGRADE_CROSSING_NANOS)
-                        || e.kind().equals("continued") && e.at() + SIGNAL_NANOS >= r.sentAt() && stoppedAt <= r.endedAt();
-                stoppedAt = e.kind().equals("continued") ? Long.MAX_VALUE : stoppedAt;
-            }
-            if (r.answer().isEmpty() && !excused && stoppedAt > r.endedAt()) {
-                violations.add(r.node() + " left request " + r.txn() + " without an answer");
+        return requests.stream().filter(r -> r.answer().isEmpty())
+                .filter(r -> !isExcused(r, events.stream().filter(e -> e.subject().equals(r.node())).toList()))
+                .map(r -> r.node() + " left request " + r.txn() + " without an answer").toList();
+    }
+
+    private static boolean isExcused(Request request, List<Event> eventsOfProcess) {
+        long pausedAt = Long.MAX_VALUE;
+        long killedAt = Long.MAX_VALUE;
+        boolean excused = false;
+        for (Event e : eventsOfProcess) {
+            switch (e.kind()) {
+                case "stopped" -> pausedAt = e.at();
+                case "continued" -> {
+                    excused |= e.at() + SIGNAL_NANOS >= request.sentAt() && pausedAt <= request.endedAt();
+                    pausedAt = Long.MAX_VALUE;
+                }
+                case "killed" -> {
+                    killedAt = e.at();
+                    excused |= connectionOpenAt(request, e.at());
+                }
+                // on a busy machine a kill takes longer, so that the process may accept a connection after its record
+                case "ended" -> excused |= killedAt <= request.endedAt() && e.at() >= request.connectedAt();
+                case "told to stop" -> excused |= e.text().isEmpty() ? e.at() + SHUTDOWN_ACCEPT_NANOS <= request.sentAt()
+                        : e.at() <= request.endedAt() && request.endedAt() - request.sentAt() <= UPGRADE_CROSSING_NANOS;
+                default -> { }
             }
         }
-        return violations;
+        return excused || pausedAt <= request.endedAt();
+    }
+
+    /** Nothing that is sent on a connection after the process that accepted it was killed can be answered, however late. */
+    private static boolean connectionOpenAt(Request request, long time) {
+        return request.connectedAt() <= time && time <= request.endedAt();
     }
 
     /**
--- a/faultbench/src/main/java/quincespar/faultbench/world/Client.java
+++ b/faultbench/src/main/java/quincespar/faultbench/world/Client.java
@@ -66,10 +66,11 @@
 
     private void runConnection() throws IOException, InterruptedException {
         Map<Integer, OpenRequest> open = new ConcurrentHashMap<>();
+        long connectedAt = System.nanoTime();
         try (Socket s = new Socket(at.getAddress(), at.getPort())) {
             s.setTcpNoDelay(true);
             s.setSoTimeout(REQUEST_LIMIT_MS + 1000);
-            Thread reader = Sockets.startDaemon("client-reader", () -> read(s, open));
+            Thread reader = Sockets.startDaemon("client-reader", () -> read(s, open, connectedAt));
             for (int call = 1; !stopping && reader.isAlive(); call++) {
                 boolean load = call % 10 == 0;
                 String txn = String.format("%08x%08x", number, ++asked);
@@ -85,12 +86,12 @@
             s.close();
             reader.join();
         } finally {
-            open.values().forEach(o -> history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), "",
-                    o.load())));
+            open.values().forEach(o -> history.add(new History.Request(node, o.txn(), connectedAt, o.from(), System.nanoTime(),
+                    "", o.load())));
         }
     }
 
-    private void read(Socket s, Map<Integer, OpenRequest> open) {
+    private void read(Socket s, Map<Integer, OpenRequest> open, long connectedAt) {
         try {
             DataInputStream in = new DataInputStream(s.getInputStream());
             while (true) {
@@ -99,8 +100,9 @@
                 OpenRequest o = open.remove(ByteBuffer.wrap(frame).getInt(CALL_ID_OFFSET));
                 if (o != null) {
                     String text = new String(frame, StandardCharsets.ISO_8859_1);
-                    history.add(new History.Request(node, o.txn(), o.from(), System.nanoTime(), frame[TYPE_OFFSET] != REPLY_TYPE
-                            ? "exception" : text.contains(o.txn() + "\ta\tb\n") ? "served" : "refused or failed", o.load()));
+                    String answer = frame[TYPE_OFFSET] != REPLY_TYPE ? "exception"
+                            : text.contains(o.txn() + "\ta\tb\n") ? "served" : "refused or failed";
+                    history.add(new History.Request(node, o.txn(), connectedAt, o.from(), System.nanoTime(), answer, o.load()));
                 } else {
                     history.add(node, "unasked", "a reply to no open request");
                 }
--- a/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
+++ b/faultbench/src/test/java/quincespar/faultbench/check/InvariantsTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void missingAnswerIsExcusedOnlyByFaultsOfItsOwnProcess() {
-        Request none = new Request("a", "t", 1_000_000_000, 2_000_000_000, "", false);
+        Request none = new Request("a", "t", 900_000_000, 1_000_000_000, 2_000_000_000, "", false);
         assertThat(Invariants.everyRequestAnswered(List.of(none), List.of())).hasSize(1);
         assertThat(Invariants.everyRequestAnswered(List.of(none),
                 List.of(new Event(1_500_000_000, "b", "killed", "")))).hasSize(1);
@@ -53,4 +53,16 @@
         assertThat(Invariants.everyRequestAnswered(List.of(none),
                 List.of(new Event(900_000_000, "a", "told to stop", "")))).hasSize(1);
     }
+
+    /** A starved client notices late that its process has ended; the connection of the next process is judged by itself. */
+    @Test
+    void missingAnswerIsExcusedOnTheConnectionOfAKilledProcessOnly() {
+        List<Event> killed = List.of(new Event(1_000_000_000, "a", "killed", ""), new Event(1_010_000_000, "a", "ended", ""));
+        Request late = new Request("a", "t", 500_000_000, 1_500_000_000, 1_600_000_000, "", false);
+        assertThat(Invariants.everyRequestAnswered(List.of(late), killed)).isEmpty();
+        Request onNextProcess = new Request("a", "t", 1_100_000_000, 1_150_000_000, 1_600_000_000, "", false);
+        assertThat(Invariants.everyRequestAnswered(List.of(onNextProcess), killed)).hasSize(1);
+        Request closedBefore = new Request("a", "t", 500_000_000, 700_000_000, 900_000_000, "", false);
+        assertThat(Invariants.everyRequestAnswered(List.of(closedBefore), killed)).hasSize(1);
+    }
 }
