--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -77,7 +77,7 @@
         String tenant = configuration.site().decision().tenants().stream().findFirst().map(t -> t.name()).orElse("");
         byte[] frame = FrontCodec.call(i, Map.of("verb", spec.name(), "txn", String.format("%016x", i), "limit",
                 Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.latencyTarget() / 4),
-                "heap_mb", "64"), STATEMENT);
+                "heap_mb", "64", "item", Integer.toString(i)), STATEMENT);
         return server.parseQuery(Arrays.copyOfRange(frame, 4, frame.length));
     }
 
--- a/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -13,6 +13,7 @@
 import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import quincespar.decision.Scheduler;
 import quincespar.program.runtime.Clock;
 import quincespar.program.runtime.Counters;
 import quincespar.protocol.MalformedException;
@@ -44,6 +45,8 @@
     private static final Pattern NUMBER_PATTERN = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,9})?");
     /** Idempotency keys that can be passed on to an engine, whose protocol ends a field at a comma. */
     private static final Pattern IDEMPOTENCY_KEY_PATTERN = Pattern.compile("[^,\\p{Cntrl}]{0,256}");
+    private static final int MAX_ORDERING_KEY_CHARACTERS = 256;
+    private static final Pattern ORDERING_KEY_PATTERN = Pattern.compile("[^\\p{Cc}]{1," + MAX_ORDERING_KEY_CHARACTERS + "}");
     /** A request's time limit may exceed its class's deadline by this factor: clients wait some milliseconds longer. */
     private static final double MAX_LIMIT_FACTOR = 2;
     private static final int MAX_OPEN_REQUESTS = 32;
@@ -372,8 +375,9 @@
         if (tenantNumber == null) {
             throw new MalformedException("no tenant '" + fields.get("team") + "'");
         }
+        Scheduler.ClassSpec spec = current.decision().classes().get(classNumber);
         double limitMs = number(fields, "limit");
-        if (limitMs <= 0 || limitMs > MAX_LIMIT_FACTOR * current.decision().classes().get(classNumber).deadline()) {
+        if (limitMs <= 0 || limitMs > MAX_LIMIT_FACTOR * spec.deadline()) {
             throw new MalformedException("field limit is out of bounds");
         }
         String retry = fields.get("second");
@@ -389,7 +393,17 @@
             throw new MalformedException("field unique can't be passed on");
         }
         return new Query(txn, classNumber, tenantNumber, limitMs, "1".equals(retry), number(fields, "cpu"),
-                number(fields, "heap_mb"), StatementScanner.tableGroup(call.body()), call.body(), idempotencyKey);
+                number(fields, "heap_mb"), StatementScanner.tableGroup(call.body()), call.body(), idempotencyKey,
+                spec.orderedByKey() ? orderingKey(fields) : "");
+    }
+
+    /** Reads the key of a request whose class keeps order. */
+    private static String orderingKey(Map<String, String> fields) {
+        String key = fields.getOrDefault("item", "");
+        if (!ORDERING_KEY_PATTERN.matcher(key).matches()) {
+            throw new MalformedException("field item is missing, too long or has control characters");
+        }
+        return key;
     }
 
     /** Reads a required number in plain decimal digits; engines reject a request without it. */
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -22,6 +22,8 @@
     boolean closed;
     /** It waits for its recovery entry to be on disk; the decision module has not been told of it. */
     boolean awaitingDisk;
+    /** Null where its class keeps no order. */
+    OrderingKeys.OrderingKey orderingKey;
 
     OpenRequest(long id, Caller caller, Query query, ClassSpec spec, double deadline, double answerDeadline) {
         this.id = id;
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -19,6 +19,7 @@
     /** Until none of its attempts is open: an engine knows a request by its txn only. */
     private final Map<String, OpenRequest> byTxn = new HashMap<>();
     private final CallerConnections connections = new CallerConnections();
+    private final OrderingKeys orderingKeys = new OrderingKeys();
     private final StepContext context;
     private final Bounds bounds;
     private final MetricsRecorder metrics;
@@ -74,6 +75,7 @@
         out.put("held.requests", byId.size());
         out.put("held.names", byTxn.size());
         out.put("held.callers", connections.size());
+        out.put("held.ordering-keys", orderingKeys.size());
     }
 
     /** The client of a request gives up soon. The decision module has not answered in its time, so the request fails here. */
@@ -166,6 +168,7 @@
         byId.put(request.id, request);
         unanswered.put(request.caller, request);
         byTxn.put(query.txn(), request);
+        request.orderingKey = orderingKeys.add(request, context.now);
         connections.requestOpened(request);
         context.stopTimer(new TimerKey.CallerIdle(request.caller.connection()));
         context.startTimer(new TimerKey.RequestDeadline(request.id), answerDeadline - context.now);
@@ -174,11 +177,21 @@
 
     private void tellModule(OpenRequest request) {
         Query query = request.query;
+        long key = request.orderingKey == null ? OrderingKeys.NO_KEY : request.orderingKey.number;
         context.addEvent(new Scheduler.Request(request.id, query.classNumber(), query.tenantNumber(),
-                Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), 0, query.retry(),
+                Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), key, query.retry(),
                 request.spec.loadsTables()));
     }
 
+    /**
+     * How long a key keeps its number after its last request: the decision module may block it for the settle period from its
+     * next decision on, which may be a tick away.
+     */
+    private double orderingKeyRetentionMs() {
+        Scheduler.Settings settings = context.settings.decision();
+        return settings.rules().settlePeriod() + settings.tick();
+    }
+
     /** The recovery entry of a request has been written, or could not be: the decision module may send the request now. */
     void persistFinished(OpenRequest request) {
         if (request != null && request.awaitingDisk && !request.closed) {
@@ -231,6 +244,7 @@
     void removeIfEnded(OpenRequest request) {
         if (request.closed && !request.running() && byId.remove(request.id) != null) {
             byTxn.remove(request.query.txn(), request);
+            orderingKeys.remove(request, context.now + orderingKeyRetentionMs());
             recovery.requestEnded(request);
             request.attempts.stream().filter(a -> a.link != null).forEach(a -> a.link.forget(request.query.txn()));
         }
--- a/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -217,6 +217,25 @@
         }
     }
 
+    /** Only its class needs the key, and only that request is rejected. */
+    @Test
+    void aRequestWithoutAUsableOrderingKeyIsRejectedAndTheOpenOneIsServed() throws Exception {
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true",
+                LOAD.replace("\"unsafe\"", "\"unsafe\",\"keepOrder\":true"), LOOKUP);
+        for (String key : List.of("", "a".repeat(257), "a\nb", "a\u0085")) {
+            ScriptedPeers.Client c = client();
+            c.call(1, request("lookup", 1));
+            ScriptedPeers.Engine.Command out = engine.next("serve");
+            Map<String, String> load = request("load", 2);
+            load.put("item", key);
+            c.call(2, load);
+            assertThat(c.answer()).as("key '" + key + "'").isEqualTo(ScriptedPeers.Kind.EXCEPTION);
+            answerDone(out);
+            assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+            assertThat(c.awaitEnd()).isTrue();
+        }
+    }
+
     /** A client that sends more data after that is disconnected at once, and other clients are served meanwhile. */
     @Test
     void aClientThatSendsMoreAfterMalformedDataIsClosedDespiteOpenRequests() throws Exception {
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -17,15 +17,21 @@
 /** A front end without sockets, with the real decision module and engines that answer when a test says so. */
 final class SimulatedRouter {
     /** A class as the settings list it. */
-    record Spec(String name, String effect) { }
+    record Spec(String name, String effect, boolean ordered) {
+        Spec(String name, String effect) {
+            this(name, effect, false);
+        }
+    }
 
     static RoutingSettings settings(int maxAttempts, Spec... specs) {
         Map<String, String> pairs = new HashMap<>(Map.of("requestClasses.count", "" + specs.length, "tick", "1",
                 "limits.maxAttempts", "" + maxAttempts, "limits.cancelling", "true", "projects.count", "1",
-                "projects.0.name", "acme", "projects.0.quotaPerS", "1000"));
+                "projects.0.name", "acme", "projects.0.quotaPerS", "1000", "rules.settleAfterDoubt", "300"));
         for (int i = 0; i < specs.length; i++) {
             pairs.putAll(Map.of("requestClasses." + i + ".name", specs[i].name(), "requestClasses." + i + ".slo", "800",
-                    "requestClasses." + i + ".hardLimit", "4000", "requestClasses." + i + ".effect", specs[i].effect()));
+                    "requestClasses." + i + ".hardLimit", "4000", "requestClasses." + i + ".effect", specs[i].effect(),
+                    "requestClasses." + i + ".keepOrder", "" + specs[i].ordered(), "requestClasses." + i + ".keyScope", "all",
+                    "requestClasses." + i + ".repeatWindow", "12000"));
         }
         return RoutingSettings.of(pairs);
     }
@@ -42,6 +48,8 @@
     final List<Effect> effects = new ArrayList<>();
     /** Each engine as the decision module was last told of it. */
     final Map<Long, Scheduler.Engine> listedEngines = new HashMap<>();
+    /** The requests that the decision module was told of. */
+    final List<Scheduler.Request> moduleRequests = new ArrayList<>();
     final Reducer reducer;
     RoutingSettings settings;
     double now = 1000;
@@ -71,6 +79,8 @@
                 events.stream().filter(Scheduler.EngineList.class::isInstance)
                         .flatMap(e -> ((Scheduler.EngineList) e).engines().stream())
                         .forEach(e -> listedEngines.put(e.id(), e));
+                events.stream().filter(Scheduler.Request.class::isInstance).map(Scheduler.Request.class::cast)
+                        .forEach(moduleRequests::add);
                 return module.decide(time, events);
             }
 
@@ -131,14 +141,27 @@
 
     /** A client sends a request of a class. */
     Caller request(String className) {
+        return request(className, "");
+    }
+
+    /** A client sends a request with an ordering key. */
+    Caller request(String className, String orderingKey) {
         Caller caller = new Caller(1, ++requests);
         int classNumber = settings.classNumbers().get(className);
         classEffects.put(caller, settings.decision().classes().get(classNumber).idempotency().name());
         step(new Input.RequestReceived(caller,
-                new Query(String.format("%016x", requests), classNumber, 0, 4000, false, 10, 0, 0, new byte[0]), now));
+                new Query(String.format("%016x", requests), classNumber, 0, 4000, false, 10, 0, 0, new byte[0], "", orderingKey),
+                now));
         return caller;
     }
 
+    /** Lets time pass with no other event than the decision module's timers. */
+    void advance(double ms) {
+        for (double until = now + ms; now < until;) {
+            step(new Input.TimerFired(new TimerKey.Scheduler(1, 0)));
+        }
+    }
+
     void reload(RoutingSettings newSettings) {
         step(new Input.ReloadRequested());
         List<Effect.ReloadConfiguration> reloads = effects.stream().filter(Effect.ReloadConfiguration.class::isInstance)
