--- a/decision/src/main/java/quincespar/decision/Scheduler.java
+++ b/decision/src/main/java/quincespar/decision/Scheduler.java
@@ -100,7 +100,14 @@
      */
     record Rules(double answerSlack, double discoveryInterval, double coldPeriod, double coldCapacityShare,
             double drainGrace, double overloadWindow, double overloadMultiple, double settlePeriod,
-            double retryBudgetBase, double retryBudgetRatio, double retryBudgetWindow) { }
+            double retryBudgetBase, double retryBudgetRatio, double retryBudgetWindow) {
+        /** These rules with another settle period. */
+        public Rules withSettlePeriod(double otherSettlePeriod) {
+            return new Rules(answerSlack, discoveryInterval, coldPeriod, coldCapacityShare, drainGrace,
+                    overloadWindow, overloadMultiple, otherSettlePeriod, retryBudgetBase, retryBudgetRatio,
+                    retryBudgetWindow);
+        }
+    }
 
     /**
      * What is known about the engines in general.
@@ -149,6 +156,13 @@
                     peerMessagePenalty, tick, limits, rules, engineTraits);
         }
 
+        /** These settings with other rules. */
+        public Settings withRules(Rules otherRules) {
+            return new Settings(routers, routerIndex, zone, classes, tenants, overQuotaRewardFactor,
+                    discoveryOnRequest, clientsMarkRetries, crossZonePenalty, wastePenalty,
+                    peerMessagePenalty, tick, limits, otherRules, engineTraits);
+        }
+
         /** These settings for the router of this index among that many routers. */
         public Settings withRouter(int routerCount, int index) {
             return routerCount == routers && index == routerIndex ? this : new Settings(routerCount, index,
--- a/frontend/src/main/java/quincespar/routing/Attempt.java
+++ b/frontend/src/main/java/quincespar/routing/Attempt.java
@@ -44,6 +44,14 @@
         return link.cancelled.contains(txn());
     }
 
+    /**
+     * Whether it may still run at its engine although the engine has reported an end, and the next request of its key must not
+     * run meanwhile: the report may belong to an earlier attempt of its request, which was cancelled on the same link.
+     */
+    boolean blocksKeyDespiteReport() {
+        return request.spec.orderedByKey() && followsCancelled();
+    }
+
     /** Whether the engine has reported success; pages may still be missing. */
     boolean done() {
         return pages != null;
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -155,6 +155,8 @@
         }
         if (attempt.done()) {
             context.addEffect(new Effect.Release(attempt.link.id, attempt.txn()));
+        }
+        if (attempt.done() && !attempt.blocksKeyDespiteReport()) {
             end(attempt, outcome);
         } else {
             cancel(attempt, outcome);
@@ -230,11 +232,11 @@
         } else if (message instanceof EngineMessage.Full full && !attempt.done()) { // after Done it proves nothing
             attempt.load = full.load();
             link.answered.add(attempt.txn());
-            end(attempt, Outcome.FULL);
+            endWithoutRun(attempt, Outcome.FULL);
         } else if (message instanceof EngineMessage.Expired expired && !attempt.done()) {
             attempt.load = expired.load();
             link.answered.add(attempt.txn());
-            end(attempt, Outcome.MOOT);
+            endWithoutRun(attempt, Outcome.MOOT);
         } else if (message instanceof EngineMessage.Failed failed) {
             attempt.load = failed.load().isEmpty() ? attempt.load : failed.load();
             if (attempt.done()) {
@@ -257,6 +259,21 @@
         }
     }
 
+    /** The engine reports that an attempt has not run, which proves nothing if it may belong to an earlier attempt. */
+    private void endWithoutRun(Attempt attempt, Outcome outcome) {
+        if (attempt.blocksKeyDespiteReport()) {
+            cancelUnlessCancelled(attempt, Outcome.ERROR);
+        } else {
+            end(attempt, outcome);
+        }
+    }
+
+    private void cancelUnlessCancelled(Attempt attempt, Outcome outcome) {
+        if (attempt.outcome == null && attempt.cancelOutcome == null) {
+            cancel(attempt, outcome);
+        }
+    }
+
     private void cancel(Attempt attempt, Outcome outcome) {
         attempt.cancelOutcome = outcome;
         attempt.link.cancelled.add(attempt.txn());
@@ -288,6 +305,11 @@
             fail(attempt);
             return;
         }
+        if (attempt.blocksKeyDespiteReport()) { // it ends, and the key is free, only once its cancel is written
+            requests.answer(attempt.request, new Reply.Served(result));
+            cancelUnlessCancelled(attempt, Outcome.CANCELLED);
+            return;
+        }
         if (attempt.followsCancelled()) { // it may be the answer to the cancelled attempt, so that this one still runs
             context.addEffect(new Effect.Cancel(attempt.link.id, attempt.key, attempt.txn()));
         }
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -20,8 +20,10 @@
     final List<Attempt> attempts = new ArrayList<>(1);
     /** It has been answered, or its client has left. */
     boolean closed;
-    /** It waits for its recovery entry to be on disk; the decision module has not been told of it. */
+    /** It waits for its recovery entry to be on disk. */
     boolean awaitingDisk;
+    /** The decision module has been told of it. */
+    boolean reported;
     /** Null where its class keeps no order. */
     OrderingKeys.OrderingKey orderingKey;
 
--- a/frontend/src/main/java/quincespar/routing/OrderingKeys.java
+++ b/frontend/src/main/java/quincespar/routing/OrderingKeys.java
@@ -45,10 +45,10 @@
         return key;
     }
 
-    /** Removes a request that is closed and has no open attempt; its key keeps its number until {@code keepUntil}. */
+    /** Removes a request that has a key, is closed and has no open attempt; its key keeps its number until {@code keepUntil}. */
     void remove(OpenRequest request, double keepUntil) {
         OrderingKey key = request.orderingKey;
-        if (key != null && key.requests.remove(request) && key.requests.isEmpty()) {
+        if (key.requests.remove(request) && key.requests.isEmpty()) {
             keptUntil.put(key, keepUntil);
         }
     }
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -88,7 +88,7 @@
 
     /** Tells the decision module, if it has been told of the request, that no answer is needed any more. */
     private void tellModuleClosed(OpenRequest request) {
-        if (!request.awaitingDisk) {
+        if (request.reported) {
             context.addEvent(new Scheduler.ClientLeft(request.id));
         }
     }
@@ -152,9 +152,8 @@
         request.awaitingDisk = recovery.persists(request);
         if (request.awaitingDisk) {
             recovery.persistStart(request);
-        } else {
-            tellModule(request);
         }
+        tellModuleWhenDue(request);
     }
 
     private OpenRequest open(Input.RequestReceived input) {
@@ -175,7 +174,29 @@
         return request;
     }
 
+    /** Tells the decision module of a request, unless that, or an earlier one of its key, waits for the disk. */
+    private void tellModuleWhenDue(OpenRequest request) {
+        if (request.orderingKey != null) {
+            tellModuleInOrder(request.orderingKey);
+        } else if (!request.awaitingDisk) {
+            tellModule(request);
+        }
+    }
+
+    /** Tells the decision module of the requests of a key in the order of arrival, up to the first that waits for the disk. */
+    private void tellModuleInOrder(OrderingKeys.OrderingKey key) {
+        for (OpenRequest request : key.requests) {
+            if (request.awaitingDisk) {
+                return;
+            }
+            if (!request.reported && !request.closed) {
+                tellModule(request);
+            }
+        }
+    }
+
     private void tellModule(OpenRequest request) {
+        request.reported = true;
         Query query = request.query;
         long key = request.orderingKey == null ? OrderingKeys.NO_KEY : request.orderingKey.number;
         context.addEvent(new Scheduler.Request(request.id, query.classNumber(), query.tenantNumber(),
@@ -196,7 +217,7 @@
     void persistFinished(OpenRequest request) {
         if (request != null && request.awaitingDisk && !request.closed) {
             request.awaitingDisk = false;
-            tellModule(request);
+            tellModuleWhenDue(request);
         }
     }
 
@@ -244,7 +265,10 @@
     void removeIfEnded(OpenRequest request) {
         if (request.closed && !request.running() && byId.remove(request.id) != null) {
             byTxn.remove(request.query.txn(), request);
-            orderingKeys.remove(request, context.now + orderingKeyRetentionMs());
+            if (request.orderingKey != null) {
+                orderingKeys.remove(request, context.now + orderingKeyRetentionMs());
+                tellModuleInOrder(request.orderingKey);
+            }
             recovery.requestEnded(request);
             request.attempts.stream().filter(a -> a.link != null).forEach(a -> a.link.forget(request.query.txn()));
         }
--- a/frontend/src/main/java/quincespar/routing/RoutingSettings.java
+++ b/frontend/src/main/java/quincespar/routing/RoutingSettings.java
@@ -24,6 +24,11 @@
         int maxStreamsPerLink, Map<String, Integer> classNumbers, Map<String, Integer> tenantNumbers) {
     private static final double DEFAULT_LINK_IDLE_MS = 15_000;
     private static final int DEFAULT_MAX_STREAMS = 100;
+    /**
+     * How much longer than the rules ask a key is blocked after a doubtful end: the cancel and the next attempt of the key go
+     * to two engines, and the cancel may take longer on its way.
+     */
+    private static final double SETTLE_MARGIN_MS = 50;
 
     /**
      * Reads pairs of path and value, as the adapter does. The protocol carries no messages between front ends, so the module
@@ -33,7 +38,7 @@
      */
     public static RoutingSettings of(Map<String, String> pairs) {
         SettingsParser parser = new SettingsParser(pairs);
-        Scheduler.Settings decision = parser.settings().withoutPeerMessages();
+        Scheduler.Settings decision = withSettleMargin(parser.settings().withoutPeerMessages());
         return new RoutingSettings(decision, parser.names("localities"), parser.names("kinds"),
                 positiveOr(parser.number("limits.connIdle", DEFAULT_LINK_IDLE_MS), DEFAULT_LINK_IDLE_MS),
                 (int) positiveOr(parser.number("limits.maxStreams", DEFAULT_MAX_STREAMS), DEFAULT_MAX_STREAMS),
@@ -41,6 +46,12 @@
                 indexByName(decision.tenants(), Scheduler.Tenant::name));
     }
 
+    private static Scheduler.Settings withSettleMargin(Scheduler.Settings settings) {
+        Scheduler.Rules rules = settings.rules();
+        return rules.settlePeriod() <= 0 ? settings
+                : settings.withRules(rules.withSettlePeriod(rules.settlePeriod() + SETTLE_MARGIN_MS));
+    }
+
     private static <T> Map<String, Integer> indexByName(List<T> items, Function<T, String> name) {
         Map<String, Integer> indexes = new HashMap<>();
         for (int i = 0; i < items.size(); i++) {
--- a/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -40,6 +40,8 @@
     private ScriptedPeers.Engine engine;
     private ScriptedPeers.ChangeLog changes;
     private int port;
+    /** The rules in the settings. */
+    private String rules = "{}";
     private FrontEnd frontEnd;
     private CompletableFuture<Void> running;
 
@@ -64,9 +66,9 @@
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":64},"changelog":"127.0.0.1:%d",
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,"members":[%s]}}]},
-             "settings":{"tick":5,"limits":{%s,"maxAttempts":3,"maxStreams":100,"connIdle":1000},
+             "settings":{"tick":5,"limits":{%s,"maxAttempts":3,"maxStreams":100,"connIdle":1000},"rules":%s,
              "projects":[{"name":"acme","quotaPerS":50,"share":1}],"requestClasses":[%s]}}
-            """.formatted(port, changes.server.getLocalPort(), member("s-1", "up", engineAt), limits,
+            """.formatted(port, changes.server.getLocalPort(), member("s-1", "up", engineAt), limits, rules,
                 String.join(",", classes)));
         frontEnd = new FrontEnd(Map.of("GW_CONFIG", file.toString()), ConfReader.read("f", conf),
                 Logs.start(ConfReader.read("f", conf)));
@@ -217,6 +219,31 @@
         }
     }
 
+    /** Which of two engines' connections delivers first is open, so the key rests from the cancel on. */
+    @Test
+    void theNextLoadOfAKeyFollowsACancelledOneAfterTheSettlePeriod() throws Exception {
+        rules = "{\"settleAfterDoubt\":300}";
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true",
+                LOAD.replace("\"unsafe\"", "\"unsafe\",\"keepOrder\":true"));
+        ScriptedPeers.Client leaves = client();
+        ScriptedPeers.Client stays = client();
+        Map<String, String> first = request("load", 1);
+        Map<String, String> second = request("load", 2);
+        first.put("item", "7f3a9c21e0b4d655");
+        second.put("item", "7f3a9c21e0b4d655");
+        leaves.call(1, first);
+        assertThat(engine.next("serve").id()).isEqualTo(first.get("txn"));
+        stays.call(1, second);
+        awaitCounter(stays, "requests.open", "2");
+        leaves.close();
+        ScriptedPeers.Engine.Command cancel = engine.next("cancel");
+        ScriptedPeers.Engine.Command next = engine.next("serve");
+        assertThat(next.id()).isEqualTo(second.get("txn"));
+        assertThat(next.receivedAtNanos() - cancel.receivedAtNanos()).isGreaterThan(TimeUnit.MILLISECONDS.toNanos(300));
+        answerDone(next);
+        assertThat(stays.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+    }
+
     /** Only its class needs the key, and only that request is rejected. */
     @Test
     void aRequestWithoutAUsableOrderingKeyIsRejectedAndTheOpenOneIsServed() throws Exception {
--- a/frontend/src/test/java/quincespar/program/ScriptedPeers.java
+++ b/frontend/src/test/java/quincespar/program/ScriptedPeers.java
@@ -169,7 +169,7 @@
 
         Engine() throws IOException { }
 
-        record Command(List<String> words, Socket from) {
+        record Command(List<String> words, Socket from, long receivedAtNanos) {
             String id() {
                 return words.get(1);
             }
@@ -202,7 +202,7 @@
                     line(in);
                     words.add(new String(word, StandardCharsets.UTF_8));
                 }
-                commands.add(new Command(words, s));
+                commands.add(new Command(words, s, System.nanoTime()));
             }
         }
 
--- a/frontend/src/test/java/quincespar/routing/OrderByKeyTest.java
+++ b/frontend/src/test/java/quincespar/routing/OrderByKeyTest.java
@@ -2,7 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.Arrays;
+import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 import quincespar.routing.SimulatedRouter.Spec;
 
 /** Requests of one ordering key run one at a time at engines, in the order of arrival, whatever ends an attempt. */
@@ -12,6 +16,84 @@
 
     private final SimulatedRouter router = new SimulatedRouter(SETTINGS);
 
+    private void assertRunning(int... requests) {
+        assertThat(router.running.keySet()).containsExactlyElementsOf(
+                Arrays.stream(requests).mapToObj(r -> String.format("%016x", r)).toList());
+    }
+
+    private Input end(HeadEnd how, Caller head) {
+        return switch (how) {
+            case TIMED_OUT -> new Input.TimerFired(new TimerKey.AttemptTimeout(
+                    new AttemptKey(router.moduleRequests.get(0).id(), 0)));
+            case CANCELLED -> new Input.RequestCancelled(head);
+            case CLIENT_GONE -> new Input.CallerDisconnected(head.connection());
+        };
+    }
+
+    enum HeadEnd { TIMED_OUT, CANCELLED, CLIENT_GONE }
+
+    /** Until its cancel is written a hanging attempt runs, and the engine may learn of the cancel a little later. */
+    @ParameterizedTest
+    @EnumSource
+    void theNextOfAKeyRestsFromTheMomentAtWhichTheCancelIsWritten(HeadEnd how) {
+        Caller head = router.request("load", "a");
+        router.advance(3900);
+        router.connection = 2;
+        router.request("load", "a");
+        router.outboxBlocked = true;
+        router.advance(60); // the time limit of the first one
+        router.step(end(how, head));
+        router.advance(50);
+        assertRunning(1);
+        router.unblockOutbox();
+        router.advance(SETTLE_MS + 30);
+        assertRunning();
+        router.advance(60);
+        assertRunning(2);
+    }
+
+    @Test
+    void theRetryAfterARefusalGoesBeforeTheNextOfItsKeyWhichFollowsAtOnce() {
+        router.request("load", "a");
+        router.request("load", "a");
+        Effect.Send refused = router.running.remove("0000000000000001");
+        router.step(new Input.EngineMessageReceived(refused.link(), new EngineMessage.Full(refused.txn(), List.of())));
+        router.advance(SETTLE_MS);
+        assertRunning(1);
+        router.engineAnswers(0, true);
+        router.advance(20);
+        assertRunning(2);
+    }
+
+    @Test
+    void theRetryAfterAResetGoesBeforeTheNextOfItsKeyWhichRests() {
+        router.request("load", "a");
+        router.request("load", "a");
+        Effect.Send lost = router.running.remove("0000000000000001");
+        router.step(new Input.LinkDown(lost.link(), "reset"));
+        router.advance(20);
+        assertRunning(1);
+        router.engineAnswers(0, true);
+        router.advance(SETTLE_MS);
+        assertRunning();
+        router.advance(60);
+        assertRunning(2);
+    }
+
+    @Test
+    void whatNeverRanDoesNotBlockItsKey() {
+        router.outboxBlocked = true;
+        Caller unwritten = router.request("load", "a");
+        Caller queued = router.request("load", "a");
+        router.request("load", "a");
+        router.step(new Input.RequestCancelled(queued));
+        router.outboxBlocked = false;
+        router.step(new Input.RequestCancelled(unwritten));
+        router.advance(20);
+        assertRunning(3);
+        assertThat(router.sends).hasSize(1);
+    }
+
     private long keyNumber(int request) {
         return router.moduleRequests.get(request).key();
     }
--- a/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
+++ b/frontend/src/test/java/quincespar/routing/RecoveryCoordinatorTest.java
@@ -17,7 +17,7 @@
  */
 class RecoveryCoordinatorTest {
     private static final RoutingSettings SETTINGS =
-            SimulatedRouter.settings(3, new Spec("lookup", "safe"), new Spec("load", "unsafe"));
+            SimulatedRouter.settings(3, new Spec("lookup", "safe", true), new Spec("load", "unsafe", true));
 
     private final SimulatedRouter router = new SimulatedRouter(SETTINGS, new Recovery(
             new RecoveryTimeouts(1000, 1000, 1000, 1000, 100, 0, 30_000), "a", false, Reducer.classTraits(SETTINGS)));
@@ -79,6 +79,24 @@
         assertThat(router.reducer.retainedCounts().get("held.requests")).isZero();
     }
 
+    /** Only loads wait for the disk, and what arrives behind one would overtake it. */
+    @Test
+    void requestsOfAKeyAreNotSentBeforeAnEarlierLoadWhoseEntryIsNotOnDisk() {
+        recover();
+        router.request("load", "a");
+        router.request("lookup", "a");
+        Caller load = router.request("load", "b");
+        router.request("lookup", "b");
+        assertThat(router.sends).isEmpty();
+        router.step(new Input.RequestCancelled(load));
+        assertThat(router.sends).containsOnlyKeys("0000000000000004");
+        router.step(new Input.PersistFinished(router.effects.stream().filter(Effect.PersistEntry.class::isInstance)
+                .mapToLong(e -> ((Effect.PersistEntry) e).request()).filter(r -> r != 0).findFirst().orElseThrow(), true));
+        assertThat(router.sends).containsOnlyKeys("0000000000000004", "0000000000000001");
+        router.settle();
+        assertThat(router.sends).hasSize(3);
+    }
+
     @Test
     void aLoadThatIsCancelledBeforeItsEntryIsOnDiskIsNeverSent() {
         recover();
--- a/frontend/src/test/java/quincespar/routing/ReducerTest.java
+++ b/frontend/src/test/java/quincespar/routing/ReducerTest.java
@@ -229,6 +229,29 @@
         assertThat(last(Effect.Send.class).link()).isEqualTo(send.link());
     }
 
+    /** The message may have crossed the cancel on the wire: then the second attempt runs, and its key must not be free yet. */
+    @ParameterizedTest
+    @ValueSource(strings = {"done", "full", "expired"})
+    void anAttemptThatFollowsACancelledOneOnItsLinkBlocksItsKeyUntilItIsCancelledToo(String message) {
+        pairs.put("requestClasses." + SAFE_CLASS + ".keepOrder", "true");
+        start();
+        Effect.Send send = sendRequest(SAFE_CLASS);
+        beginWrite(send);
+        plannedActions.add(new Scheduler.CancelAttempt(REQUEST, 0, Scheduler.CancelReason.SLOW_PROGRESS));
+        decide();
+        plannedActions.add(new Scheduler.SendAttempt(REQUEST, engine(0), 0));
+        step(new Input.CancelWritten(send.key()));
+        beginWrite(last(Effect.Send.class));
+        step(message.equals("done") ? done(send, 1) : received(send, message.equals("full")
+                ? new EngineMessage.Full(send.txn(), List.of()) : new EngineMessage.Expired(send.txn(), List.of())));
+        assertThat(of(Effect.Answer.class, effects)).hasSize(message.equals("done") ? 1 : 0);
+        assertThat(of(Scheduler.AttemptEnded.class, events)).hasSize(1);
+        assertThat(of(Effect.Cancel.class, effects)).hasSize(2);
+        step(new Input.CancelWritten(last(Effect.Send.class).key()));
+        assertThat(of(Scheduler.AttemptEnded.class, events)).hasSize(2);
+        assertThat(lastOutcome().neverRan).isFalse();
+    }
+
     @Test
     void anAttemptQueuedForADrainingEngineIsWithdrawn() {
         Effect.Send send = sendRequest(SAFE_CLASS);
--- a/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
+++ b/frontend/src/test/java/quincespar/routing/SimulatedRouter.java
@@ -46,6 +46,10 @@
     /** Attempts at engines, by txn. */
     final Map<String, Effect.Send> running = new LinkedHashMap<>();
     final List<Effect> effects = new ArrayList<>();
+    /** Whether attempts and cancels wait in an outbox. */
+    boolean outboxBlocked;
+    final List<Effect.Send> unwrittenSends = new ArrayList<>();
+    final List<Effect.Cancel> unwrittenCancels = new ArrayList<>();
     /** Each engine as the decision module was last told of it. */
     final Map<Long, Scheduler.Engine> listedEngines = new HashMap<>();
     /** The requests that the decision module was told of. */
@@ -54,6 +58,8 @@
     RoutingSettings settings;
     double now = 1000;
     int requests;
+    /** The connection on which clients send. */
+    long connection = 1;
     private long pollId;
     private long lastEvent = 1;
 
@@ -112,6 +118,10 @@
         for (Effect effect : newEffects) {
             if (effect instanceof Effect.OpenLink e) {
                 inputs.add(new Input.LinkUp(e.link()));
+            } else if (effect instanceof Effect.Send e && outboxBlocked) {
+                unwrittenSends.add(e);
+            } else if (effect instanceof Effect.Cancel e && outboxBlocked) {
+                unwrittenCancels.add(e);
             } else if (effect instanceof Effect.Send e) {
                 assertThat(running).as("two attempts at once").doesNotContainKey(e.txn());
                 assertThat(e.write().begin()).isTrue();
@@ -146,7 +156,7 @@
 
     /** A client sends a request with an ordering key. */
     Caller request(String className, String orderingKey) {
-        Caller caller = new Caller(1, ++requests);
+        Caller caller = new Caller(connection, ++requests);
         int classNumber = settings.classNumbers().get(className);
         classEffects.put(caller, settings.decision().classes().get(classNumber).idempotency().name());
         step(new Input.RequestReceived(caller,
@@ -155,6 +165,12 @@
         return caller;
     }
 
+    /** The cancels in the outbox are written. */
+    void unblockOutbox() {
+        outboxBlocked = false;
+        perform(List.copyOf(unwrittenCancels));
+    }
+
     /** Lets time pass with no other event than the decision module's timers. */
     void advance(double ms) {
         for (double until = now + ms; now < until;) {
