--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -86,7 +86,8 @@
             if (effect instanceof Effect.OpenLink e) {
                 inputs.add(new Input.LinkUp(e.link()));
             } else if (effect instanceof Effect.Send e) {
-                byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
+                byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.priority(), e.budgetMs(),
+                        e.statement());
                 new RespDecoder().feed(command, command.length, EngineCodec::readReply);
                 EngineMessage done = new EngineMessage.Done(e.txn(), 2, STATEMENT, List.of());
                 answers.add(new ScheduledInput(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), done)));
--- a/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
+++ b/frontend/src/main/java/quincespar/program/engines/EngineLinks.java
@@ -75,7 +75,8 @@
 
     /** Sends an attempt. */
     public void send(Effect.Send e) {
-        send(e.link(), EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement()), e.write(),
+        send(e.link(), EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.priority(), e.budgetMs(),
+                e.statement()), e.write(),
                 () -> post.accept(new Input.SendWritten(e.key())));
     }
 
--- a/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
+++ b/frontend/src/main/java/quincespar/protocol/resp/EngineCodec.java
@@ -10,6 +10,8 @@
 
 /** Encodes commands to engines and decodes their replies, as RESP arrays of bulk strings. */
 public final class EngineCodec {
+    /** The priority of an attempt whose command names none. */
+    public static final int DEFAULT_PRIORITY = 1;
     private static final int MAX_PAGE_BYTES = 6000;
     private static final int COLUMNS = 3;
 
@@ -27,10 +29,11 @@
         }
     }
 
-    /** Starts an attempt; an empty idempotency key means none. */
-    public static byte[] serve(String id, String queue, String idempotencyKey, long budget, byte[] body) {
+    /** Starts an attempt; an empty idempotency key means none. The priority is sent only if it is not the engine's default. */
+    public static byte[] serve(String id, String queue, String idempotencyKey, int priority, long budget, byte[] body) {
         String unique = idempotencyKey.isEmpty() ? "" : ",uniq=" + idempotencyKey;
-        return command(ascii("serve"), ascii(id), utf8("queue=" + queue + ",budget=" + budget + unique), body);
+        String order = priority == DEFAULT_PRIORITY ? "" : ",order=" + priority;
+        return command(ascii("serve"), ascii(id), utf8("queue=" + queue + ",budget=" + budget + unique + order), body);
     }
 
     /** Cancels a request. */
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -71,6 +71,16 @@
         }
     }
 
+    /** Sets the priority of a request's next attempts. The protocol has no field for a memory grant. */
+    void setTerms(OpenRequest request, Scheduler.SetTerms terms) {
+        if (request != null) {
+            request.priority = terms.priority();
+        }
+        if (terms.memoryGrant() > 0) {
+            context.addEffect(new Effect.Log("ignored a memory grant, which the protocol does not support: " + terms));
+        }
+    }
+
     /** Sends the next attempt of a request as the decision module asks. */
     void send(OpenRequest request, Scheduler.SendAttempt action) {
         // an unsafe request is never sent twice, and none has two attempts at once unless the settings allow it
@@ -117,8 +127,8 @@
         context.trace(() -> "request " + query.txn() + ": attempt " + attempt.key.attempt() + " sent to " + engine
                 + " on connection " + attempt.link.id);
         context.addEffect(new Effect.Send(attempt.link.id, attempt.key, query.txn(), attempt.request.spec.name(),
-                query.idempotencyKey(), Math.max(1, Math.round(attempt.timeoutAt - context.now)), query.statement(),
-                attempt.write));
+                query.idempotencyKey(), attempt.request.priority, Math.max(1, Math.round(attempt.timeoutAt - context.now)),
+                query.statement(), attempt.write));
     }
 
     /** The time in which an attempt may start is over. */
--- a/frontend/src/main/java/quincespar/routing/Effect.java
+++ b/frontend/src/main/java/quincespar/routing/Effect.java
@@ -23,8 +23,8 @@
     record CloseLink(long link, String cause) implements Effect { }
 
     /** Send an attempt, unless {@code write} has been withdrawn before its first byte goes out. */
-    record Send(long link, AttemptKey key, String txn, String queue, String idempotencyKey, long budgetMs, byte[] statement,
-            WithdrawableWrite write) implements Effect { }
+    record Send(long link, AttemptKey key, String txn, String queue, String idempotencyKey, int priority, long budgetMs,
+            byte[] statement, WithdrawableWrite write) implements Effect { }
 
     /** Cancel an attempt, and report when the cancel is written ({@link Input.CancelWritten}). */
     record Cancel(long link, AttemptKey key, String txn) implements Effect { }
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -5,6 +5,7 @@
 import quincespar.decision.Scheduler.ClassSpec;
 import quincespar.decision.Scheduler.Idempotency;
 import quincespar.decision.Scheduler.DeduplicationScope;
+import quincespar.protocol.resp.EngineCodec;
 
 /** A request from its arrival until it is answered and none of its attempts is open. */
 final class OpenRequest {
@@ -24,6 +25,8 @@
     boolean awaitingDisk;
     /** The decision module has been told of it. */
     boolean reported;
+    /** The priority of its next attempts at engines, from 0 to 3. */
+    int priority = EngineCodec.DEFAULT_PRIORITY;
     /** Null where its class keeps no order. */
     OrderingKeys.OrderingKey orderingKey;
 
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -235,6 +235,8 @@
             attempts.refuse(requests.get(a.id()), a.retryAfter());
         } else if (action instanceof Scheduler.FailRequest a) {
             requests.answer(requests.get(a.id()), new Reply.Failed());
+        } else if (action instanceof Scheduler.SetTerms a) {
+            attempts.setTerms(requests.get(a.id()), a);
         } else if (action instanceof Scheduler.CancelAttempt a) {
             attempts.cancelByModule(requests.attempt(new AttemptKey(a.id(), a.attempt())), a.reason());
         } else if (action instanceof Scheduler.SetTimer a) {
@@ -242,8 +244,7 @@
         } else if (action instanceof Scheduler.ProbeEngine a) {
             links.probe(engines.get(a.engine()));
         } else if (!(action instanceof Scheduler.WatchEngineList || action instanceof Scheduler.FetchEngineList)) {
-            // Watch and Fetch need nothing, as the change log is always followed; the protocol has no messages between front
-            // ends and no terms of an attempt
+            // Watch and Fetch need nothing, as the change log is always followed; the protocol has no messages between front ends
             context.addEffect(new Effect.Log("ignored an action that the protocol does not support: " + action));
         }
     }
--- a/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
+++ b/frontend/src/test/java/quincespar/program/ConnectionEndTest.java
@@ -40,8 +40,8 @@
     private ScriptedPeers.Engine engine;
     private ScriptedPeers.ChangeLog changes;
     private int port;
-    /** The rules in the settings. */
-    private String rules = "{}";
+    /** Further settings, each followed by a comma. */
+    private String furtherSettings = "";
     private FrontEnd frontEnd;
     private CompletableFuture<Void> running;
 
@@ -66,9 +66,9 @@
         Path file = Files.writeString(folder.resolve("config.json"), """
             {"name":"n1","listen":"127.0.0.1:%d","seed":"1","limits":{"sockets":64},"changelog":"127.0.0.1:%d",
              "known":{"seq":1,"results":[{"seq":1,"fleet":{"revision":1,"complete":true,"members":[%s]}}]},
-             "settings":{"tick":5,"limits":{%s,"maxAttempts":3,"maxStreams":100,"connIdle":1000},"rules":%s,
+             "settings":{"tick":5,"limits":{%s,"maxAttempts":3,"maxStreams":100,"connIdle":1000},%s
              "projects":[{"name":"acme","quotaPerS":50,"share":1}],"requestClasses":[%s]}}
-            """.formatted(port, changes.server.getLocalPort(), member("s-1", "up", engineAt), limits, rules,
+            """.formatted(port, changes.server.getLocalPort(), member("s-1", "up", engineAt), limits, furtherSettings,
                 String.join(",", classes)));
         frontEnd = new FrontEnd(Map.of("GW_CONFIG", file.toString()), ConfReader.read("f", conf),
                 Logs.start(ConfReader.read("f", conf)));
@@ -222,7 +222,7 @@
     /** Which of two engines' connections delivers first is open, so the key rests from the cancel on. */
     @Test
     void theNextLoadOfAKeyFollowsACancelledOneAfterTheSettlePeriod() throws Exception {
-        rules = "{\"settleAfterDoubt\":300}";
+        furtherSettings = "\"rules\":{\"settleAfterDoubt\":300},";
         start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true",
                 LOAD.replace("\"unsafe\"", "\"unsafe\",\"keepOrder\":true"));
         ScriptedPeers.Client leaves = client();
@@ -357,6 +357,22 @@
         assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.EXCEPTION);
     }
 
+    /** The only class has the highest index, so its requests go first where engines know priorities. */
+    @Test
+    void anAttemptCarriesThePriorityThatTheModuleSets() throws Exception {
+        furtherSettings = "\"extra\":{\"lanesCount\":true},";
+        start(NO_IDLE_TIMEOUT, engine.server.getLocalPort(), "\"cancelling\":true", LOOKUP);
+        ScriptedPeers.Client c = client();
+        c.call(1, request("lookup", 1));
+        ScriptedPeers.Engine.Command first = engine.next("serve");
+        assertThat(first.words().get(2)).matches("queue=lookup,budget=\\d+,order=3");
+        first.answer(first.id(), "BROKE", "-", "");
+        ScriptedPeers.Engine.Command again = engine.next("serve");
+        assertThat(again.words().get(2)).matches("queue=lookup,budget=\\d+,order=3");
+        answerDone(again);
+        assertThat(c.answer()).isEqualTo(ScriptedPeers.Kind.SERVED);
+    }
+
     /** The drain is reported after the engine was chosen and before the first byte was written. */
     @Test
     void aRequestWaitingForAConnectionToADrainingEngineIsSentToAnother() throws Exception {
