--- a/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
+++ b/frontend/src/main/java/quincespar/metrics/MetricsRecorder.java
@@ -55,7 +55,7 @@
 
     /** A snapshot of all counts, together with gauges of the current state. */
     public MetricsSnapshot snapshot(int openRequests, int listedEngines, int ejectedEngines,
-            MetricsSnapshot.ChangeLogStatus changeLog) {
+            MetricsSnapshot.ChangeLogStatus changeLog, MetricsSnapshot.OrderingKeyStatus orderingKeys) {
         if (answersChanged) {
             Map<String, MetricsSnapshot.AnswerCounts> byClass = new LinkedHashMap<>();
             for (int i = 0; i < classNames.size(); i++) {
@@ -66,6 +66,6 @@
             answersChanged = false;
         }
         return new MetricsSnapshot(answersByClass, attemptsSent, openRequests, listedEngines, ejectedEngines,
-                configurationsLoaded, configurationsRejected, changeLog);
+                configurationsLoaded, configurationsRejected, changeLog, orderingKeys);
     }
 }
--- a/frontend/src/main/java/quincespar/metrics/PrometheusText.java
+++ b/frontend/src/main/java/quincespar/metrics/PrometheusText.java
@@ -32,6 +32,9 @@
                 metrics.changeLog().ageMs());
         text.metric("gw_changelog_failures_total", "counter", "Questions to the change log that failed.",
                 metrics.changeLog().failures());
+        text.metric("gw_ordering_keys", "gauge", "Ordering keys of open requests.", metrics.orderingKeys().held());
+        text.metric("gw_ordering_key_wait_ms", "gauge", "Longest time that an open request has waited behind another of its key.",
+                metrics.orderingKeys().longestWaitMs());
         return text.out.toString();
     }
 
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -12,6 +12,7 @@
     final long id;
     final Caller caller;
     final Query query;
+    final double openedAt;
     /** The settings of its class when it arrived; they hold for this request until its end. */
     final ClassSpec spec;
     /** The decision module's deadline: the client's, less the time that it takes to deliver an answer. */
@@ -30,10 +31,11 @@
     /** Null where its class keeps no order. */
     OrderingKeys.OrderingKey orderingKey;
 
-    OpenRequest(long id, Caller caller, Query query, ClassSpec spec, double deadline, double answerDeadline) {
+    OpenRequest(long id, Caller caller, Query query, double openedAt, ClassSpec spec, double deadline, double answerDeadline) {
         this.id = id;
         this.caller = caller;
         this.query = query;
+        this.openedAt = openedAt;
         this.spec = spec;
         this.deadline = deadline;
         this.answerDeadline = answerDeadline;
--- a/frontend/src/main/java/quincespar/routing/OrderingKeys.java
+++ b/frontend/src/main/java/quincespar/routing/OrderingKeys.java
@@ -58,6 +58,17 @@
         return byText.size();
     }
 
+    /** How many keys have an open request. */
+    int heldCount() {
+        return byText.size() - keptUntil.size();
+    }
+
+    /** How long any open request has waited behind another of its key, in milliseconds; 0 where none waits. */
+    double longestWaitMs(double now) {
+        return byText.values().stream().flatMap(key -> key.requests.stream().skip(1).limit(1))
+                .mapToDouble(oldestWaiting -> now - oldestWaiting.openedAt).max().orElse(0);
+    }
+
     private void forgetExpired(double now) {
         Iterator<Map.Entry<OrderingKey, Double>> oldest = keptUntil.entrySet().iterator();
         while (oldest.hasNext()) {
--- a/frontend/src/main/java/quincespar/routing/Reducer.java
+++ b/frontend/src/main/java/quincespar/routing/Reducer.java
@@ -105,7 +105,7 @@
     /** The metrics as they stand after the last step. */
     public MetricsSnapshot metrics() {
         return metrics.snapshot(requests.unanswered(), engines.listedCount(), scheduler.ejectedEngineCount(),
-                cluster.changeLogStatus());
+                cluster.changeLogStatus(), requests.orderingKeyStatus());
     }
 
     /** Whether the change log has answered completely since the start: until then the list of engines may be outdated. */
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import quincespar.decision.Scheduler;
 import quincespar.metrics.MetricsRecorder;
+import quincespar.metrics.MetricsSnapshot;
 
 /** Open requests, from their arrival until they are answered and none of their attempts is open, and their callers. */
 final class Requests {
@@ -56,6 +57,11 @@
         return unanswered.size();
     }
 
+    MetricsSnapshot.OrderingKeyStatus orderingKeyStatus() {
+        return new MetricsSnapshot.OrderingKeyStatus(orderingKeys.heldCount(),
+                Math.round(orderingKeys.longestWaitMs(context.now)));
+    }
+
     void limitCallers(int max) {
         maxCallers = max;
     }
@@ -161,7 +167,7 @@
         double margin = Math.min(DELIVERY_MARGIN_MS, query.timeoutMs() / 10);
         double answerDeadline = Math.min(input.receivedAt() + query.timeoutMs() - Math.min(LAST_ANSWER_MARGIN_MS, margin / 4),
                 shutdownAt);
-        OpenRequest request = new OpenRequest(context.nextId(), input.caller(), query,
+        OpenRequest request = new OpenRequest(context.nextId(), input.caller(), query, context.now,
                 context.settings.decision().classes().get(query.classNumber()),
                 Math.min(input.receivedAt() + query.timeoutMs(), shutdownAt) - margin, answerDeadline);
         byId.put(request.id, request);
--- a/frontend/src/test/java/quincespar/routing/OrderByKeyTest.java
+++ b/frontend/src/test/java/quincespar/routing/OrderByKeyTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import quincespar.metrics.MetricsSnapshot;
 import quincespar.routing.SimulatedRouter.Spec;
 
 /** Requests of one ordering key run one at a time at engines, in the order of arrival, whatever ends an attempt. */
@@ -80,6 +81,18 @@
         assertRunning(2);
     }
 
+    @Test
+    void metricsTellTheKeysHeldAndTheLongestWaitBehindAnotherOfAKey() {
+        router.request("load", "a");
+        router.request("load", "b");
+        assertThat(router.reducer.metrics().orderingKeys()).isEqualTo(new MetricsSnapshot.OrderingKeyStatus(2, 0));
+        router.request("load", "b");
+        router.advance(100);
+        assertThat(router.reducer.metrics().orderingKeys().longestWaitMs()).isBetween(90L, 110L);
+        router.settle();
+        assertThat(router.reducer.metrics().orderingKeys()).isEqualTo(new MetricsSnapshot.OrderingKeyStatus(0, 0));
+    }
+
     @Test
     void whatNeverRanDoesNotBlockItsKey() {
         router.outboxBlocked = true;
