--- a/frontend/src/main/java/quincespar/program/Warmup.java
+++ b/frontend/src/main/java/quincespar/program/Warmup.java
@@ -77,7 +77,7 @@
         String tenant = configuration.site().decision().tenants().stream().findFirst().map(t -> t.name()).orElse("");
         byte[] frame = FrontCodec.call(i, Map.of("verb", spec.name(), "txn", String.format("%016x", i), "limit",
                 Long.toString((long) spec.deadline()), "team", tenant, "cpu", Double.toString(spec.latencyTarget() / 4),
-                "heap_mb", "64"), STATEMENT);
+                "heap_mb", "64", "item", Integer.toString(i)), STATEMENT);
         return server.parseQuery(Arrays.copyOfRange(frame, 4, frame.length));
     }
 
@@ -86,7 +86,8 @@
             if (effect instanceof Effect.OpenLink e) {
                 inputs.add(new Input.LinkUp(e.link()));
             } else if (effect instanceof Effect.Send e) {
-                byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.budgetMs(), e.statement());
+                byte[] command = EngineCodec.serve(e.txn(), e.queue(), e.idempotencyKey(), e.priority(), e.budgetMs(),
+                        e.statement());
                 new RespDecoder().feed(command, command.length, EngineCodec::readReply);
                 EngineMessage done = new EngineMessage.Done(e.txn(), 2, STATEMENT, List.of());
                 answers.add(new ScheduledInput(now + SERVICE_MS, new Input.EngineMessageReceived(e.link(), done)));
--- a/frontend/src/main/java/quincespar/routing/Attempts.java
+++ b/frontend/src/main/java/quincespar/routing/Attempts.java
@@ -71,6 +71,16 @@
         }
     }
 
+    /** Sets the priority of a request's next attempts. The protocol has no field for a memory grant. */
+    void setTerms(OpenRequest request, Scheduler.SetTerms terms) {
+        if (request != null) {
+            request.priority = terms.priority();
+        }
+        if (terms.memoryGrant() > 0) {
+            context.addEffect(new Effect.Log("ignored a memory grant, which the protocol does not support: " + terms));
+        }
+    }
+
     /** Sends the next attempt of a request as the decision module asks. */
     void send(OpenRequest request, Scheduler.SendAttempt action) {
         // an unsafe request is never sent twice, and none has two attempts at once unless the settings allow it
@@ -117,8 +127,8 @@
         context.trace(() -> "request " + query.txn() + ": attempt " + attempt.key.attempt() + " sent to " + engine
                 + " on connection " + attempt.link.id);
         context.addEffect(new Effect.Send(attempt.link.id, attempt.key, query.txn(), attempt.request.spec.name(),
-                query.idempotencyKey(), Math.max(1, Math.round(attempt.timeoutAt - context.now)), query.statement(),
-                attempt.write));
+                query.idempotencyKey(), attempt.request.priority, Math.max(1, Math.round(attempt.timeoutAt - context.now)),
+                query.statement(), attempt.write));
     }
 
     /** The time in which an attempt may start is over. */
@@ -155,6 +165,8 @@
         }
         if (attempt.done()) {
             context.addEffect(new Effect.Release(attempt.link.id, attempt.txn()));
+        }
+        if (attempt.done() && !attempt.blocksKeyDespiteReport()) {
             end(attempt, outcome);
         } else {
             cancel(attempt, outcome);
@@ -230,11 +242,11 @@
         } else if (message instanceof EngineMessage.Full full && !attempt.done()) { // after Done it proves nothing
             attempt.load = full.load();
             link.answered.add(attempt.txn());
-            end(attempt, Outcome.FULL);
+            endWithoutRun(attempt, Outcome.FULL);
         } else if (message instanceof EngineMessage.Expired expired && !attempt.done()) {
             attempt.load = expired.load();
             link.answered.add(attempt.txn());
-            end(attempt, Outcome.MOOT);
+            endWithoutRun(attempt, Outcome.MOOT);
         } else if (message instanceof EngineMessage.Failed failed) {
             attempt.load = failed.load().isEmpty() ? attempt.load : failed.load();
             if (attempt.done()) {
@@ -257,6 +269,21 @@
         }
     }
 
+    /** The engine reports that an attempt has not run, which proves nothing if it may belong to an earlier attempt. */
+    private void endWithoutRun(Attempt attempt, Outcome outcome) {
+        if (attempt.blocksKeyDespiteReport()) {
+            cancelUnlessCancelled(attempt, Outcome.ERROR);
+        } else {
+            end(attempt, outcome);
+        }
+    }
+
+    private void cancelUnlessCancelled(Attempt attempt, Outcome outcome) {
+        if (attempt.outcome == null && attempt.cancelOutcome == null) {
+            cancel(attempt, outcome);
+        }
+    }
+
     private void cancel(Attempt attempt, Outcome outcome) {
         attempt.cancelOutcome = outcome;
         attempt.link.cancelled.add(attempt.txn());
@@ -288,6 +315,11 @@
             fail(attempt);
             return;
         }
+        if (attempt.blocksKeyDespiteReport()) { // it ends, and the key is free, only once its cancel is written
+            requests.answer(attempt.request, new Reply.Served(result));
+            cancelUnlessCancelled(attempt, Outcome.CANCELLED);
+            return;
+        }
         if (attempt.followsCancelled()) { // it may be the answer to the cancelled attempt, so that this one still runs
             context.addEffect(new Effect.Cancel(attempt.link.id, attempt.key, attempt.txn()));
         }
--- a/frontend/src/main/java/quincespar/routing/OpenRequest.java
+++ b/frontend/src/main/java/quincespar/routing/OpenRequest.java
@@ -5,12 +5,14 @@
 import quincespar.decision.Scheduler.ClassSpec;
 import quincespar.decision.Scheduler.Idempotency;
 import quincespar.decision.Scheduler.DeduplicationScope;
+import quincespar.protocol.resp.EngineCodec;
 
 /** A request from its arrival until it is answered and none of its attempts is open. */
 final class OpenRequest {
     final long id;
     final Caller caller;
     final Query query;
+    final double openedAt;
     /** The settings of its class when it arrived; they hold for this request until its end. */
     final ClassSpec spec;
     /** The decision module's deadline: the client's, less the time that it takes to deliver an answer. */
@@ -20,13 +22,20 @@
     final List<Attempt> attempts = new ArrayList<>(1);
     /** It has been answered, or its client has left. */
     boolean closed;
-    /** It waits for its recovery entry to be on disk; the decision module has not been told of it. */
+    /** It waits for its recovery entry to be on disk. */
     boolean awaitingDisk;
+    /** The decision module has been told of it. */
+    boolean reported;
+    /** The priority of its next attempts at engines, from 0 to 3. */
+    int priority = EngineCodec.DEFAULT_PRIORITY;
+    /** Null where its class keeps no order. */
+    OrderingKeys.OrderingKey orderingKey;
 
-    OpenRequest(long id, Caller caller, Query query, ClassSpec spec, double deadline, double answerDeadline) {
+    OpenRequest(long id, Caller caller, Query query, double openedAt, ClassSpec spec, double deadline, double answerDeadline) {
         this.id = id;
         this.caller = caller;
         this.query = query;
+        this.openedAt = openedAt;
         this.spec = spec;
         this.deadline = deadline;
         this.answerDeadline = answerDeadline;
--- a/frontend/src/main/java/quincespar/routing/Requests.java
+++ b/frontend/src/main/java/quincespar/routing/Requests.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import quincespar.decision.Scheduler;
 import quincespar.metrics.MetricsRecorder;
+import quincespar.metrics.MetricsSnapshot;
 
 /** Open requests, from their arrival until they are answered and none of their attempts is open, and their callers. */
 final class Requests {
@@ -19,6 +20,7 @@
     /** Until none of its attempts is open: an engine knows a request by its txn only. */
     private final Map<String, OpenRequest> byTxn = new HashMap<>();
     private final CallerConnections connections = new CallerConnections();
+    private final OrderingKeys orderingKeys = new OrderingKeys();
     private final StepContext context;
     private final Bounds bounds;
     private final MetricsRecorder metrics;
@@ -55,6 +57,11 @@
         return unanswered.size();
     }
 
+    MetricsSnapshot.OrderingKeyStatus orderingKeyStatus() {
+        return new MetricsSnapshot.OrderingKeyStatus(orderingKeys.heldCount(),
+                Math.round(orderingKeys.longestWaitMs(context.now)));
+    }
+
     void limitCallers(int max) {
         maxCallers = max;
     }
@@ -74,6 +81,7 @@
         out.put("held.requests", byId.size());
         out.put("held.names", byTxn.size());
         out.put("held.callers", connections.size());
+        out.put("held.ordering-keys", orderingKeys.size());
     }
 
     /** The client of a request gives up soon. The decision module has not answered in its time, so the request fails here. */
@@ -86,7 +94,7 @@
 
     /** Tells the decision module, if it has been told of the request, that no answer is needed any more. */
     private void tellModuleClosed(OpenRequest request) {
-        if (!request.awaitingDisk) {
+        if (request.reported) {
             context.addEvent(new Scheduler.ClientLeft(request.id));
         }
     }
@@ -150,9 +158,8 @@
         request.awaitingDisk = recovery.persists(request);
         if (request.awaitingDisk) {
             recovery.persistStart(request);
-        } else {
-            tellModule(request);
         }
+        tellModuleWhenDue(request);
     }
 
     private OpenRequest open(Input.RequestReceived input) {
@@ -160,30 +167,63 @@
         double margin = Math.min(DELIVERY_MARGIN_MS, query.timeoutMs() / 10);
         double answerDeadline = Math.min(input.receivedAt() + query.timeoutMs() - Math.min(LAST_ANSWER_MARGIN_MS, margin / 4),
                 shutdownAt);
-        OpenRequest request = new OpenRequest(context.nextId(), input.caller(), query,
+        OpenRequest request = new OpenRequest(context.nextId(), input.caller(), query, context.now,
                 context.settings.decision().classes().get(query.classNumber()),
                 Math.min(input.receivedAt() + query.timeoutMs(), shutdownAt) - margin, answerDeadline);
         byId.put(request.id, request);
         unanswered.put(request.caller, request);
         byTxn.put(query.txn(), request);
+        request.orderingKey = orderingKeys.add(request, context.now);
         connections.requestOpened(request);
         context.stopTimer(new TimerKey.CallerIdle(request.caller.connection()));
         context.startTimer(new TimerKey.RequestDeadline(request.id), answerDeadline - context.now);
         return request;
     }
 
+    /** Tells the decision module of a request, unless that, or an earlier one of its key, waits for the disk. */
+    private void tellModuleWhenDue(OpenRequest request) {
+        if (request.orderingKey != null) {
+            tellModuleInOrder(request.orderingKey);
+        } else if (!request.awaitingDisk) {
+            tellModule(request);
+        }
+    }
+
+    /** Tells the decision module of the requests of a key in the order of arrival, up to the first that waits for the disk. */
+    private void tellModuleInOrder(OrderingKeys.OrderingKey key) {
+        for (OpenRequest request : key.requests) {
+            if (request.awaitingDisk) {
+                return;
+            }
+            if (!request.reported && !request.closed) {
+                tellModule(request);
+            }
+        }
+    }
+
     private void tellModule(OpenRequest request) {
+        request.reported = true;
         Query query = request.query;
+        long key = request.orderingKey == null ? OrderingKeys.NO_KEY : request.orderingKey.number;
         context.addEvent(new Scheduler.Request(request.id, query.classNumber(), query.tenantNumber(),
-                Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), 0, query.retry(),
+                Math.max(0, request.deadline - context.now), query.work(), query.memory(), query.tables(), key, query.retry(),
                 request.spec.loadsTables()));
     }
 
+    /**
+     * How long a key keeps its number after its last request: the decision module may block it for the settle period from its
+     * next decision on, which may be a tick away.
+     */
+    private double orderingKeyRetentionMs() {
+        Scheduler.Settings settings = context.settings.decision();
+        return settings.rules().settlePeriod() + settings.tick();
+    }
+
     /** The recovery entry of a request has been written, or could not be: the decision module may send the request now. */
     void persistFinished(OpenRequest request) {
         if (request != null && request.awaitingDisk && !request.closed) {
             request.awaitingDisk = false;
-            tellModule(request);
+            tellModuleWhenDue(request);
         }
     }
 
@@ -231,6 +271,10 @@
     void removeIfEnded(OpenRequest request) {
         if (request.closed && !request.running() && byId.remove(request.id) != null) {
             byTxn.remove(request.query.txn(), request);
+            if (request.orderingKey != null) {
+                orderingKeys.remove(request, context.now + orderingKeyRetentionMs());
+                tellModuleInOrder(request.orderingKey);
+            }
             recovery.requestEnded(request);
             request.attempts.stream().filter(a -> a.link != null).forEach(a -> a.link.forget(request.query.txn()));
         }
