--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -575,10 +575,15 @@
                     ? SHARED_LIMIT_GAIN : 1;
             limit.maxThreads += gain * stats.spec.threads() / Math.max(1, limit.maxThreads);
         }
-        // a router's part of one thread per core overloads nothing, so the limit is never below it
         double cores = limit == sharedLimit ? sharedCores : cores(node.engine);
-        limit.maxThreads = Math.max(Math.max(1, cores / settings.routers()),
-                Math.min(limit.maxThreads, 4 * cores));
+        limit.maxThreads = Math.max(limitFloor(node), Math.min(limit.maxThreads, 4 * cores));
+    }
+
+    /** The threads below which an engine's limit is not cut. */
+    private double limitFloor(EngineNode node) {
+        boolean shared = node.limit == sharedLimit;
+        double cores = shared ? sharedCores : cores(node.engine);
+        return ConcurrencyFloor.threads(cores / settings.routers(), shared);
     }
 
     boolean isCold(EngineNode node) {
@@ -747,8 +752,9 @@
      * Factor on the index: prefers the own zone, free room, engines with its tables, and not where it failed.
      */
     double preference(Query query, EngineNode node) {
+        // a limit that still stands at its start does not make an engine fuller than the others
         double fullThreads = node.limit == sharedLimit ? cores(node.engine) / 2
-                : Math.max(node.limit.maxThreads, 1);
+                : Math.max(node.limit.maxThreads, limitFloor(node));
         double factor = (1 - 0.5 * Math.min(1, node.threads / fullThreads))
                 * (1 + 0.01 * random.nextDouble());
         factor *= node.engine.zone() == settings.zone() ? 1
--- a/decision/src/test/java/quincespar/decision/SchedulingTest.java
+++ b/decision/src/test/java/quincespar/decision/SchedulingTest.java
@@ -83,13 +83,13 @@
     }
 
     @Test
-    void theLimitIsNotCutBelowOneThreadPerCoreOfTheRoutersPart() {
+    void theLimitIsNotCutBelowOneAndAHalfThreadsPerCoreOfTheRoutersPart() {
         RouterHarness r = new RouterHarness();
         r.routers = 2;
         r.classes.add(safeClass("a", 3000, 1));
         r.start(ready(10));
         mostRunning(r, 50, 10);
-        assertEquals(4, mostRunning(r, 2000, 40), "half of eight cores, however slow");
+        assertEquals(6, mostRunning(r, 2000, 40), "for half of eight cores, however slow");
     }
 
     @Test
