--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -36,8 +36,6 @@
     private static final double SHARED_LIMIT_CUT = 0.06;
     /** Share of the cold allowance that is used: engines differ by some tenths and work is only estimated. */
     private static final double COLD_ALLOWANCE_USED = 0.7;
-    /** Routers that may send to a cold engine in one turn: few, so that each may send at least one query. */
-    private static final int ROUTERS_PER_COLD_TURN = 8;
     /** Expected finishes that an engine misses in a row before it counts as silent: probability e^-6. */
     private static final double SILENCE_MISSED_FINISHES = 6;
     /**
@@ -1285,34 +1283,18 @@
                 <= rules.retryBudgetBase() + rules.retryBudgetRatio() * requestsTakenAt.size();
     }
 
-    /**
-     * Whether a cold engine may get another query of a class. What overloads it counts over the whole fleet
-     * and the stated window. An even part of that is soon below the heaviest query, which then finds no cold
-     * engine until it is warm. So each cold engine has hosts, chosen by router number and engine id: as many
-     * routers as can send it one heaviest query each. Where an even part is below the lightest query, hosts
-     * would have too few queries: then a few routers take turns in each window, by number and by the engine's
-     * start. A window may touch two turns, so each turn has half of the allowance.
-     */
+    /** Whether a cold engine may get another query of a class, by this router's part of its allowance. */
     boolean coldAllowanceLeft(ClassStats stats, EngineNode node) {
         Rules rules = settings.rules();
-        double upFor = now - node.engine.startedAt();
         if (!isCold(node) || rules.overloadWindow() <= 0) {
             return true;
         }
         double allowance = COLD_ALLOWANCE_USED * rules.overloadMultiple() * rules.coldCapacityShare()
                 * LEAST_CORE_CAPACITY * cores(node.engine) * rules.overloadWindow();
-        double hosts = Math.max(1, Math.min(settings.routers(), Math.floor(allowance / largestUsualWork)));
-        long place = settings.routerIndex()
-                + (long) (SchedulerState.hashToUnitInterval(node.engine.id()) * settings.routers());
-        if (settings.routers() > 2 * ROUTERS_PER_COLD_TURN
-                && allowance / settings.routers() < smallestUsualWork) {
-            place = settings.routerIndex()
-                    - (long) Math.floor(upFor / rules.overloadWindow()) * ROUTERS_PER_COLD_TURN;
-            hosts = ROUTERS_PER_COLD_TURN;
-            allowance /= 2;
-        }
-        return Math.floorMod(place, (long) settings.routers()) < hosts
-                && node.recentWork(now, rules.overloadWindow()) + usualWork(stats) <= allowance / hosts;
+        double part = new ColdAllowance(allowance, settings.routers(), smallestUsualWork, largestUsualWork)
+                .partOf(settings.routerIndex(), SchedulerState.hashToUnitInterval(node.engine.id()),
+                        (long) Math.floor((now - node.engine.startedAt()) / rules.overloadWindow()));
+        return node.recentWork(now, rules.overloadWindow()) + usualWork(stats) <= part;
     }
 
     /** The usual work of a class: reported, else estimated, else its time multiplied by its threads. */
