--- a/frontend/src/main/java/quincespar/routing/OrderingKeys.java
+++ b/frontend/src/main/java/quincespar/routing/OrderingKeys.java
@@ -4,7 +4,9 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.Map;
+import java.util.Set;
 
 /**
  * The ordering keys of open requests. The decision module knows a key by a number, and blocks it for the settle period after
@@ -30,6 +32,8 @@
     private final Map<String, OrderingKey> byText = new HashMap<>();
     /** Keys without an open request, and until when they keep their number; ordered by when their last request ended. */
     private final Map<OrderingKey, Double> keptUntil = new LinkedHashMap<>();
+    /** Open requests behind another of their key, in the order in which they arrived. */
+    private final Set<OpenRequest> waiting = new LinkedHashSet<>();
     private long lastNumber = NO_KEY;
 
     /** Adds a request behind the earlier ones of its key; null where its class keeps no order. */
@@ -41,6 +45,9 @@
         }
         OrderingKey key = byText.computeIfAbsent(text, t -> new OrderingKey(t, ++lastNumber));
         keptUntil.remove(key);
+        if (!key.requests.isEmpty()) {
+            waiting.add(request);
+        }
         key.requests.add(request);
         return key;
     }
@@ -48,8 +55,14 @@
     /** Removes a request that has a key, is closed and has no open attempt; its key keeps its number until {@code keepUntil}. */
     void remove(OpenRequest request, double keepUntil) {
         OrderingKey key = request.orderingKey;
-        if (key.requests.remove(request) && key.requests.isEmpty()) {
+        if (!key.requests.remove(request)) {
+            return;
+        }
+        waiting.remove(request);
+        if (key.requests.isEmpty()) {
             keptUntil.put(key, keepUntil);
+        } else {
+            waiting.remove(key.requests.peek());
         }
     }
 
@@ -65,8 +78,7 @@
 
     /** How long any open request has waited behind another of its key, in milliseconds; 0 where none waits. */
     double longestWaitMs(double now) {
-        return byText.values().stream().flatMap(key -> key.requests.stream().skip(1).limit(1))
-                .mapToDouble(oldestWaiting -> now - oldestWaiting.openedAt).max().orElse(0);
+        return waiting.isEmpty() ? 0 : now - waiting.iterator().next().openedAt;
     }
 
     private void forgetExpired(double now) {
