--- a/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
+++ b/frontend/src/main/java/quincespar/program/clients/ThriftServer.java
@@ -306,11 +306,9 @@
          * sequence number that may be open or answered, because it could be taken for that request's second answer.
          */
         private void reject(int seqid, int type, String reason) {
-            answersInProgress.incrementAndGet(); // another thread must not finish the connection before the exception is queued
-            ending = true;
             counters.count(Counters.Count.REQUESTS_UNUSABLE);
             connection.send(FrontCodec.exception(seqid > lastSeqid ? seqid : 0, type, reason));
-            answersInProgress.decrementAndGet();
+            ending = true; // from here on, a reply on another thread may finish the connection
             if (allAnswersQueued()) {
                 connection.finish();
             }
