--- a/decision/src/main/java/quincespar/decision/GcMuScheduler.java
+++ b/decision/src/main/java/quincespar/decision/GcMuScheduler.java
@@ -573,15 +573,17 @@
                     ? SHARED_LIMIT_GAIN : 1;
             limit.maxThreads += gain * stats.spec.threads() / Math.max(1, limit.maxThreads);
         }
-        double cores = limit == sharedLimit ? sharedCores : cores(node.engine);
-        limit.maxThreads = Math.max(limitFloor(node), Math.min(limit.maxThreads, 4 * cores));
+        limit.maxThreads = Math.max(limitFloor(node), Math.min(limit.maxThreads, 4 * limitCores(node)));
     }
 
     /** The threads below which an engine's limit is not cut. */
     private double limitFloor(EngineNode node) {
-        boolean shared = node.limit == sharedLimit;
-        double cores = shared ? sharedCores : cores(node.engine);
-        return ConcurrencyFloor.threads(cores / settings.routers(), shared);
+        return ConcurrencyFloor.threads(limitCores(node) / settings.routers(), node.limit == sharedLimit);
+    }
+
+    /** The cores under an engine's limit. */
+    private double limitCores(EngineNode node) {
+        return node.limit == sharedLimit ? sharedCores : cores(node.engine);
     }
 
     boolean isCold(EngineNode node) {
